--- a/contract/claim.go
+++ b/contract/claim.go
@@ -18,8 +18,8 @@
 	ClaimTTL = 24 * time.Hour
 	// MaxClaims is how many claims are kept at most, and MaxWholeClaims how many
 	// that are not retired; a further one is refused.
-	MaxClaims      = 8 << 20
-	MaxWholeClaims = 4 << 20
+	MaxClaims          = 8 << 20
+	MaxUnretiredClaims = 4 << 20
 	// MaxAnswerBytes is the largest body that is recorded.
 	MaxAnswerBytes = 64 << 10
 	// MaxAnswerHeaderBytes is the most that is recorded of an answer's headers.
@@ -27,8 +27,8 @@
 	// MaxAnswers is how many answers are kept, and MaxRecordedBytes bounds their
 	// headers and bodies. The oldest are given up first: of their claims only a
 	// hash of the key, the digest and the status stay.
-	MaxAnswers       = 512 << 10
-	MaxRecordedBytes = 256 << 20
+	MaxAnswers          = 512 << 10
+	MaxTotalAnswerBytes = 256 << 20
 
 	// expirePerApply bounds the work of one command. It is more than a command
 	// can add, so that expired claims cannot pile up.
--- a/contract/claim_test.go
+++ b/contract/claim_test.go
@@ -123,7 +123,7 @@
 	is.Equal(len(h.state.Claim("ops", "k2").GetAnswer().GetBody()), 60)
 	h.settle("k3", "x", answered, make([]byte, 60)...)
 	is.True(h.state.Claim("ops", "k2").GetAnswer().GetTruncated())
-	is.Equal(h.state.ClaimCounts(), ClaimCounts{Total: 4, Granted: 1, Answered: 3, Retired: 2, BodyBytes: 60})
+	is.Equal(h.state.ClaimCounts(), ClaimCounts{Total: 4, Granted: 1, Answered: 3, Retired: 2, AnswerBytes: 60})
 	is.Equal(h.claim("k5", "x", 1).Err.Kind, fault.Overloaded) // retired ones count
 	h.state.claims.limit, h.state.claims.wholeLimit = 5, 2
 	is.Equal(h.claim("k5", "x", 1).Err.Kind, fault.Overloaded)
--- a/contract/claimtable.go
+++ b/contract/claimtable.go
@@ -98,7 +98,7 @@
 // claimBounds are constants but in tests.
 type claimBounds struct{ limit, wholeLimit, answerLimit, bodyLimit int64 }
 
-var defaultBounds = claimBounds{limit: MaxClaims, wholeLimit: MaxWholeClaims, answerLimit: MaxAnswers, bodyLimit: MaxRecordedBytes}
+var defaultBounds = claimBounds{limit: MaxClaims, wholeLimit: MaxUnretiredClaims, answerLimit: MaxAnswers, bodyLimit: MaxTotalAnswerBytes}
 
 func newClaimTable(bounds claimBounds) claimTable {
 	return claimTable{
@@ -222,17 +222,17 @@
 	// Retired is the number of answered claims whose answer is not kept any more.
 	Retired int
 	// BodyBytes is the size of the recorded headers and bodies.
-	BodyBytes int64
+	AnswerBytes int64
 }
 
 func (t *claimTable) counts() ClaimCounts {
 	return ClaimCounts{
-		Total:     len(t.byKey) + t.retired.len(),
-		Granted:   t.byState[controlv1.ClaimState_CLAIM_STATE_GRANTED],
-		Answered:  t.byState[controlv1.ClaimState_CLAIM_STATE_ANSWERED] + t.retired.len(),
-		NotRun:    t.byState[controlv1.ClaimState_CLAIM_STATE_NOT_RUN],
-		Unknown:   t.byState[controlv1.ClaimState_CLAIM_STATE_UNKNOWN],
-		Retired:   t.retired.len(),
-		BodyBytes: t.answerBytes,
+		Total:       len(t.byKey) + t.retired.len(),
+		Granted:     t.byState[controlv1.ClaimState_CLAIM_STATE_GRANTED],
+		Answered:    t.byState[controlv1.ClaimState_CLAIM_STATE_ANSWERED] + t.retired.len(),
+		NotRun:      t.byState[controlv1.ClaimState_CLAIM_STATE_NOT_RUN],
+		Unknown:     t.byState[controlv1.ClaimState_CLAIM_STATE_UNKNOWN],
+		Retired:     t.retired.len(),
+		AnswerBytes: t.answerBytes,
 	}
 }
--- a/contract/site.go
+++ b/contract/site.go
@@ -59,7 +59,7 @@
 
 // Overtaken reports whether publishing this version would change nothing,
 // because the one in force is at least as high.
-func (s *State) Overtaken(version uint64) bool {
+func (s *State) SiteSuperseded(version uint64) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.overtaken(version)
--- a/control/publish.go
+++ b/control/publish.go
@@ -13,7 +13,7 @@
 // already needs no entry in the log: a leader whose state is behind would only
 // log it once more than needed.
 func (l *leadership) publish(ctx context.Context, site *fleetv1.Site) (*controlv1.PublishResponse, error) {
-	if l.state.Overtaken(site.GetVersion()) {
+	if l.state.SiteSuperseded(site.GetVersion()) {
 		return &controlv1.PublishResponse{Version: l.state.Site().GetVersion()}, nil
 	}
 	data, err := contract.EncodePublish(l.logTime(), site)
