--- a/contract/agent.go
+++ b/contract/agent.go
@@ -13,21 +13,21 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// maxSuperseded is how many earlier incarnations of an agent are remembered, so
-// that a process that wakes up late learns that it was replaced.
+// maxSuperseded is how many earlier incarnations are kept for each agent. They
+// allow a delayed process to be told that it has been replaced.
 const maxSuperseded = 32
 
-// agentEntry is an agent that has announced itself.
+// agentEntry is the stored record of an agent that has announced itself.
 type agentEntry struct {
 	name, host, zone, region, addr string
 	incarnation                    uint64
 	live                           bool
 	superseded                     []uint64
-	// holds are the endpoints that the agent gates, sorted.
-	holds []string
+	// endpointIDs are the ids of the endpoints that the agent manages, sorted.
+	endpointIDs []string
 }
 
-func (e *agentEntry) view() Agent {
+func (e *agentEntry) toAgent() Agent {
 	return Agent{
 		AgentRef: AgentRef{Name: e.name, Incarnation: e.incarnation},
 		Host:     e.host, Zone: e.zone, Region: e.region, Addr: e.addr,
@@ -35,59 +35,60 @@
 	}
 }
 
-// announcement is what an accepted Announce command will change.
+// announcement is the set of changes that an accepted Announce command makes.
 type announcement struct {
-	agent   *agentEntry
-	store   []*endpointEntry
-	drop    []string
-	refused []*fault.Error
-	// sameAgent is set when the agent's own record stays as it is.
-	sameAgent bool
+	agent    *agentEntry
+	upserts  []*endpointEntry
+	removals []string
+	refused  []*fault.Error
+	// agentUnchanged is set when the agent's own record does not change.
+	agentUnchanged bool
 }
 
-// changes reports whether the announcement must go through the log.
+// changes reports whether the announcement must be written to the log.
 func (a *announcement) changes() bool {
-	return !a.sameAgent || len(a.store) > 0 || len(a.drop) > 0
+	return !a.agentUnchanged || len(a.upserts) > 0 || len(a.removals) > 0
 }
 
-// AnnounceChanges reports whether an announcement changes the state and so must
-// be logged; an unchanged one only renews the lease. refused lists the endpoints
-// that another agent holds. The error is the one that applying it would give.
+// AnnounceChanges reports whether an announcement changes the state and must
+// therefore be logged; one without changes only renews the lease. refused has one
+// error for each endpoint whose lease another agent holds. err is the error that
+// applying the announcement would return.
 func (s *State) AnnounceChanges(request *controlv1.AnnounceRequest) (changes bool, refused []*fault.Error, err error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	next, refusal := s.prepareAnnouncement(request)
+	pending, refusal := s.prepareAnnouncement(request)
 	if refusal != nil {
 		return false, nil, refusal
 	}
-	return next.changes(), next.refused, nil
+	return pending.changes(), pending.refused, nil
 }
 
 func (s *State) applyAnnounce(request *controlv1.AnnounceRequest) *Result {
-	next, err := s.prepareAnnouncement(request)
+	pending, err := s.prepareAnnouncement(request)
 	if err != nil {
 		return &Result{Err: err}
 	}
-	s.agents[next.agent.name] = next.agent
+	s.agents[pending.agent.name] = pending.agent
 	var refs []objectRef
-	for _, entry := range next.store {
+	for _, entry := range pending.upserts {
 		id := entry.announced.GetId()
-		s.releaseFromOther(id, next.agent.name)
+		s.releaseFromPreviousAgent(id, pending.agent.name)
 		s.endpoints[id] = entry
 		refs = append(refs, objectRef{endpointKind, id})
 	}
-	for _, id := range next.drop {
-		s.dropEndpoint(id)
+	for _, id := range pending.removals {
+		s.removeEndpoint(id)
 		refs = append(refs, objectRef{endpointKind, id})
 	}
 	if len(refs) > 0 {
 		s.commit(refs)
 	}
-	return &Result{Refused: next.refused}
+	return &Result{Refused: pending.refused}
 }
 
-// prepareAnnouncement works out what an announcement changes, without changing
-// it.
+// prepareAnnouncement computes the changes that an announcement makes, without
+// modifying the state.
 func (s *State) prepareAnnouncement(request *controlv1.AnnounceRequest) (*announcement, *fault.Error) {
 	if err := validateAnnouncement(request); err != nil {
 		return nil, err
@@ -97,24 +98,24 @@
 	if err != nil {
 		return nil, err
 	}
-	next := &announcement{agent: agent}
+	pending := &announcement{agent: agent}
 	for _, endpoint := range request.GetEndpoints() {
-		s.prepareEndpoint(next, normalizeAnnounced(endpoint, request))
+		s.prepareEndpoint(pending, normalizeAnnounced(endpoint, request))
 	}
-	slices.Sort(agent.holds)
+	slices.Sort(agent.endpointIDs)
 	if old != nil {
-		for _, id := range old.holds {
-			if _, still := slices.BinarySearch(agent.holds, id); !still {
-				next.drop = append(next.drop, id)
+		for _, id := range old.endpointIDs {
+			if _, stillAnnounced := slices.BinarySearch(agent.endpointIDs, id); !stillAnnounced {
+				pending.removals = append(pending.removals, id)
 			}
 		}
-		next.sameAgent = agent.view() == old.view()
+		pending.agentUnchanged = agent.toAgent() == old.toAgent()
 	}
-	return next, nil
+	return pending, nil
 }
 
-// nextAgent returns the agent's record after an announcement. An incarnation
-// that was replaced before is fenced.
+// nextAgent returns the agent's record after an announcement. It returns a Fenced
+// error for an incarnation that has been superseded.
 func nextAgent(old *agentEntry, request *controlv1.AnnounceRequest) (*agentEntry, *fault.Error) {
 	next := &agentEntry{
 		name: request.GetAgent(), host: request.GetHost(), zone: request.GetZone(),
@@ -125,11 +126,11 @@
 	if old == nil {
 		return next, nil
 	}
-	if announcesItself(request) {
-		return laterStart(old, next)
+	if isSelfAnnouncement(request) {
+		return acceptNewerStart(old, next)
 	}
 	if slices.Contains(old.superseded, next.incarnation) {
-		return nil, fencedAgent(old, next.incarnation)
+		return nil, fencedError(old, next.incarnation)
 	}
 	next.superseded = old.superseded
 	if old.incarnation != next.incarnation {
@@ -138,30 +139,32 @@
 	return next, nil
 }
 
-// announcesItself reports whether an announcement is of an endpoint without an agent,
-// whose name is its own id.
-func announcesItself(request *controlv1.AnnounceRequest) bool {
+// isSelfAnnouncement reports whether an endpoint without an agent sent the
+// announcement. Such an endpoint uses its own id as the agent name.
+func isSelfAnnouncement(request *controlv1.AnnounceRequest) bool {
 	return len(request.GetEndpoints()) == 1 && request.GetEndpoints()[0].GetAddr() != ""
 }
 
-// laterStart orders the incarnations of an endpoint that announces itself, which are the
-// times of its starts. A later start is the present one. An earlier one is late, and
-// says nothing, as long as the present one renews; once that is silent the earlier one
-// may have been started by a clock that was set back, and is taken.
-func laterStart(old, next *agentEntry) (*agentEntry, *fault.Error) {
+// acceptNewerStart decides between two incarnations of an endpoint that announces
+// itself; its incarnations are start times. A later start replaces the current one. An
+// earlier start is refused as a delayed message while the current incarnation renews its
+// lease. Once that lease has expired the earlier start is accepted, because the process
+// may have started on a clock that was set back.
+func acceptNewerStart(old, next *agentEntry) (*agentEntry, *fault.Error) {
 	if next.incarnation < old.incarnation && old.live {
-		return nil, fencedAgent(old, next.incarnation)
+		return nil, fencedError(old, next.incarnation)
 	}
 	return next, nil
 }
 
-// fencedAgent is the refusal of an incarnation that is not the present one.
-func fencedAgent(present *agentEntry, incarnation uint64) *fault.Error {
-	return fault.Newf(fault.Fenced, "stop this process, or give it a name of its own if two agents share one",
-		"incarnation %d of agent %s is superseded by incarnation %d", incarnation, present.name, present.incarnation)
+// fencedError returns the error for an incarnation other than the current one.
+func fencedError(current *agentEntry, incarnation uint64) *fault.Error {
+	return fault.Newf(fault.Fenced, "stop this process, or give each agent a unique name if two agents share one",
+		"incarnation %d of agent %s is superseded by incarnation %d", incarnation, current.name, current.incarnation)
 }
 
-// normalizeAnnounced fills in what an endpoint has from its agent.
+// normalizeAnnounced returns a copy of an announced endpoint with the fields that
+// come from its agent filled in.
 func normalizeAnnounced(endpoint *fleetv1.Endpoint, request *controlv1.AnnounceRequest) *fleetv1.Endpoint {
 	announced := proto.Clone(endpoint).(*fleetv1.Endpoint)
 	announced.Agent = request.GetAgent()
@@ -186,42 +189,43 @@
 	return announced
 }
 
-// prepareEndpoint adds one announced endpoint to next, or refuses it because
-// another agent holds its lease.
-func (s *State) prepareEndpoint(next *announcement, announced *fleetv1.Endpoint) {
+// prepareEndpoint adds one announced endpoint to pending, or refuses it if another
+// agent holds its lease.
+func (s *State) prepareEndpoint(pending *announcement, announced *fleetv1.Endpoint) {
 	id := announced.GetId()
 	entry := s.endpoints[id]
 	if entry == nil {
 		entry = &endpointEntry{}
 	}
-	if left(entry, announced) {
+	if hasAnnouncedLeaving(entry, announced) {
 		announced.State = entry.announced.GetState()
 	}
 	holder := entry.announced.GetAgent()
-	if entry.live && holder != next.agent.name {
-		next.refused = append(next.refused, fault.Newf(fault.Conflict,
-			"give the endpoint another id, or stop the agent that holds it",
-			"endpoint %s, announced by agent %s, is held by agent %s", id, next.agent.name, holder))
+	if entry.live && holder != pending.agent.name {
+		pending.refused = append(pending.refused, fault.Newf(fault.Conflict,
+			"give the endpoint a different id, or stop the agent that holds its lease",
+			"endpoint %s announced by agent %s is leased to agent %s", id, pending.agent.name, holder))
 		return
 	}
-	next.agent.holds = append(next.agent.holds, id)
+	pending.agent.endpointIDs = append(pending.agent.endpointIDs, id)
 	if entry.live && proto.Equal(entry.announced, announced) {
 		return
 	}
-	next.store = append(next.store, entry.withAnnounced(announced, s.revision+1))
+	pending.upserts = append(pending.upserts, entry.withAnnounced(announced, s.revision+1))
 }
 
-// left reports whether an endpoint that announces itself has said before, in the same
-// incarnation, that it leaves. What says otherwise is late.
-func left(entry *endpointEntry, announced *fleetv1.Endpoint) bool {
-	before := entry.announced
-	return announced.GetAddr() != "" && before.GetIncarnation() == announced.GetIncarnation() &&
-		before.GetState() >= fleetv1.EndpointState_ENDPOINT_STATE_LEAVING
+// hasAnnouncedLeaving reports whether a self-announced endpoint has already announced,
+// in the same incarnation, that it is leaving. A later announcement to the contrary was
+// delayed and must not undo it.
+func hasAnnouncedLeaving(entry *endpointEntry, announced *fleetv1.Endpoint) bool {
+	previous := entry.announced
+	return announced.GetAddr() != "" && previous.GetIncarnation() == announced.GetIncarnation() &&
+		previous.GetState() >= fleetv1.EndpointState_ENDPOINT_STATE_LEAVING
 }
 
-// releaseFromOther takes an endpoint away from the agent that held it before
-// its lease expired.
-func (s *State) releaseFromOther(id, newHolder string) {
+// releaseFromPreviousAgent removes an endpoint from the agent that held its lease
+// until the lease expired, unless that is newHolder.
+func (s *State) releaseFromPreviousAgent(id, newHolder string) {
 	entry := s.endpoints[id]
 	if entry == nil {
 		return
@@ -230,14 +234,15 @@
 	if holder == nil || holder.name == newHolder {
 		return
 	}
-	holder.holds = slices.DeleteFunc(slices.Clone(holder.holds), func(held string) bool { return held == id })
+	holder.endpointIDs = slices.DeleteFunc(slices.Clone(holder.endpointIDs), func(held string) bool { return held == id })
 }
 
-// dropEndpoint takes an endpoint that its agent no longer announces out of the
-// configuration, unless operators have decided something about it.
-func (s *State) dropEndpoint(id string) {
+// removeEndpoint removes an endpoint that its agent no longer announces from the
+// configuration. If operators have set its state or role, the record is kept
+// without an agent.
+func (s *State) removeEndpoint(id string) {
 	entry := s.endpoints[id]
-	if entry.kept() {
+	if entry.hasOperatorSettings() {
 		s.endpoints[id] = entry.orphaned(s.revision + 1)
 		return
 	}
@@ -252,70 +257,71 @@
 			continue
 		}
 		agent.live = false
-		for _, id := range agent.holds {
+		for _, id := range agent.endpointIDs {
 			s.endpoints[id] = s.endpoints[id].withLive(false, s.revision+1)
 			refs = append(refs, objectRef{endpointKind, id})
 		}
 	}
-	refs = append(refs, s.forgetGone()...)
+	refs = append(refs, s.evictExpired()...)
 	if len(refs) > 0 {
 		s.commit(refs)
 	}
 	return &Result{}
 }
 
-// maxGone is how many endpoints that announced themselves and do not renew any
-// more are remembered. Such an endpoint has a new id at each start, so that the
-// records would grow without end; it may also be well and only cut off, and is then
-// not to be forgotten. So the bound is above three times the endpoints of the
-// largest site designed for, at 813 bytes each, and three weeks of restarts there.
-const maxGone = 8192
+// maxExpiredEndpoints is how many self-announced endpoints with an expired lease are
+// kept. Such an endpoint has a new id at each start, so without a bound the records
+// would grow indefinitely. An endpoint with an expired lease may also be healthy and only
+// partitioned, and its record must then be kept. The bound, at 813 bytes a record, is
+// therefore above three times the number of endpoints of the largest site that the design
+// covers and above three weeks of restarts there.
+const maxExpiredEndpoints = 8192
 
-// forgetGone drops the endpoints that announced themselves and were silent first,
-// beyond maxGone, and returns what has changed.
-func (s *State) forgetGone() []objectRef {
-	var gone []*fleetv1.Endpoint
+// evictExpired removes the self-announced endpoints whose leases expired first until at
+// most maxExpiredEndpoints remain, and returns references to the removed objects.
+func (s *State) evictExpired() []objectRef {
+	var expired []*fleetv1.Endpoint
 	for _, entry := range s.endpoints {
-		if entry.announced.GetAddr() != "" && !entry.live && !entry.kept() {
-			gone = append(gone, entry.message)
+		if entry.announced.GetAddr() != "" && !entry.live && !entry.hasOperatorSettings() {
+			expired = append(expired, entry.message)
 		}
 	}
-	if len(gone) <= s.maxGone {
+	if len(expired) <= s.maxExpiredEndpoints {
 		return nil
 	}
-	slices.SortFunc(gone, func(a, b *fleetv1.Endpoint) int {
+	slices.SortFunc(expired, func(a, b *fleetv1.Endpoint) int {
 		return cmp.Or(cmp.Compare(a.GetRevision(), b.GetRevision()), strings.Compare(a.GetId(), b.GetId()))
 	})
 	var refs []objectRef
-	for _, endpoint := range gone[:len(gone)-s.maxGone] {
-		s.dropEndpoint(endpoint.GetId())
-		s.forgetAgent(endpoint)
+	for _, endpoint := range expired[:len(expired)-s.maxExpiredEndpoints] {
+		s.removeEndpoint(endpoint.GetId())
+		s.evictAgent(endpoint)
 		refs = append(refs, objectRef{endpointKind, endpoint.GetId()})
 	}
 	return refs
 }
 
-// forgetAgent drops what is known of the announcer of an endpoint that is dropped,
-// unless it announces others.
-func (s *State) forgetAgent(endpoint *fleetv1.Endpoint) {
+// evictAgent removes the agent record of an evicted endpoint, unless the agent has other
+// endpoints.
+func (s *State) evictAgent(endpoint *fleetv1.Endpoint) {
 	agent := s.agents[endpoint.GetAgent()]
 	if agent == nil {
 		return
 	}
-	agent.holds = slices.DeleteFunc(slices.Clone(agent.holds), func(id string) bool { return id == endpoint.GetId() })
-	if len(agent.holds) == 0 {
+	agent.endpointIDs = slices.DeleteFunc(slices.Clone(agent.endpointIDs), func(id string) bool { return id == endpoint.GetId() })
+	if len(agent.endpointIDs) == 0 {
 		delete(s.agents, agent.name)
 	}
 }
 
-// currentAgent returns the agent if ref is its present incarnation.
+// currentAgent returns the named agent if incarnation is its current one.
 func (s *State) currentAgent(name string, incarnation uint64) (*agentEntry, *fault.Error) {
 	agent := s.agents[name]
 	if agent == nil {
-		return nil, fault.Newf(fault.NotFound, "let the agent announce itself first", "agent %s is not known", name)
+		return nil, fault.Newf(fault.NotFound, "announce the agent first", "agent %s is unknown", name)
 	}
 	if agent.incarnation != incarnation {
-		return nil, fencedAgent(agent, incarnation)
+		return nil, fencedError(agent, incarnation)
 	}
 	return agent, nil
 }
@@ -346,22 +352,22 @@
 		return &Result{Err: err}
 	}
 	var refs []objectRef
-	for _, seen := range observed.GetEndpoints() {
-		entry := s.endpoints[seen.GetId()]
+	for _, reported := range observed.GetEndpoints() {
+		entry := s.endpoints[reported.GetId()]
 		if entry == nil || entry.announced.GetAgent() != agent.name {
 			continue
 		}
 		announced := proto.Clone(entry.announced).(*fleetv1.Endpoint)
-		announced.Model, announced.Version, announced.Role = seen.GetModel(), seen.GetVersion(), seen.GetRole()
-		announced.Adapters = sorted(seen.GetAdapters())
-		if sameLoaded(announced, entry.announced) {
+		announced.Model, announced.Version, announced.Role = reported.GetModel(), reported.GetVersion(), reported.GetRole()
+		announced.Adapters = sorted(reported.GetAdapters())
+		if sameLoadedModel(announced, entry.announced) {
 			continue
 		}
 		next := *entry
 		next.announced = announced
 		next.compose(s.revision + 1)
-		s.endpoints[seen.GetId()] = &next
-		refs = append(refs, objectRef{endpointKind, seen.GetId()})
+		s.endpoints[reported.GetId()] = &next
+		refs = append(refs, objectRef{endpointKind, reported.GetId()})
 	}
 	if len(refs) > 0 {
 		s.commit(refs)
--- a/contract/bench_test.go
+++ b/contract/bench_test.go
@@ -9,64 +9,65 @@
 	fleetv1 "github.com/lilackeel/lilackeel/api/fleet/v1"
 )
 
-// Sizes of the large fleet.
+// Object counts of the large fleet that is the design target.
 const (
-	manyWorkspaces = 37_000
-	manyEndpoints  = 2_500
-	manyAgents     = 312
-	manyRetired    = 1_000_000
+	fleetWorkspaces    = 37_000
+	fleetEndpoints     = 2_500
+	fleetAgents        = 312
+	fleetRetiredClaims = 1_000_000
 )
 
-// large returns a state of the target's size.
-func large(claims int) *history {
-	h := newHistory(1)
-	h.addEndpoints(manyEndpoints)
-	h.addWorkspaces(manyWorkspaces)
+// newLargeFleet returns a harness whose state has the size of the large fleet and the given
+// number of claims.
+func newLargeFleet(claims int) *harness {
+	h := newHarness(1)
+	h.addEndpoints(fleetEndpoints)
+	h.addWorkspaces(fleetWorkspaces)
 	h.addClaims(claims)
 	return h
 }
 
-func (h *history) addEndpoints(count int) {
-	for i := range min(count, manyAgents) {
+func (h *harness) addEndpoints(count int) {
+	for i := range min(count, fleetAgents) {
 		var endpoints []*fleetv1.Endpoint
-		for j := i; j < count; j += manyAgents {
-			endpoints = append(endpoints, engine(fmt.Sprintf("engine-%04d", j)))
+		for j := i; j < count; j += fleetAgents {
+			endpoints = append(endpoints, newEngine(fmt.Sprintf("engine-%04d", j)))
 		}
 		h.announce(fmt.Sprintf("agent-%03d", i), 1, endpoints...)
 	}
 }
 
-func (h *history) addWorkspaces(count int) {
+func (h *harness) addWorkspaces(count int) {
 	const batch = 1000
 	for from := 0; from < count; from += batch {
 		intent := &controlv1.Intent{Id: fmt.Sprintf("workspaces-%d", from)}
 		for i := from; i < min(from+batch, count); i++ {
-			added := workspace(fmt.Sprintf("workspace-%05d", i), 1+int32(i%5), 0.00001)
+			added := newWorkspace(fmt.Sprintf("workspace-%05d", i), 1+int32(i%5), 0.00001)
 			added.MaxConcurrent = 16
 			added.KeyDigests = []string{fmt.Sprintf("%064x", i)}
 			intent.Workspaces = append(intent.Workspaces, added)
 		}
-		if result := h.accept(intent); result.Err != nil {
+		if result := h.planAndConfirm(intent); result.Err != nil {
 			panic(result.Err)
 		}
 	}
 }
 
-func (h *history) addClaims(count int) {
+func (h *harness) addClaims(count int) {
 	for i := range count {
 		h.addClaim(i)
 	}
 }
 
-func (h *history) addClaim(i int) {
-	request := claimOf(fmt.Sprintf("key-%032d", i), fmt.Sprintf("claim-%030d", i), 1, "agent-000", 1, "engine-0000")
+func (h *harness) addClaim(i int) {
+	request := newClaimRequest(fmt.Sprintf("key-%032d", i), fmt.Sprintf("claim-%030d", i), 1, "agent-000", 1, "engine-0000")
 	if result := h.apply(EncodeClaim(0, request)); !result.Granted {
 		panic(result.Err)
 	}
 }
 
-// addAnswers adds claims whose answers have 256 bytes.
-func (h *history) addAnswers(count int) {
+// addAnswers adds claims with answers of 256 bytes.
+func (h *harness) addAnswers(count int) {
 	for i := range count {
 		h.addClaim(i)
 		h.apply(EncodeSettle(0, &controlv1.SettleRequest{
@@ -77,9 +78,9 @@
 	h.log = nil
 }
 
-// BenchmarkApply times one command against a state of the target's size.
+// BenchmarkApply measures single commands on the state of the large fleet.
 func BenchmarkApply(b *testing.B) {
-	h := large(0)
+	h := newLargeFleet(0)
 	index := uint64(len(h.log))
 	apply := func(b *testing.B, data []byte, err error) {
 		index++
@@ -91,7 +92,7 @@
 	b.Run("claim", func(b *testing.B) {
 		for b.Loop() {
 			next++
-			request := claimOf(fmt.Sprintf("key-%032d", next), fmt.Sprintf("claim-%030d", next), 1, "agent-000", 1, "engine-0000")
+			request := newClaimRequest(fmt.Sprintf("key-%032d", next), fmt.Sprintf("claim-%030d", next), 1, "agent-000", 1, "engine-0000")
 			data, err := EncodeClaim(0, request)
 			apply(b, data, err)
 		}
@@ -111,7 +112,7 @@
 	b.Run("announce", func(b *testing.B) {
 		for b.Loop() {
 			slots++
-			data, err := EncodeAnnounce(0, announcementOf("agent-bench", 1, &fleetv1.Endpoint{Id: "bench", Pool: "bench", Slots: slots}))
+			data, err := EncodeAnnounce(0, newAnnouncement("agent-bench", 1, &fleetv1.Endpoint{Id: "bench", Pool: "bench", Slots: slots}))
 			apply(b, data, err)
 		}
 	})
@@ -119,8 +120,8 @@
 	accept := func(b *testing.B, share float64) {
 		intents++
 		id := fmt.Sprintf("bench-%d", intents)
-		stated := workspace("workspace-00001", int32(2+intents%7), share)
-		data, err := EncodePlan(0, &controlv1.Intent{Id: id, Operator: "amel", Workspaces: []*fleetv1.Workspace{stated}})
+		changed := newWorkspace("workspace-00001", int32(2+intents%7), share)
+		data, err := EncodePlan(0, &controlv1.Intent{Id: id, Operator: "amel", Workspaces: []*fleetv1.Workspace{changed}})
 		apply(b, data, err)
 		data, err = EncodeConfirm(0, &controlv1.ConfirmRequest{IntentId: id, Operator: "amel", Digest: h.state.Intent(id).GetPlan().GetDigest()})
 		apply(b, data, err)
@@ -137,13 +138,13 @@
 	})
 }
 
-// BenchmarkSnapshot times writing and reading the state of the target's size.
+// BenchmarkSnapshot measures encoding, capturing and restoring the state of the large fleet.
 func BenchmarkSnapshot(b *testing.B) {
-	for _, claims := range []int{0, 100_000, manyRetired} {
-		h := large(claims % manyRetired)
-		if claims == manyRetired {
+	for _, claims := range []int{0, 100_000, fleetRetiredClaims} {
+		h := newLargeFleet(claims % fleetRetiredClaims)
+		if claims == fleetRetiredClaims {
 			h.state.claims.answerLimit = 0
-			h.addAnswers(manyRetired)
+			h.addAnswers(fleetRetiredClaims)
 		}
 		state := h.state
 		data, err := state.Snapshot()
@@ -173,42 +174,42 @@
 	}
 }
 
-// BenchmarkStateBytes reports the memory and the snapshot bytes of one
-// workspace, endpoint and claim.
+// BenchmarkStateBytes reports the memory and the snapshot size of one workspace,
+// endpoint and claim.
 func BenchmarkStateBytes(b *testing.B) {
-	fills := []struct {
+	tests := []struct {
 		name  string
 		count int
-		fill  func(h *history, count int)
+		fill  func(h *harness, count int)
 	}{
-		{"workspace", manyWorkspaces, (*history).addWorkspaces},
-		{"endpoint", manyEndpoints, (*history).addEndpoints},
-		{"claim", 200_000, (*history).addClaims},
-		{"answered", 200_000, (*history).addAnswers},
-		{"retired", 200_000, func(h *history, count int) {
+		{"workspace", fleetWorkspaces, (*harness).addWorkspaces},
+		{"endpoint", fleetEndpoints, (*harness).addEndpoints},
+		{"claim", 200_000, (*harness).addClaims},
+		{"answered", 200_000, (*harness).addAnswers},
+		{"retired", 200_000, func(h *harness, count int) {
 			h.state.claims.answerLimit = 0
 			h.addAnswers(count)
 		}},
 	}
-	for _, each := range fills {
-		b.Run(each.name, func(b *testing.B) {
+	for _, tc := range tests {
+		b.Run(tc.name, func(b *testing.B) {
 			for b.Loop() {
-				h := newHistory(1)
+				h := newHarness(1)
 				h.addEndpoints(1)
-				before, bytesBefore := heap(), snapshotBytes(b, h)
-				each.fill(h, each.count)
+				before, bytesBefore := liveHeapBytes(), snapshotBytes(b, h)
+				tc.fill(h, tc.count)
 				h.log = nil
 				h.state.intents = newIntentTable()
-				grown := float64(heap() - before)
-				b.ReportMetric(grown/float64(each.count), "heap-B/"+each.name)
-				b.ReportMetric(float64(snapshotBytes(b, h)-bytesBefore)/float64(each.count), "snapshot-B/"+each.name)
+				grown := float64(liveHeapBytes() - before)
+				b.ReportMetric(grown/float64(tc.count), "heap-B/"+tc.name)
+				b.ReportMetric(float64(snapshotBytes(b, h)-bytesBefore)/float64(tc.count), "snapshot-B/"+tc.name)
 				runtime.KeepAlive(h)
 			}
 		})
 	}
 }
 
-func heap() uint64 {
+func liveHeapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -216,7 +217,7 @@
 	return stats.HeapAlloc
 }
 
-func snapshotBytes(b *testing.B, h *history) int {
+func snapshotBytes(b *testing.B, h *harness) int {
 	data, err := h.state.Snapshot()
 	if err != nil {
 		b.Fatal(err)
--- a/contract/change.go
+++ b/contract/change.go
@@ -8,8 +8,8 @@
 	fleetv1 "github.com/lilackeel/lilackeel/api/fleet/v1"
 )
 
-// objectKind is the kind of thing that a revision changes. The values appear in
-// plans and must not change.
+// objectKind is the kind of an object of the configuration. The values are part of
+// plans and of stored state and must not change.
 type objectKind string
 
 const (
@@ -22,7 +22,7 @@
 	siteKind      objectKind = "site"
 )
 
-// objectRef names one object of the configuration.
+// objectRef identifies one object of the configuration.
 type objectRef struct {
 	kind objectKind
 	name string
@@ -32,39 +32,40 @@
 	return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.name, b.name))
 }
 
-// ringRevisions is how many past revisions DeltaSince can answer for.
-const ringRevisions = 4096
+// changeRingSize is the number of past revisions from which DeltaSince can compute a
+// delta.
+const changeRingSize = 4096
 
-// changeRing remembers which objects each of the last revisions changed. It is
-// not part of a snapshot: a replica that restores one answers older watchers
-// with the whole configuration.
+// changeRing is a ring buffer of the objects that each of the latest revisions
+// changed. It is not part of a snapshot: after restoring one, a replica sends watchers
+// of older revisions the whole configuration.
 type changeRing struct {
-	// changed holds the objects of revision r at r modulo ringRevisions.
-	changed [ringRevisions][]objectRef
-	// oldest is the first revision that is remembered; zero for none.
+	// changed holds the objects of revision r at index r modulo changeRingSize.
+	changed [changeRingSize][]objectRef
+	// oldest is the first revision in the ring, or zero if the ring is empty.
 	oldest uint64
 }
 
 func (r *changeRing) add(revision uint64, refs []objectRef) {
-	r.changed[revision%ringRevisions] = refs
+	r.changed[revision%changeRingSize] = refs
 	if r.oldest == 0 {
 		r.oldest = revision
 	}
-	if revision-r.oldest >= ringRevisions {
-		r.oldest = revision - ringRevisions + 1
+	if revision-r.oldest >= changeRingSize {
+		r.oldest = revision - changeRingSize + 1
 	}
 }
 
-// commit makes a new revision out of changed objects, which the caller has
-// already stored with the revision s.revision+1. The caller holds mu.
+// commit creates a new revision from changed objects, which the caller has already
+// stored with the revision s.revision+1. The caller must hold mu.
 func (s *State) commit(refs []objectRef) {
 	s.revision++
 	s.changes.add(s.revision, refs)
 }
 
-// DeltaSince returns what turns the configuration at revision into the present
-// one. It returns false if that lies too far back, or in the future: the reader
-// then needs the whole Configuration.
+// DeltaSince returns the changes between the configuration at revision and the current
+// one. It returns false if revision is too old or in the future; the caller then needs
+// the whole Configuration.
 func (s *State) DeltaSince(revision uint64) (*fleetv1.Delta, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -79,8 +80,8 @@
 		return nil, false
 	}
 	var refs []objectRef
-	for each := revision + 1; each <= s.revision; each++ {
-		refs = append(refs, s.changes.changed[each%ringRevisions]...)
+	for r := revision + 1; r <= s.revision; r++ {
+		refs = append(refs, s.changes.changed[r%changeRingSize]...)
 	}
 	slices.SortFunc(refs, compareRefs)
 	for _, ref := range slices.Compact(refs) {
@@ -89,8 +90,8 @@
 	return delta, true
 }
 
-// addToDelta adds the present record of an object, or its removal. Maps and
-// policies are never removed.
+// addToDelta adds the current record of an object, or its removal, to delta. Maps
+// and policies are never removed.
 func (s *State) addToDelta(delta *fleetv1.Delta, ref objectRef) {
 	switch ref.kind {
 	case workspaceKind:
@@ -126,14 +127,14 @@
 	}
 }
 
-// configurationCache keeps the last configuration that was built.
+// configurationCache holds the configuration that was built last.
 type configurationCache struct {
 	latest atomic.Pointer[fleetv1.Configuration]
 }
 
 func (c *configurationCache) clear() { c.latest.Store(nil) }
 
-// Configuration returns the whole accepted configuration, every list sorted.
+// Configuration returns the whole accepted configuration with every list sorted.
 func (s *State) Configuration() *fleetv1.Configuration {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/contract/claim_test.go
+++ b/contract/claim_test.go
@@ -12,41 +12,41 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-func (h *history) settle(key, id string, state controlv1.ClaimState, body ...byte) *Result {
+func (h *harness) settle(key, id string, state controlv1.ClaimState, body ...byte) *Result {
 	return h.apply(EncodeSettle(h.logTime, &controlv1.SettleRequest{
 		Workspace: "ops", Key: key, ClaimId: id, State: state,
 		Answer: &controlv1.Answer{Status: 200, Body: body},
 	}))
 }
 
-func (h *history) claim(key, id string, digest byte) *Result {
-	return h.apply(EncodeClaim(h.logTime, claimOf(key, id, digest, "a", 1, "e1")))
+func (h *harness) claim(key, id string, digest byte) *Result {
+	return h.apply(EncodeClaim(h.logTime, newClaimRequest(key, id, digest, "a", 1, "e1")))
 }
 
-// TestOneHolderOfAKey drives claims and settlements that are resent, late and
-// crossed. A second claim id is granted a key only after the first was settled
-// as not run, a used-up id is never granted again, and a final outcome stays.
-func TestOneHolderOfAKey(t *testing.T) {
+// TestClaimKeyHasAtMostOneHolder applies random resent, delayed and reordered claims and
+// settlements. A second claim id is granted a key only after the first was settled as
+// not run, a used id is never granted again, and a final outcome does not change.
+func TestClaimKeyHasAtMostOneHolder(t *testing.T) {
 	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Restart, proof.Late, proof.Doubled, proof.Crossed, proof.ManyChanges}, Step: "claims and settlements of one key", Together: true,
-		Guard: "each alone: one holder of a key, used-up claim ids, both of them in the snapshot"}.Log(t)
+		Guard: "each alone: one holder of a key, used claim ids, both of them in the snapshot"}.Log(t)
 	for seed := range uint64(50) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			is := is.New(t)
-			h := newHistory(seed)
-			h.announce("a", 1, engine("e1"))
+			h := newHarness(seed)
+			h.announce("a", 1, newEngine("e1"))
 			holder, state := "", notRun
 			usedUp := map[string]bool{}
 			final := 0
 			for range 400 {
 				if h.rng.IntN(20) == 0 {
-					restart(h)
+					restoreFromSnapshot(h)
 				}
 				id := fmt.Sprintf("c%d", h.rng.IntN(6))
 				if h.rng.IntN(2) == 0 {
-					before, freeBefore := holder, state == notRun
+					previousHolder, wasClaimable := holder, state == notRun
 					result := h.claim("k", id, 1)
-					if result.Granted && id != before {
-						is.True(freeBefore)
+					if result.Granted && id != previousHolder {
+						is.True(wasClaimable)
 						is.True(!usedUp[id])
 						holder, state = id, granted
 					}
@@ -75,59 +75,59 @@
 	}
 }
 
-// TestClaimNeedsACurrentGate: nothing is granted on an endpoint that would not
-// admit it, and a key that came with another request is refused.
-func TestClaimNeedsACurrentGate(t *testing.T) {
-	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Late, proof.Restart}, Step: "claim that names a replaced incarnation of its agent", Together: true,
+// TestClaimRequiresCurrentAgent checks that no claim is granted for an endpoint that
+// would not admit the call, and that a key already used for another request is refused.
+func TestClaimRequiresCurrentAgent(t *testing.T) {
+	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Late, proof.Restart}, Step: "claim that names a superseded incarnation of its agent", Together: true,
 		Guard: "the check of the incarnation in newClaim"}.Log(t)
-	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Late}, Step: "claim by an entry that has not heard of the leave",
+	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Late}, Step: "claim by an entry that does not yet know that the endpoint is leaving",
 		Guard: "the check of the endpoint's state in newClaim"}.Log(t)
 	is := is.New(t)
-	h := newHistory(1)
-	h.announce("a", 1, engine("e1"), engine("e2"))
+	h := newHarness(1)
+	h.announce("a", 1, newEngine("e1"), newEngine("e2"))
 	is.True(h.claim("k", "x", 1).Granted)
 	is.True(h.claim("k", "x", 1).Granted)
 	is.Equal(h.claim("k", "y", 2).Err.Kind, fault.KeyReused)
 	is.Equal(h.claim("k", "y", 1).Granted, false)
 
-	h.accept(&controlv1.Intent{Id: "leave", Endpoints: []*controlv1.EndpointChange{{Id: "e1", State: leaving}}})
+	h.planAndConfirm(&controlv1.Intent{Id: "leave", Endpoints: []*controlv1.EndpointChange{{Id: "e1", State: leaving}}})
 	is.Equal(h.claim("k2", "x", 1).Err.Kind, fault.Leaving)
-	is.True(h.claim("k", "x", 1).Granted) // a resend keeps its answer
+	is.True(h.claim("k", "x", 1).Granted) // a resent claim gets the same result
 	onE2 := func(key string, incarnation uint64) *Result {
-		return h.apply(EncodeClaim(h.logTime, claimOf(key, "x", 1, "a", incarnation, "e2")))
+		return h.apply(EncodeClaim(h.logTime, newClaimRequest(key, "x", 1, "a", incarnation, "e2")))
 	}
 	is.True(onE2("k3", 1).Granted)
 	h.apply(EncodeExpire(h.logTime, AgentRef{"a", 1}))
 	is.Equal(onE2("k4", 1).Err.Kind, fault.Unavailable)
-	h.announce("a", 2, engine("e1"), engine("e2"))
+	h.announce("a", 2, newEngine("e1"), newEngine("e2"))
 	is.Equal(onE2("k4", 1).Err.Kind, fault.Fenced)
 	is.True(onE2("k4", 2).Granted)
-	is.Equal(h.apply(EncodeClaim(0, claimOf("k5", "x", 1, "a", 2, "e9"))).Err.Kind, fault.Stale)
+	is.Equal(h.apply(EncodeClaim(0, newClaimRequest("k5", "x", 1, "a", 2, "e9"))).Err.Kind, fault.Stale)
 }
 
-// TestClaimsAreBounded: bodies, their total and the number of claims stay under
-// their bounds, and what is no longer recorded says so.
-func TestClaimsAreBounded(t *testing.T) {
+// TestClaimLimits checks the limits on the size of one answer, on the total size of
+// answers and on the number of claims, and that a dropped answer is marked as truncated.
+func TestClaimLimits(t *testing.T) {
 	is := is.New(t)
-	h := newHistory(1)
+	h := newHarness(1)
 	h.state.claims.limit = 4
-	h.announce("a", 1, engine("e1"))
+	h.announce("a", 1, newEngine("e1"))
 	for _, key := range []string{"k1", "k2", "k3", "k4"} {
 		is.True(h.claim(key, "x", 1).Granted)
 	}
 	is.Equal(h.claim("k5", "x", 1).Err.Kind, fault.Overloaded)
 	is.True(h.claim("k5", "x", 1).Err.RetryAfter > 0)
 	is.True(h.settle("k1", "x", answered, make([]byte, MaxAnswerBytes+1)...).Claim.GetAnswer().GetTruncated())
-	h.state.claims.bodyLimit = 100
+	h.state.claims.answerByteLimit = 100
 	h.settle("k2", "x", answered, make([]byte, 60)...)
 	is.Equal(len(h.state.Claim("ops", "k2").GetAnswer().GetBody()), 60)
 	h.settle("k3", "x", answered, make([]byte, 60)...)
 	is.True(h.state.Claim("ops", "k2").GetAnswer().GetTruncated())
 	is.Equal(h.state.ClaimCounts(), ClaimCounts{Total: 4, Granted: 1, Answered: 3, Retired: 2, AnswerBytes: 60})
-	is.Equal(h.claim("k5", "x", 1).Err.Kind, fault.Overloaded) // retired ones count
-	h.state.claims.limit, h.state.claims.wholeLimit = 5, 2
+	is.Equal(h.claim("k5", "x", 1).Err.Kind, fault.Overloaded) // retired claims count
+	h.state.claims.limit, h.state.claims.unretiredLimit = 5, 2
 	is.Equal(h.claim("k5", "x", 1).Err.Kind, fault.Overloaded)
-	h.state.claims.wholeLimit = 3
+	h.state.claims.unretiredLimit = 3
 	is.True(h.claim("k5", "x", 1).Granted)
 
 	h.logTime += int64(ClaimTTL + time.Second)
@@ -135,21 +135,21 @@
 	is.Equal(h.state.ClaimCounts(), ClaimCounts{})
 }
 
-// TestRetiredClaimKeepsItsKey: a key whose answer is no longer kept is not granted
-// again within its TTL, to whoever asks and also after a restart from a snapshot;
-// a repeat learns that it ran, a resend of the holder that it held the key, and a
-// key that came with another request is refused. Some answers come long after the
+// TestRetiredClaimStillHoldsKey checks that a key whose answer is no longer recorded is
+// not granted again within its TTL, also after a restart from a snapshot. A repeated
+// request learns that the call ran, a resent claim of the holder that it holds the key,
+// and a key used with another request is refused. Some answers arrive long after the
 // grant, so that claims do not expire in the order in which they were retired.
-func TestRetiredClaimKeepsItsKey(t *testing.T) {
+func TestRetiredClaimStillHoldsKey(t *testing.T) {
 	is := is.New(t)
 	type holder struct {
 		id      string
 		granted int64
 		late    bool
 	}
-	h := newHistory(7)
+	h := newHarness(7)
 	h.state.claims.answerLimit = 2
-	h.announce("a", 1, engine("e1"))
+	h.announce("a", 1, newEngine("e1"))
 	holders := map[string]holder{}
 	retired := 0
 	for i := range 5000 {
@@ -196,7 +196,7 @@
 	}
 	is.True(retired > 500)
 	h.logTime += int64(ClaimTTL)
-	for range 10 { // a command forgets some
+	for range 10 { // each command expires a bounded number
 		h.apply(EncodeIssueFence(h.logTime))
 	}
 	is.Equal(h.state.ClaimCounts(), ClaimCounts{})
--- a/contract/claimtable.go
+++ b/contract/claimtable.go
@@ -6,14 +6,14 @@
 	controlv1 "github.com/lilackeel/lilackeel/api/control/v1"
 )
 
-// digestBytes is the length of a request digest.
+// digestBytes is the length of a request digest in bytes.
 const digestBytes = sha256.Size
 
-// claimKey names a call that is not idempotent.
+// claimKey identifies a call that is not idempotent.
 type claimKey struct{ workspace, key string }
 
-// claimEntry is one claim. It is kept smaller than its message, since a day's
-// claims are the largest part of the state.
+// claimEntry is one claim. It is smaller than its protobuf message because the claims
+// of one day are the largest part of the state.
 type claimEntry struct {
 	claimKey
 	digest                         [digestBytes]byte
@@ -22,15 +22,15 @@
 	state                          controlv1.ClaimState
 	answer                         *controlv1.Answer
 	expires                        int64
-	// spent are hashes of earlier claim ids of this key that were not run.
-	spent []uint64
-	// answerSeq is the log index at which the answer was recorded; zero for none.
+	// usedClaimIDs are hashes of earlier claim ids of this key that were not run.
+	usedClaimIDs []uint64
+	// answerSeq is the log index at which the answer was recorded, or zero.
 	answerSeq uint64
-	// links are the places in the lists by age of grant and by age of answer.
-	links [claimLists]claimLink
+	// links are the list links, one for each list order.
+	links [numClaimOrders]claimLink
 }
 
-// message returns the claim as the protocol has it.
+// message returns the claim as a protobuf message.
 func (e *claimEntry) message() *controlv1.Claim {
 	return &controlv1.Claim{
 		Workspace: e.workspace, Key: e.key, Digest: e.digest[:],
@@ -40,71 +40,71 @@
 	}
 }
 
-// The lists that a claim is in.
+// The orders of the lists that a claim is in: by age of its grant and of its answer.
 const (
-	byGrant = iota
-	byAnswer
-	claimLists
+	grantOrder = iota
+	answerOrder
+	numClaimOrders
 )
 
-// claimLink is the place of a claim in one list.
+// claimLink links a claim to its neighbors in one list.
 type claimLink struct{ prev, next *claimEntry }
 
 // claimList is a doubly linked list of claims, oldest first.
 type claimList struct {
-	which      int
+	order      int
 	head, tail *claimEntry
 }
 
 func (l *claimList) push(e *claimEntry) {
-	e.links[l.which] = claimLink{prev: l.tail}
+	e.links[l.order] = claimLink{prev: l.tail}
 	if l.tail == nil {
 		l.head = e
 	} else {
-		l.tail.links[l.which].next = e
+		l.tail.links[l.order].next = e
 	}
 	l.tail = e
 }
 
 func (l *claimList) remove(e *claimEntry) {
-	link := e.links[l.which]
+	link := e.links[l.order]
 	if link.prev == nil {
 		l.head = link.next
 	} else {
-		link.prev.links[l.which].next = link.next
+		link.prev.links[l.order].next = link.next
 	}
 	if link.next == nil {
 		l.tail = link.prev
 	} else {
-		link.next.links[l.which].prev = link.prev
+		link.next.links[l.order].prev = link.prev
 	}
-	e.links[l.which] = claimLink{}
+	e.links[l.order] = claimLink{}
 }
 
-// claimTable holds the claims by key and in the order of their grants, which is
-// also the order in which they expire. The answered ones beyond a bound are
-// retired, oldest answer first. A key has a live record in one of the two only.
+// claimTable holds the claims by key and in grant order, which is also the order in
+// which they expire. Answered claims beyond the limits are moved to the retired table,
+// oldest answer first. A key has an unexpired record in at most one of the two tables.
 type claimTable struct {
 	byKey   map[claimKey]*claimEntry
 	grants  claimList
 	answers claimList
 	retired retiredTable
-	// answerCount and answerBytes are of the answers that are kept.
+	// answerCount and answerBytes are the number and total size of recorded answers.
 	answerCount, answerBytes int64
 	byState                  [controlv1.ClaimState_CLAIM_STATE_UNKNOWN + 1]int
 	claimBounds
 }
 
-// claimBounds are constants but in tests.
-type claimBounds struct{ limit, wholeLimit, answerLimit, bodyLimit int64 }
+// claimBounds are the limits of a claim table. Only tests change the defaults.
+type claimBounds struct{ limit, unretiredLimit, answerLimit, answerByteLimit int64 }
 
-var defaultBounds = claimBounds{limit: MaxClaims, wholeLimit: MaxUnretiredClaims, answerLimit: MaxAnswers, bodyLimit: MaxTotalAnswerBytes}
+var defaultClaimBounds = claimBounds{limit: MaxClaims, unretiredLimit: MaxUnretiredClaims, answerLimit: MaxAnswers, answerByteLimit: MaxTotalAnswerBytes}
 
 func newClaimTable(bounds claimBounds) claimTable {
 	return claimTable{
 		byKey:   make(map[claimKey]*claimEntry),
-		grants:  claimList{which: byGrant},
-		answers: claimList{which: byAnswer},
+		grants:  claimList{order: grantOrder},
+		answers: claimList{order: answerOrder},
 		retired: newRetiredTable(),
 
 		claimBounds: bounds,
@@ -116,8 +116,8 @@
 }
 
 func (t *claimTable) full() bool {
-	whole := int64(len(t.byKey))
-	return whole >= t.wholeLimit || whole+int64(t.retired.len()) >= t.limit
+	unretired := int64(len(t.byKey))
+	return unretired >= t.unretiredLimit || unretired+int64(t.retired.len()) >= t.limit
 }
 
 func (t *claimTable) add(e *claimEntry) {
@@ -127,16 +127,16 @@
 }
 
 func (t *claimTable) remove(e *claimEntry) {
-	t.dropAnswer(e)
+	t.removeAnswer(e)
 	t.grants.remove(e)
 	t.byState[e.state]--
 	delete(t.byKey, e.claimKey)
 }
 
-// expire forgets claims whose TTL has passed, a bounded number at a time.
+// expire removes claims whose TTL has passed, a bounded number in each call.
 func (t *claimTable) expire(logTime int64) {
-	t.retired.expire(logTime, expirePerApply)
-	for range expirePerApply {
+	t.retired.expire(logTime, maxExpirePerApply)
+	for range maxExpirePerApply {
 		oldest := t.grants.head
 		if oldest == nil || oldest.expires > logTime {
 			return
@@ -145,8 +145,8 @@
 	}
 }
 
-// settle records an outcome and, within the bounds, its answer. index is that of
-// the command.
+// settle records an outcome and, within the limits, its answer. index is the log index
+// of the command.
 func (t *claimTable) settle(e *claimEntry, state controlv1.ClaimState, answer *controlv1.Answer, index uint64) {
 	t.byState[e.state]--
 	e.state = state
@@ -162,13 +162,13 @@
 	t.retire()
 }
 
-// retire gives up the oldest answers that no longer fit, and keeps of their claims
-// what a repeat must be told.
+// retire moves the claims with the oldest answers to the retired table until the other
+// answers fit the limits. A retired claim keeps what a repeated request must be told.
 func (t *claimTable) retire() {
-	for t.answerCount > t.answerLimit || t.answerBytes > t.bodyLimit {
+	for t.answerCount > t.answerLimit || t.answerBytes > t.answerByteLimit {
 		oldest := t.answers.head
 		t.remove(oldest)
-		t.retired.push(oldest.retired())
+		t.retired.push(oldest.toRetired())
 	}
 }
 
@@ -178,7 +178,7 @@
 	t.answerBytes += answerSize(e.answer)
 }
 
-func (t *claimTable) dropAnswer(e *claimEntry) {
+func (t *claimTable) removeAnswer(e *claimEntry) {
 	if e.answerSeq == 0 {
 		return
 	}
@@ -187,7 +187,7 @@
 	t.answerBytes -= answerSize(e.answer)
 }
 
-// answerSize is the bytes of an answer's headers and body.
+// answerSize returns the size of an answer's headers and body in bytes.
 func answerSize(answer *controlv1.Answer) int64 {
 	return int64(headerBytes(answer) + len(answer.GetBody()))
 }
@@ -200,28 +200,30 @@
 	return total
 }
 
-// boundedAnswer returns what is recorded of an answer.
+// boundedAnswer returns the answer to record: without its body or headers if they are
+// too large.
 func boundedAnswer(answer *controlv1.Answer) *controlv1.Answer {
-	kept := &controlv1.Answer{
+	recorded := &controlv1.Answer{
 		Status: answer.GetStatus(), Headers: answer.GetHeaders(),
 		Body: answer.GetBody(), Truncated: answer.GetTruncated(),
 	}
-	if len(kept.Body) > MaxAnswerBytes {
-		kept.Body, kept.Truncated = nil, true
+	if len(recorded.Body) > MaxAnswerBytes {
+		recorded.Body, recorded.Truncated = nil, true
 	}
-	if headerBytes(kept) > MaxAnswerHeaderBytes {
-		kept.Headers, kept.Truncated = nil, true
+	if headerBytes(recorded) > MaxAnswerHeaderBytes {
+		recorded.Headers, recorded.Truncated = nil, true
 	}
-	return kept
+	return recorded
 }
 
-// ClaimCounts says how many claims are kept and how they stand.
+// ClaimCounts holds the number of claims by state.
 type ClaimCounts struct {
-	// Total is the sum of the counts by state that follow.
+	// Total is the sum of the four counts by state.
 	Total, Granted, Answered, NotRun, Unknown int
-	// Retired is the number of answered claims whose answer is not kept any more.
+	// Retired is the number of answered claims whose answer is no longer recorded. They
+	// are included in Answered.
 	Retired int
-	// BodyBytes is the size of the recorded headers and bodies.
+	// AnswerBytes is the total size of the recorded headers and bodies.
 	AnswerBytes int64
 }
 
--- a/contract/describe.go
+++ b/contract/describe.go
@@ -13,79 +13,80 @@
 	fleetv1 "github.com/lilackeel/lilackeel/api/fleet/v1"
 )
 
-// What a change does.
+// Actions of a change in a plan.
 const (
 	actionCreate = "create"
 	actionUpdate = "update"
 	actionRemove = "remove"
 )
 
-// field is one property of an object, in words.
-type field struct{ name, value string }
+// property is one property of an object with its value as text.
+type property struct{ name, value string }
 
-// isDefault reports whether the property goes without saying.
-func (f field) isDefault() bool {
+// isDefault reports whether the property has a value that need not be mentioned when an
+// object is created.
+func (f property) isDefault() bool {
 	return f.value == unlimited || f.value == none || f.value == "0%"
 }
 
-// objectType is what plans need of one kind of object that operators state.
+// objectType holds the operations that planning needs for one kind of declared object.
 type objectType[M any] struct {
 	kind objectKind
 	name func(*M) string
-	// at returns a normalized copy at a revision.
-	at func(object *M, revision uint64) *M
-	// same compares what operators state, not the revision.
-	same   func(a, b *M) bool
-	fields func(*M) []field
+	// normalize returns a normalized copy with the given revision.
+	normalize func(object *M, revision uint64) *M
+	// equal compares what operators declare, not the revision.
+	equal      func(a, b *M) bool
+	properties func(*M) []property
 }
 
 var (
-	workspaceType = objectType[fleetv1.Workspace]{workspaceKind, (*fleetv1.Workspace).GetName, workspaceAt, sameWorkspace, workspaceFields}
-	modelType     = objectType[fleetv1.Model]{modelKind, (*fleetv1.Model).GetName, modelAt, sameModel, modelFields}
-	serviceType   = objectType[fleetv1.Service]{serviceKind, (*fleetv1.Service).GetName, serviceAt, sameService, serviceFields}
-	policyType    = objectType[fleetv1.BalancePolicy]{policyKind, (*fleetv1.BalancePolicy).GetGroup, policyAt, samePolicy, policyFields}
+	workspaceType = objectType[fleetv1.Workspace]{workspaceKind, (*fleetv1.Workspace).GetName, workspaceAt, sameWorkspace, workspaceProperties}
+	modelType     = objectType[fleetv1.Model]{modelKind, (*fleetv1.Model).GetName, modelAt, sameModel, modelProperties}
+	serviceType   = objectType[fleetv1.Service]{serviceKind, (*fleetv1.Service).GetName, serviceAt, sameService, serviceProperties}
+	policyType    = objectType[fleetv1.BalancePolicy]{policyKind, (*fleetv1.BalancePolicy).GetGroup, policyAt, samePolicy, policyProperties}
 )
 
-// Words for what is not limited or not there.
+// Texts for values that are not limited or not set.
 const (
 	unlimited = "unlimited"
 	none      = "none"
 )
 
-func workspaceFields(w *fleetv1.Workspace) []field {
-	return []field{
+func workspaceProperties(w *fleetv1.Workspace) []property {
+	return []property{
 		{"importance", strconv.Itoa(int(w.GetImportance()))},
-		{"guaranteed share", percent(w.GetGuaranteedShare())},
-		{"concurrent requests", limit(float64(w.GetMaxConcurrent()))},
-		{"requests per second", limit(w.GetRequestsPerSecond())},
-		{"tokens per second", limit(w.GetTokensPerSecond())},
-		{"queue", limit(float64(w.GetMaxQueue()))},
-		{"models", list(w.GetModels(), "all")},
-		{"keys", keys(w.GetKeyDigests())},
+		{"guaranteed share", formatPercent(w.GetGuaranteedShare())},
+		{"concurrent requests", formatLimit(float64(w.GetMaxConcurrent()))},
+		{"requests per second", formatLimit(w.GetRequestsPerSecond())},
+		{"tokens per second", formatLimit(w.GetTokensPerSecond())},
+		{"queue", formatLimit(float64(w.GetMaxQueue()))},
+		{"models", formatList(w.GetModels(), "all")},
+		{"keys", formatKeyDigests(w.GetKeyDigests())},
 	}
 }
 
-func modelFields(m *fleetv1.Model) []field {
-	return []field{
+func modelProperties(m *fleetv1.Model) []property {
+	return []property{
 		{"pool", m.GetPool()},
 		{"version", m.GetVersion()},
-		{"adapters", list(m.GetAdapters(), none)},
+		{"adapters", formatList(m.GetAdapters(), none)},
 	}
 }
 
-func serviceFields(s *fleetv1.Service) []field {
+func serviceProperties(s *fleetv1.Service) []property {
 	var routes []string
 	for _, route := range s.GetRoutes() {
-		routes = append(routes, routeText(route))
+		routes = append(routes, formatRoute(route))
 	}
-	return []field{
+	return []property{
 		{"pool", s.GetPool()},
 		{"path prefix", s.GetPathPrefix()},
-		{"routes", list(routes, none)},
+		{"routes", formatList(routes, none)},
 	}
 }
 
-func routeText(route *fleetv1.ServiceRoute) string {
+func formatRoute(route *fleetv1.ServiceRoute) string {
 	text := route.GetMethod()
 	if text == "" {
 		text = "any"
@@ -97,56 +98,56 @@
 		text += " at most once"
 	}
 	if route.GetTimeoutMs() > 0 {
-		text += " within " + milliseconds(route.GetTimeoutMs())
+		text += " within " + formatMilliseconds(route.GetTimeoutMs())
 	}
 	return text
 }
 
-func policyFields(p *fleetv1.BalancePolicy) []field {
-	return []field{
-		{"evenness", number(p.GetEvenness())},
+func policyProperties(p *fleetv1.BalancePolicy) []property {
+	return []property{
+		{"evenness", formatNumber(p.GetEvenness())},
 		{"moves per switch", strconv.Itoa(int(p.GetMaxMoves()))},
-		{"share of the store", percent(p.GetStoreShare())},
+		{"share of the store", formatPercent(p.GetStoreShare())},
 	}
 }
 
-// change describes how an object goes from old to next fields; old is nil for
-// an object that is created.
-func change(ref objectRef, old, next []field) *controlv1.Change {
+// describeChange describes the change of an object from the old to the next properties.
+// old is nil for an object that is created.
+func describeChange(ref objectRef, old, next []property) *controlv1.Change {
 	result := &controlv1.Change{Kind: string(ref.kind), Name: ref.name, Action: actionUpdate}
 	if old == nil {
 		result.Action = actionCreate
 	}
 	var parts []string
-	for i, property := range next {
+	for i, p := range next {
 		switch {
-		case old == nil && property.isDefault():
+		case old == nil && p.isDefault():
 		case old == nil:
-			parts = append(parts, property.name+" "+property.value)
-		case old[i].value != property.value:
-			parts = append(parts, fmt.Sprintf("%s %s → %s", property.name, old[i].value, property.value))
+			parts = append(parts, p.name+" "+p.value)
+		case old[i].value != p.value:
+			parts = append(parts, fmt.Sprintf("%s %s → %s", p.name, old[i].value, p.value))
 		}
 	}
 	result.Text = fmt.Sprintf("%s %s: %s", ref.kind, ref.name, strings.Join(parts, ", "))
 	return result
 }
 
-// removal describes that an object goes.
-func removal(ref objectRef) *controlv1.Change {
+// describeRemoval describes the removal of an object.
+func describeRemoval(ref objectRef) *controlv1.Change {
 	return &controlv1.Change{
 		Kind: string(ref.kind), Name: ref.name, Action: actionRemove,
 		Text: fmt.Sprintf("%s %s is removed", ref.kind, ref.name),
 	}
 }
 
-// endpointChangeText describes what becomes of an endpoint.
-func endpointChangeText(old, next *endpointEntry) string {
+// describeEndpointChange describes the change of an endpoint's state and role.
+func describeEndpointChange(old, next *endpointEntry) string {
 	id := old.announced.GetId()
 	var parts []string
 	if old.wantedState != next.wantedState {
-		parts = append(parts, stateText(next))
+		parts = append(parts, describeState(next))
 	} else if old.drainLimitMS != next.drainLimitMS {
-		parts = append(parts, "drain limit "+drainText(next.drainLimitMS))
+		parts = append(parts, "drain limit "+formatDrainLimit(next.drainLimitMS))
 	}
 	if old.message.GetRole() != next.message.GetRole() {
 		parts = append(parts, fmt.Sprintf("role %s → %s", orNone(old.message.GetRole()), orNone(next.message.GetRole())))
@@ -157,50 +158,51 @@
 		old.announced.GetPool(), old.announced.GetZone(), strings.Join(parts, ", "))
 }
 
-func stateText(next *endpointEntry) string {
+func describeState(next *endpointEntry) string {
 	switch next.wantedState {
 	case fleetv1.EndpointState_ENDPOINT_STATE_LEAVING:
-		return "leaves: takes no new work, finishes what it has " + drainText(next.drainLimitMS)
+		return "leaves: takes no new work, finishes what it has " + formatDrainLimit(next.drainLimitMS)
 	case fleetv1.EndpointState_ENDPOINT_STATE_STOPPED:
-		return "stops for good: takes no new work, finishes what it has " + drainText(next.drainLimitMS)
+		return "stops for good: takes no new work, finishes what it has " + formatDrainLimit(next.drainLimitMS)
 	}
 	return "joins: takes new work"
 }
 
-func drainText(limitMS int64) string {
+func formatDrainLimit(limitMS int64) string {
 	if limitMS == 0 {
 		return "without a time limit"
 	}
-	return "within " + milliseconds(limitMS)
+	return "within " + formatMilliseconds(limitMS)
 }
 
-func percent(share float64) string { return number(share*100) + "%" }
+func formatPercent(share float64) string { return formatNumber(share*100) + "%" }
 
-func number(value float64) string { return strconv.FormatFloat(value, 'g', 6, 64) }
+func formatNumber(value float64) string { return strconv.FormatFloat(value, 'g', 6, 64) }
 
-func milliseconds(ms int64) string { return (time.Duration(ms) * time.Millisecond).String() }
+func formatMilliseconds(ms int64) string { return (time.Duration(ms) * time.Millisecond).String() }
 
-func limit(value float64) string {
+func formatLimit(value float64) string {
 	if value == 0 {
 		return unlimited
 	}
-	return number(value)
+	return formatNumber(value)
 }
 
-func list(items []string, empty string) string {
+func formatList(items []string, empty string) string {
 	if len(items) == 0 {
 		return empty
 	}
 	return strings.Join(items, " ")
 }
 
-// keys shows the beginnings of key digests, enough to tell them apart.
-func keys(digests []string) string {
+// formatKeyDigests lists the first 8 characters of each key digest, which are enough to
+// tell them apart.
+func formatKeyDigests(digests []string) string {
 	short := make([]string, len(digests))
 	for i, digest := range digests {
 		short[i] = digest[:min(8, len(digest))]
 	}
-	return list(short, none)
+	return formatList(short, none)
 }
 
 func orNone(text string) string {
@@ -210,7 +212,7 @@
 	return text
 }
 
-// sameWorkspace, like the functions below, compares what operators state, not the
+// sameWorkspace and the functions below compare what operators declare, not the
 // revision.
 func sameWorkspace(a, b *fleetv1.Workspace) bool {
 	return proto.Equal(workspaceAt(a, 0), workspaceAt(b, 0))
@@ -222,7 +224,7 @@
 
 func samePolicy(a, b *fleetv1.BalancePolicy) bool { return proto.Equal(policyAt(a, 0), policyAt(b, 0)) }
 
-// workspaceAt, like the functions below, returns a normalized copy at a revision.
+// workspaceAt and the functions below return a normalized copy with the given revision.
 func workspaceAt(w *fleetv1.Workspace, revision uint64) *fleetv1.Workspace {
 	copied := proto.Clone(w).(*fleetv1.Workspace)
 	copied.Models = sorted(w.GetModels())
--- a/contract/endpoint.go
+++ b/contract/endpoint.go
@@ -8,29 +8,33 @@
 	fleetv1 "github.com/lilackeel/lilackeel/api/fleet/v1"
 )
 
-// endpointEntry joins what an agent announced of an endpoint and what operators
-// decided about it. Entries are replaced, never edited, once they are stored.
+// endpointEntry combines the announcement of an endpoint with the state and role that
+// operators requested for it. Stored entries are replaced, never modified.
 type endpointEntry struct {
-	// announced is the agent's part; its revision and live fields are unused.
-	// Its agent is empty when no agent gates the endpoint any more.
+	// announced is the endpoint as its agent announced it; its revision and live
+	// fields are unused. Its agent is empty when no agent manages the endpoint any
+	// more.
 	announced *fleetv1.Endpoint
 	// live is whether the agent's lease is current.
 	live bool
-	// wantedState is Leaving, Stopped or, where operators left the endpoint to
-	// its agent, unspecified. wantedRole is empty for the announced role.
+	// wantedState is Leaving, Stopped or, if operators requested neither,
+	// unspecified: the announced state then applies. wantedRole is empty if the
+	// announced role applies.
 	wantedState  fleetv1.EndpointState
 	wantedRole   string
 	drainLimitMS int64
-	// intent last changed the wanted part, at wantedRevision.
+	// intent is the id of the intent that last changed the wanted fields, at
+	// wantedRevision.
 	intent         string
 	wantedRevision uint64
-	// drained is whether all work has finished since operators set it leaving.
+	// drained is whether the endpoint has finished all work since operators set it
+	// leaving or stopped.
 	drained bool
-	// message is the record that daemons get.
+	// message is the record that is sent to daemons.
 	message *fleetv1.Endpoint
 }
 
-// compose builds the record that daemons get, at the given revision.
+// compose builds the record that is sent to daemons, at the given revision.
 func (e *endpointEntry) compose(revision uint64) {
 	message := proto.Clone(e.announced).(*fleetv1.Endpoint)
 	message.State = max(announcedState(e.announced), e.wantedState)
@@ -42,27 +46,27 @@
 	e.message = message
 }
 
-// announcedState is the state that the agent itself gives: Leaving while its
-// host stops, otherwise Serving.
+// announcedState returns the state that the agent announced: Leaving while its host is
+// stopping, otherwise Serving.
 func announcedState(announced *fleetv1.Endpoint) fleetv1.EndpointState {
 	return max(announced.GetState(), fleetv1.EndpointState_ENDPOINT_STATE_SERVING)
 }
 
-// kept reports whether the record must outlive its announcement, because
-// operators have decided something about the endpoint.
-func (e *endpointEntry) kept() bool {
+// hasOperatorSettings reports whether operators have set the state or role of the
+// endpoint. Its record must then outlive its announcement.
+func (e *endpointEntry) hasOperatorSettings() bool {
 	return e.wantedState != fleetv1.EndpointState_ENDPOINT_STATE_UNSPECIFIED || e.wantedRole != ""
 }
 
-// serves reports whether the endpoint takes new work.
+// serves reports whether the endpoint accepts new work.
 func (e *endpointEntry) serves() bool {
 	return e.live && e.message.GetState() == fleetv1.EndpointState_ENDPOINT_STATE_SERVING
 }
 
-// slots is how many requests the endpoint takes at the same time, at least one.
+// slots returns how many concurrent requests the endpoint accepts, at least one.
 func (e *endpointEntry) slots() int64 { return max(1, int64(e.announced.GetSlots())) }
 
-// withLive returns a copy whose lease is current or not, at a new revision.
+// withLive returns a copy with the given lease status at a new revision.
 func (e *endpointEntry) withLive(live bool, revision uint64) *endpointEntry {
 	next := *e
 	next.live = live
@@ -70,7 +74,7 @@
 	return &next
 }
 
-// withAnnounced returns a copy with another announcement and a current lease.
+// withAnnounced returns a copy with a new announcement and a current lease.
 func (e *endpointEntry) withAnnounced(announced *fleetv1.Endpoint, revision uint64) *endpointEntry {
 	next := *e
 	next.announced = announced
@@ -79,7 +83,7 @@
 	return &next
 }
 
-// orphaned returns a copy that no agent gates any more.
+// orphaned returns a copy without an agent and with no current lease.
 func (e *endpointEntry) orphaned(revision uint64) *endpointEntry {
 	next := *e
 	next.announced = proto.Clone(e.announced).(*fleetv1.Endpoint)
@@ -91,9 +95,9 @@
 	return &next
 }
 
-// sameLoaded reports whether two records have the same model, version, role and
+// sameLoadedModel reports whether two records have the same model, version, role and
 // adapters.
-func sameLoaded(a, b *fleetv1.Endpoint) bool {
+func sameLoadedModel(a, b *fleetv1.Endpoint) bool {
 	return a.GetModel() == b.GetModel() &&
 		a.GetVersion() == b.GetVersion() &&
 		a.GetRole() == b.GetRole() &&
--- a/contract/entry.go
+++ b/contract/entry.go
@@ -5,33 +5,33 @@
 	fleetv1 "github.com/lilackeel/lilackeel/api/fleet/v1"
 )
 
-// statedEntry is an object that operators state and the intent that last
+// declaredEntry is an object that operators declare, with the id of the intent that last
 // changed it.
-type statedEntry[M any] struct {
+type declaredEntry[M any] struct {
 	message *M
 	intent  string
 }
 
-// The kinds of objects that operators state as a whole.
+// Entries of the objects that operators declare as a whole.
 type (
-	workspaceEntry = statedEntry[fleetv1.Workspace]
-	modelEntry     = statedEntry[fleetv1.Model]
-	serviceEntry   = statedEntry[fleetv1.Service]
-	policyEntry    = statedEntry[fleetv1.BalancePolicy]
+	workspaceEntry = declaredEntry[fleetv1.Workspace]
+	modelEntry     = declaredEntry[fleetv1.Model]
+	serviceEntry   = declaredEntry[fleetv1.Service]
+	policyEntry    = declaredEntry[fleetv1.BalancePolicy]
 )
 
-// mapEntry is an expert map record and the highest fencing token of a
-// coordinator that changed it.
+// mapEntry is an expert map record with the highest fencing token of the coordinators
+// that wrote it or took over its switch.
 type mapEntry struct {
 	record *fleetv1.MapRecord
 	fence  uint64
 }
 
-// AgentRef names one start of an agent's process.
+// AgentRef identifies one run of an agent's process.
 type AgentRef struct {
-	// Name of the agent, unique in the fleet.
+	// Name is the agent's name, unique in the fleet.
 	Name string
-	// Incarnation is new at every start of the process.
+	// Incarnation is different for every start of the process.
 	Incarnation uint64
 }
 
@@ -39,13 +39,13 @@
 	return &contractv1.AgentRef{Agent: r.Name, Incarnation: r.Incarnation}
 }
 
-// Agent is what the state knows of an agent.
+// Agent is the state's record of an agent.
 type Agent struct {
 	AgentRef
-	// Host, Zone and Region say where it runs.
+	// Host, Zone and Region are the agent's location.
 	Host, Zone, Region string
 	// Addr is its gRPC address, host:port.
 	Addr string
-	// Live is false when its lease has expired.
+	// Live is whether the agent's lease is current.
 	Live bool
 }
--- a/contract/example_test.go
+++ b/contract/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/lilackeel/lilackeel/contract"
 )
 
-// An operator's change takes two commands of the log: a plan, which changes
-// nothing yet, and its confirmation by the plan's digest.
+// An operator changes the configuration with two log commands: a plan, which changes
+// nothing yet, and a confirmation that has the plan's digest.
 func ExampleState_Apply() {
 	state := contract.NewState()
 	apply := func(data []byte, err error) *contract.Result {
--- a/contract/expertmap.go
+++ b/contract/expertmap.go
@@ -6,11 +6,11 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// maxMapBytes bounds one encoded expert map.
+// maxMapBytes is the maximum size of an encoded expert map.
 const maxMapBytes = 4 << 20
 
-// applyMapBegin starts the switch of a group to its next epoch. Sent again with
-// the same map it gives the same answer.
+// applyMapBegin starts the switch of a group to its next epoch. A repeated command with
+// the same map has the same result.
 func (s *State) applyMapBegin(begin *contractv1.MapBegin) *Result {
 	if err := validateMapBegin(begin); err != nil {
 		return &Result{Err: err}
@@ -19,22 +19,22 @@
 	if entry == nil {
 		entry = &mapEntry{record: &fleetv1.MapRecord{Group: begin.GetGroup()}}
 	}
-	if err := entry.admit(begin.GetFence()); err != nil {
+	if err := entry.checkFence(begin.GetFence()); err != nil {
 		return &Result{Err: err, Map: entry.record}
 	}
-	if entry.begun(begin) {
+	if entry.isPending(begin) {
 		entry.fence = begin.GetFence()
 		return &Result{Map: entry.record}
 	}
-	if err := entry.mayBegin(begin.GetEpoch()); err != nil {
+	if err := entry.checkBegin(begin.GetEpoch()); err != nil {
 		return &Result{Err: err, Map: entry.record}
 	}
-	return s.storeMap(entry.next(begin), begin.GetFence())
+	return s.storeMap(entry.nextRecord(begin), begin.GetFence())
 }
 
-// forDaemons is the record without the maps themselves, which are for the ranks of the group:
-// they read them, or get them from the coordinator. A map is too large to be sent to every daemon
-// at each switch.
+// forDaemons returns the record without the maps, which are too large to be sent to every
+// daemon at each switch. Only the ranks of the group need them; they read them or receive
+// them from the coordinator.
 func (e *mapEntry) forDaemons() *fleetv1.MapRecord {
 	return &fleetv1.MapRecord{
 		Group: e.record.GetGroup(), Epoch: e.record.GetEpoch(), State: e.record.GetState(), ActivateStep: e.record.GetActivateStep(),
@@ -42,36 +42,38 @@
 	}
 }
 
-// admit refuses a coordinator that an other one with a higher token replaced.
-func (e *mapEntry) admit(fence uint64) *fault.Error {
+// checkFence returns a Fenced error for a coordinator that has been replaced by one with a
+// higher fencing token.
+func (e *mapEntry) checkFence(fence uint64) *fault.Error {
 	if fence >= e.fence {
 		return nil
 	}
-	return fault.Newf(fault.Fenced, "stop coordinating; the present leader goes on with the switch",
-		"token %d for group %s is older than token %d", fence, e.record.GetGroup(), e.fence)
+	return fault.Newf(fault.Fenced, "stop coordinating; the current leader continues the switch",
+		"fencing token %d for group %s is older than token %d", fence, e.record.GetGroup(), e.fence)
 }
 
-// begun reports whether this very switch is pending already.
-func (e *mapEntry) begun(begin *contractv1.MapBegin) bool {
+// isPending reports whether the switch that begin requests is already in progress.
+func (e *mapEntry) isPending(begin *contractv1.MapBegin) bool {
 	return e.record.GetState() == fleetv1.MapState_MAP_STATE_PREPARING &&
 		e.record.GetEpoch() == begin.GetEpoch() &&
 		string(e.record.GetMap()) == string(begin.GetMap())
 }
 
-func (e *mapEntry) mayBegin(epoch uint64) *fault.Error {
+// checkBegin returns an error if a switch to epoch cannot begin now.
+func (e *mapEntry) checkBegin(epoch uint64) *fault.Error {
 	if e.record.GetState() == fleetv1.MapState_MAP_STATE_PREPARING {
-		return fault.Newf(fault.Conflict, "decide the pending epoch first",
-			"the switch of group %s to epoch %d is not decided", e.record.GetGroup(), e.record.GetEpoch())
+		return fault.Newf(fault.Conflict, "commit or abort the pending epoch first",
+			"the switch of group %s to epoch %d is still pending", e.record.GetGroup(), e.record.GetEpoch())
 	}
 	if epoch != e.record.GetEpoch()+1 {
-		return fault.Newf(fault.Conflict, "read the record and begin with the epoch after it",
+		return fault.Newf(fault.Conflict, "read the record and begin with the epoch that follows it",
 			"group %s is at epoch %d; a switch to epoch %d cannot begin", e.record.GetGroup(), e.record.GetEpoch(), epoch)
 	}
 	return nil
 }
 
-// next returns the record of the switch that begins.
-func (e *mapEntry) next(begin *contractv1.MapBegin) *fleetv1.MapRecord {
+// nextRecord returns the record of the switch that begins.
+func (e *mapEntry) nextRecord(begin *contractv1.MapBegin) *fleetv1.MapRecord {
 	record := &fleetv1.MapRecord{
 		Group: begin.GetGroup(), Epoch: begin.GetEpoch(), Map: begin.GetMap(),
 		State:     fleetv1.MapState_MAP_STATE_PREPARING,
@@ -83,8 +85,8 @@
 	return record
 }
 
-// applyMapDecide decides a pending switch. The first decision is final: a later
-// one, equal or not, gets the record as it was decided.
+// applyMapDecide commits or aborts a pending switch. The first decision is final: a later
+// one, equal or not, gets the decided record.
 func (s *State) applyMapDecide(decide *contractv1.MapDecide) *Result {
 	entry := s.maps[decide.GetGroup()]
 	if entry == nil {
@@ -97,7 +99,7 @@
 	if entry.record.GetState() != fleetv1.MapState_MAP_STATE_PREPARING {
 		return &Result{Map: entry.record}
 	}
-	if err := entry.admit(decide.GetFence()); err != nil {
+	if err := entry.checkFence(decide.GetFence()); err != nil {
 		return &Result{Err: err, Map: entry.record}
 	}
 	record := &fleetv1.MapRecord{
--- a/contract/gone_test.go
+++ b/contract/expired_endpoints_test.go
@@ -10,12 +10,12 @@
 	fleetv1 "github.com/lilackeel/lilackeel/api/fleet/v1"
 )
 
-// TestOnlyTheEndpointsGoneLongestAreForgotten lets endpoints with an id of their own
-// start and go, one after another.
-func TestOnlyTheEndpointsGoneLongestAreForgotten(t *testing.T) {
+// TestEvictsLongestExpiredEndpoints announces and expires self-announced endpoints one after
+// another and checks that only those whose leases expired first are evicted.
+func TestEvictsLongestExpiredEndpoints(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
-	s.maxGone = 5
+	s.maxExpiredEndpoints = 5
 	apply := func(data []byte, err error) {
 		t.Helper()
 		is.NoErr(err)
@@ -29,7 +29,7 @@
 	expire := func(id string) { apply(EncodeExpire(1, AgentRef{Name: id, Incarnation: 1})) }
 	known := func(id string) bool {
 		_, agent := s.Agent(id)
-		is.Equal(agent, s.Endpoint(id) != nil) // with the record of its announcer
+		is.Equal(agent, s.Endpoint(id) != nil) // evicted together with its agent record
 		return agent
 	}
 	announce("lives")
@@ -42,11 +42,11 @@
 	for i := range 30 {
 		is.Equal(known(fmt.Sprintf("e%02d", i)), i >= 25)
 	}
-	announce("e03") // it was only cut off
+	announce("e03") // it was only partitioned
 	is.True(s.Endpoint("e03").GetLive())
 	announce("e26")
 	expire("e03")
-	is.True(known("e25")) // as many as before are gone
+	is.True(known("e25")) // the number of expired endpoints has not grown
 	expire("e26")
 	is.True(!known("e25"))
 	is.True(known("e03"))
@@ -54,12 +54,12 @@
 	is.True(present)
 }
 
-// TestEndpointsOfAgentsAreNotForgotten keeps what agents gate: they announce the same
-// endpoints at each start.
-func TestEndpointsOfAgentsAreNotForgotten(t *testing.T) {
+// TestAgentEndpointsAreNotEvicted checks that expired endpoints of agents are kept: an agent
+// announces the same endpoints at each start.
+func TestAgentEndpointsAreNotEvicted(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
-	s.maxGone = 0
+	s.maxExpiredEndpoints = 0
 	for i, data := range [][]byte{
 		mustEncode(EncodeAnnounce(1, &controlv1.AnnounceRequest{Agent: "agent-1", Addr: "10.0.0.1:7000", Incarnation: 1, Full: true,
 			Endpoints: []*fleetv1.Endpoint{{Id: "engine-1", Pool: "a"}}})),
--- a/contract/history_test.go
+++ b/contract/harness_test.go
@@ -25,23 +25,23 @@
 	unknown  = controlv1.ClaimState_CLAIM_STATE_UNKNOWN
 )
 
-// history makes a log, applies it to a state and keeps it for other replicas.
-type history struct {
+// harness creates commands, applies them to a state and keeps the log for other replicas.
+type harness struct {
 	state   *State
 	rng     *rand.Rand
 	logTime int64
 	log     [][]byte
-	// digests are the plans seen, by intent id.
+	// digests holds the plan digest of each intent by its id.
 	digests map[string]string
 	ids     []string
 }
 
-func newHistory(seed uint64) *history {
-	return &history{state: NewState(), rng: rand.New(rand.NewPCG(seed, 0)), digests: map[string]string{}}
+func newHarness(seed uint64) *harness {
+	return &harness{state: NewState(), rng: rand.New(rand.NewPCG(seed, 0)), digests: map[string]string{}}
 }
 
-// apply logs a command and returns its result.
-func (h *history) apply(data []byte, err error) *Result {
+// apply appends a command to the log and returns the result of applying it.
+func (h *harness) apply(data []byte, err error) *Result {
 	if err != nil {
 		panic(err)
 	}
@@ -49,14 +49,14 @@
 	return h.state.Apply(uint64(len(h.log)), 1, data).(*Result)
 }
 
-// replay applies the log after the first n entries to a replica.
-func (h *history) replay(replica *State, n int) {
+// replay applies the log entries after the first n to a replica.
+func (h *harness) replay(replica *State, n int) {
 	for i := n; i < len(h.log); i++ {
 		replica.Apply(uint64(i+1), 1, h.log[i])
 	}
 }
 
-func (h *history) plan(intent *controlv1.Intent) *Result {
+func (h *harness) plan(intent *controlv1.Intent) *Result {
 	if intent.Operator == "" {
 		intent.Operator = "amel"
 	}
@@ -68,48 +68,48 @@
 	return result
 }
 
-func (h *history) confirm(id string) *Result {
+func (h *harness) confirm(id string) *Result {
 	return h.apply(EncodeConfirm(h.logTime, &controlv1.ConfirmRequest{IntentId: id, Digest: h.digests[id], Operator: "amel"}))
 }
 
-// accept plans and confirms.
-func (h *history) accept(intent *controlv1.Intent) *Result {
+// planAndConfirm plans an intent and confirms its plan.
+func (h *harness) planAndConfirm(intent *controlv1.Intent) *Result {
 	if result := h.plan(intent); result.Err != nil {
 		return result
 	}
 	return h.confirm(intent.GetId())
 }
 
-func (h *history) announce(agent string, incarnation uint64, endpoints ...*fleetv1.Endpoint) *Result {
-	return h.apply(EncodeAnnounce(h.logTime, announcementOf(agent, incarnation, endpoints...)))
+func (h *harness) announce(agent string, incarnation uint64, endpoints ...*fleetv1.Endpoint) *Result {
+	return h.apply(EncodeAnnounce(h.logTime, newAnnouncement(agent, incarnation, endpoints...)))
 }
 
-func announcementOf(agent string, incarnation uint64, endpoints ...*fleetv1.Endpoint) *controlv1.AnnounceRequest {
+func newAnnouncement(agent string, incarnation uint64, endpoints ...*fleetv1.Endpoint) *controlv1.AnnounceRequest {
 	return &controlv1.AnnounceRequest{
 		Agent: agent, Host: "host-" + agent, Zone: "sahel-a", Region: "tn-sahel",
 		Addr: "10.0.0.1:7000", Incarnation: incarnation, Endpoints: endpoints, Full: true,
 	}
 }
 
-func engine(id string) *fleetv1.Endpoint {
+func newEngine(id string) *fleetv1.Endpoint {
 	return &fleetv1.Endpoint{Id: id, Pool: "lilackeel-pool", Kind: fleetv1.EndpointKind_ENDPOINT_KIND_ENGINE, Slots: 8}
 }
 
-func claimOf(key, id string, digest byte, agent string, incarnation uint64, endpoint string) *controlv1.ClaimRequest {
+func newClaimRequest(key, id string, digest byte, agent string, incarnation uint64, endpoint string) *controlv1.ClaimRequest {
 	return &controlv1.ClaimRequest{
 		Workspace: "ops", Key: key, ClaimId: id, Digest: append(make([]byte, digestBytes-1), digest),
 		Agent: agent, Incarnation: incarnation, Endpoint: endpoint,
 	}
 }
 
-func workspace(name string, importance int32, share float64) *fleetv1.Workspace {
+func newWorkspace(name string, importance int32, share float64) *fleetv1.Workspace {
 	return &fleetv1.Workspace{Name: name, Importance: importance, GuaranteedShare: share}
 }
 
 func pick[T any](rng *rand.Rand, items ...T) T { return items[rng.IntN(len(items))] }
 
-// step applies one random command, of few names, so that they meet.
-func (h *history) step() {
+// step applies one random command. It chooses from few names so that commands interact.
+func (h *harness) step() {
 	h.logTime += h.rng.Int64N(int64(ClaimTTL) / 200)
 	agent := pick(h.rng, "a", "b", "c")
 	incarnation := 1 + h.rng.Uint64N(4)
@@ -130,13 +130,13 @@
 			h.apply(EncodeCancel(h.logTime, &controlv1.CancelRequest{IntentId: pick(h.rng, h.ids...)}))
 		}
 	case 5, 6, 7:
-		announced := []*fleetv1.Endpoint{engine(endpoint), engine("own-" + agent)}
+		announced := []*fleetv1.Endpoint{newEngine(endpoint), newEngine("own-" + agent)}
 		announced[0].Adapters = pick(h.rng, nil, []string{"legal", "duty"})
 		h.announce(agent, incarnation, announced[h.rng.IntN(2):]...)
 	case 8:
 		h.apply(EncodeExpire(h.logTime, ref))
 	case 9, 10:
-		h.apply(EncodeClaim(h.logTime, claimOf(key, claimID, 1, agent, incarnation, "own-"+agent)))
+		h.apply(EncodeClaim(h.logTime, newClaimRequest(key, claimID, 1, agent, incarnation, "own-"+agent)))
 	case 11, 12:
 		h.apply(EncodeSettle(h.logTime, &controlv1.SettleRequest{
 			Workspace: "ops", Key: key, ClaimId: claimID, State: pick(h.rng, answered, notRun, notRun, unknown),
@@ -147,11 +147,11 @@
 	case 14:
 		h.apply(EncodeMapDecide(h.logTime, group, h.state.MapRecord(group).GetEpoch(), h.rng.Uint64N(9), h.rng.IntN(2) == 0, h.rng.Uint64N(100)))
 	case 15:
-		h.applyRare(ref, endpoint)
+		h.stepRare(ref, endpoint)
 	}
 }
 
-func (h *history) applyRare(ref AgentRef, endpoint string) {
+func (h *harness) stepRare(ref AgentRef, endpoint string) {
 	switch h.rng.IntN(4) {
 	case 0:
 		h.apply(EncodeIssueFence(h.logTime))
@@ -166,7 +166,7 @@
 	}
 }
 
-func (h *history) randomIntent() *controlv1.Intent {
+func (h *harness) randomIntent() *controlv1.Intent {
 	intent := &controlv1.Intent{Id: fmt.Sprintf("i%d", h.rng.IntN(1000))}
 	if h.rng.IntN(2) == 0 {
 		intent.BaseRevision = h.state.Revision() - min(h.state.Revision(), h.rng.Uint64N(5))
@@ -174,7 +174,7 @@
 	name := pick(h.rng, "ops", "night", "dawn")
 	switch h.rng.IntN(6) {
 	case 0, 1:
-		intent.Workspaces = []*fleetv1.Workspace{workspace(name, 1+h.rng.Int32N(5), float64(h.rng.IntN(60))/100)}
+		intent.Workspaces = []*fleetv1.Workspace{newWorkspace(name, 1+h.rng.Int32N(5), float64(h.rng.IntN(60))/100)}
 	case 2:
 		intent.RemoveWorkspaces = []string{name}
 	case 3:
@@ -190,26 +190,26 @@
 	return intent
 }
 
-// patch applies a delta to a configuration, as a daemon does.
-func patch(configuration *fleetv1.Configuration, delta *fleetv1.Delta) {
+// applyDelta applies a delta to a configuration, as a daemon does.
+func applyDelta(configuration *fleetv1.Configuration, delta *fleetv1.Delta) {
 	configuration.Revision = delta.GetToRevision()
-	configuration.Workspaces = patched(configuration.GetWorkspaces(), delta.GetWorkspaces(), delta.GetRemovedWorkspaces(), (*fleetv1.Workspace).GetName)
-	configuration.Models = patched(configuration.GetModels(), delta.GetModels(), delta.GetRemovedModels(), (*fleetv1.Model).GetName)
-	configuration.Endpoints = patched(configuration.GetEndpoints(), delta.GetEndpoints(), delta.GetRemovedEndpoints(), (*fleetv1.Endpoint).GetId)
-	configuration.Policies = patched(configuration.GetPolicies(), delta.GetPolicies(), nil, (*fleetv1.BalancePolicy).GetGroup)
-	configuration.Maps = patched(configuration.GetMaps(), delta.GetMaps(), nil, (*fleetv1.MapRecord).GetGroup)
+	configuration.Workspaces = mergeByName(configuration.GetWorkspaces(), delta.GetWorkspaces(), delta.GetRemovedWorkspaces(), (*fleetv1.Workspace).GetName)
+	configuration.Models = mergeByName(configuration.GetModels(), delta.GetModels(), delta.GetRemovedModels(), (*fleetv1.Model).GetName)
+	configuration.Endpoints = mergeByName(configuration.GetEndpoints(), delta.GetEndpoints(), delta.GetRemovedEndpoints(), (*fleetv1.Endpoint).GetId)
+	configuration.Policies = mergeByName(configuration.GetPolicies(), delta.GetPolicies(), nil, (*fleetv1.BalancePolicy).GetGroup)
+	configuration.Maps = mergeByName(configuration.GetMaps(), delta.GetMaps(), nil, (*fleetv1.MapRecord).GetGroup)
 }
 
-func patched[M any](old, changed []M, removed []string, name func(M) string) []M {
+func mergeByName[M any](old, changed []M, removed []string, name func(M) string) []M {
 	table := make(map[string]M)
-	for _, each := range old {
-		table[name(each)] = each
+	for _, item := range old {
+		table[name(item)] = item
 	}
-	for _, each := range changed {
-		table[name(each)] = each
+	for _, item := range changed {
+		table[name(item)] = item
 	}
-	for _, each := range removed {
-		delete(table, each)
+	for _, key := range removed {
+		delete(table, key)
 	}
 	var result []M
 	for _, key := range sortedKeys(table) {
@@ -218,13 +218,13 @@
 	return result
 }
 
-// TestReplicasAgree: two replicas with one log hold the same bytes; so does one
-// that starts from any snapshot; deltas lead to the same configuration as the
-// whole; a revision grows by at most one a command; and a confirmed intent stays
-// confirmed as the revision that it made.
+// TestReplicasAgree checks that replicas that apply the same log, from the start or from a
+// snapshot, have identical snapshots; that deltas lead to the same configuration as a full
+// read; that a command increases the revision by at most one; and that a confirmed intent
+// keeps the revision that it created.
 func TestReplicasAgree(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.ManyChanges}, Step: "replica that starts from a snapshot after hundreds of commands", Together: true,
-		Guard: "decided states of endpoints in the snapshot"}.Log(t)
+		Guard: "wanted states of endpoints in the snapshot"}.Log(t)
 	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Restart, proof.ManyChanges}, Step: "record of an expert map in a replica that starts from a snapshot", Together: true,
 		Guard: "maps and their fencing tokens in the snapshot, each alone"}.Log(t)
 	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Restart, proof.ManyChanges}, Step: "claims in a replica that starts from a snapshot", Together: true,
@@ -232,16 +232,16 @@
 	proof.Cell{Promise: proof.OwnAnswer, Faults: []proof.Fault{proof.Restart, proof.ManyChanges}, Step: "recorded answers in a replica that starts from a snapshot", Together: true,
 		Guard: "answers in the snapshot"}.Log(t)
 	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Restart, proof.ManyChanges}, Step: "leaving endpoints in a replica that starts from a snapshot", Together: true,
-		Guard: "decided states of endpoints in the snapshot"}.Log(t)
+		Guard: "wanted states of endpoints in the snapshot"}.Log(t)
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			is := is.New(t)
-			h := newHistory(seed)
-			late, whole := NewState(), NewState()
-			for _, replica := range []*State{h.state, late, whole} {
+			h := newHarness(seed)
+			restored, replayed := NewState(), NewState()
+			for _, replica := range []*State{h.state, restored, replayed} {
 				replica.claims.answerLimit = 1 // so that claims are retired
 			}
-			lateFrom := 0
+			restoredAt := 0
 			follower := &fleetv1.Configuration{}
 			confirmed := map[string]uint64{}
 			for range 1500 {
@@ -260,20 +260,20 @@
 				if h.rng.IntN(10) == 0 {
 					delta, ok := h.state.DeltaSince(follower.GetRevision())
 					is.True(ok)
-					patch(follower, delta)
+					applyDelta(follower, delta)
 					is.True(proto.Equal(follower, h.state.Configuration()))
 				}
 				if h.rng.IntN(100) == 0 {
 					data, err := h.state.Snapshot()
 					is.NoErr(err)
-					is.NoErr(late.Restore(data))
-					lateFrom = len(h.log)
+					is.NoErr(restored.Restore(data))
+					restoredAt = len(h.log)
 				}
 			}
-			h.replay(whole, 0)
-			h.replay(late, lateFrom)
+			h.replay(replayed, 0)
+			h.replay(restored, restoredAt)
 			want, _ := h.state.Snapshot()
-			for _, replica := range []*State{whole, late} {
+			for _, replica := range []*State{replayed, restored} {
 				got, err := replica.Snapshot()
 				is.NoErr(err)
 				is.True(string(got) == string(want))
@@ -283,25 +283,25 @@
 	}
 }
 
-// TestLogTimeOnlyGrows: neither an old command nor a clock step moves it back,
-// and a claim lasts its TTL in log time.
-func TestLogTimeOnlyGrows(t *testing.T) {
+// TestLogTimeIsMonotonic checks that neither an old command nor a clock step moves log time
+// back, and that a claim is kept for its TTL in log time.
+func TestLogTimeIsMonotonic(t *testing.T) {
 	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.ClockStep}, Step: "TTL of a claim",
-		Guard: "the bound in LogClock.At, and log time that only grows, each alone"}.Log(t)
+		Guard: "the lower bound in LogClock.At, and log time that only increases, each alone"}.Log(t)
 	is := is.New(t)
 	start := time.Now()
 	clock := NewLogClock(1000, start)
 	is.Equal(clock.At(start.Add(5*time.Nanosecond)), int64(1005))
 	is.Equal(clock.At(start.Add(-time.Hour)), int64(1000))
-	h := newHistory(1)
-	h.announce("a", 1, engine("e1"))
+	h := newHarness(1)
+	h.announce("a", 1, newEngine("e1"))
 	h.logTime = int64(time.Hour)
-	is.True(h.apply(EncodeClaim(h.logTime, claimOf("k", "x", 1, "a", 1, "e1"))).Granted)
+	is.True(h.apply(EncodeClaim(h.logTime, newClaimRequest("k", "x", 1, "a", 1, "e1"))).Granted)
 	h.logTime = 0
 	h.apply(EncodeIssueFence(h.logTime))
 	is.Equal(h.state.LogTime(), int64(time.Hour))
 	h.logTime = int64(time.Hour+ClaimTTL) - 1
-	is.True(!h.apply(EncodeClaim(h.logTime, claimOf("k", "y", 1, "a", 1, "e1"))).Granted)
+	is.True(!h.apply(EncodeClaim(h.logTime, newClaimRequest("k", "y", 1, "a", 1, "e1"))).Granted)
 	h.logTime++
-	is.True(h.apply(EncodeClaim(h.logTime, claimOf("k", "y", 1, "a", 1, "e1"))).Granted)
+	is.True(h.apply(EncodeClaim(h.logTime, newClaimRequest("k", "y", 1, "a", 1, "e1"))).Granted)
 }
--- a/contract/intent.go
+++ b/contract/intent.go
@@ -14,36 +14,36 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// replan is the remedy of every conflict between intents.
-const replan = "look at the present configuration and plan again with a new intent id"
+// replanRemedy is the remedy for conflicts between intents.
+const replanRemedy = "read the current configuration and plan again with a new intent id"
 
 // intentRefs lists the objects that an intent names.
 func intentRefs(intent *controlv1.Intent) []objectRef {
 	var refs []objectRef
 	add := func(kind objectKind, name string) { refs = append(refs, objectRef{kind, name}) }
-	for _, each := range intent.GetWorkspaces() {
-		add(workspaceKind, each.GetName())
+	for _, workspace := range intent.GetWorkspaces() {
+		add(workspaceKind, workspace.GetName())
 	}
 	for _, name := range intent.GetRemoveWorkspaces() {
 		add(workspaceKind, name)
 	}
-	for _, each := range intent.GetModels() {
-		add(modelKind, each.GetName())
+	for _, model := range intent.GetModels() {
+		add(modelKind, model.GetName())
 	}
 	for _, name := range intent.GetRemoveModels() {
 		add(modelKind, name)
 	}
-	for _, each := range intent.GetServices() {
-		add(serviceKind, each.GetName())
+	for _, service := range intent.GetServices() {
+		add(serviceKind, service.GetName())
 	}
 	for _, name := range intent.GetRemoveServices() {
 		add(serviceKind, name)
 	}
-	for _, each := range intent.GetEndpoints() {
-		add(endpointKind, each.GetId())
+	for _, endpoint := range intent.GetEndpoints() {
+		add(endpointKind, endpoint.GetId())
 	}
-	for _, each := range intent.GetPolicies() {
-		add(policyKind, each.GetGroup())
+	for _, policy := range intent.GetPolicies() {
+		add(policyKind, policy.GetGroup())
 	}
 	return refs
 }
@@ -52,30 +52,30 @@
 func digestOf(message proto.Message) []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
-		// A message that was decoded from the log can always be encoded.
+		// A message decoded from the log can always be encoded.
 		panic(fmt.Sprintf("contract: encoding a decoded message: %v", err))
 	}
 	sum := sha256.Sum256(data)
 	return sum[:]
 }
 
-// applyPlan plans an intent. The same intent sent again gets its first plan,
-// whatever has happened since; another intent under the same id is refused.
+// applyPlan plans an intent. A repeated request with the same intent gets the first plan
+// even if the state has changed since; a different intent with the same id is refused.
 func (s *State) applyPlan(intent *controlv1.Intent) *Result {
 	body := digestOf(intent)
 	if record := s.intents.find(intent.GetId()); record != nil {
 		if string(record.GetBodyDigest()) != string(body) {
-			return &Result{Err: otherBody(record)}
+			return &Result{Err: intentIDReusedError(record)}
 		}
 		return &Result{Plan: record.GetPlan()}
 	}
 	if err := validateIntent(intent); err != nil {
 		return &Result{Err: err}
 	}
-	if err := s.checkBase(intent); err != nil {
+	if err := s.checkBaseRevision(intent); err != nil {
 		return &Result{Err: err}
 	}
-	plan, err := s.draft(intent)
+	plan, err := s.buildPlan(intent)
 	if err != nil {
 		return &Result{Err: err}
 	}
@@ -84,68 +84,70 @@
 		Intent: intent, BodyDigest: body, Plan: plan,
 		State:           controlv1.IntentState_INTENT_STATE_PLANNED,
 		PlannedRevision: s.revision,
-		Touched:         s.touchedBy(intent),
+		Touched:         s.touchedObjects(intent),
 	}
 	s.intents.add(record)
 	return &Result{Plan: plan}
 }
 
-func otherBody(record *contractv1.IntentRecord) *fault.Error {
-	return fault.Newf(fault.Conflict, "give the new intent an id of its own",
-		"intent id %s was used by operator %s for another intent", record.GetIntent().GetId(), record.GetIntent().GetOperator())
+func intentIDReusedError(record *contractv1.IntentRecord) *fault.Error {
+	return fault.Newf(fault.Conflict, "use a new id for the new intent",
+		"intent id %s was already used by operator %s for a different intent", record.GetIntent().GetId(), record.GetIntent().GetOperator())
 }
 
-// touchedBy returns the named objects at their present revisions.
-func (s *State) touchedBy(intent *controlv1.Intent) []*contractv1.Touched {
+// touchedObjects returns the objects that an intent names with the revisions of their last
+// changes by operators.
+func (s *State) touchedObjects(intent *controlv1.Intent) []*contractv1.Touched {
 	var touched []*contractv1.Touched
 	for _, ref := range intentRefs(intent) {
 		touched = append(touched, &contractv1.Touched{
-			Kind: string(ref.kind), Name: ref.name, Revision: s.lastDecision(ref).revision,
+			Kind: string(ref.kind), Name: ref.name, Revision: s.lastOperatorChange(ref).revision,
 		})
 	}
 	return touched
 }
 
-// decision is when an object was last decided upon, and by which intent.
-type decision struct {
+// operatorChange is the last change of an object by an operator.
+type operatorChange struct {
 	revision uint64
 	intent   string
-	// exists is false for an object that is not there. An endpoint is there
-	// without a decision: its agent's announcements are none.
+	// exists is whether the object exists. An endpoint may exist without an operator
+	// change, because announcements do not count as one.
 	exists bool
 }
 
-// lastDecision returns the last decision upon an object, its removal included.
-func (s *State) lastDecision(ref objectRef) decision {
+// lastOperatorChange returns the last change of an object by an operator, which may be its
+// removal.
+func (s *State) lastOperatorChange(ref objectRef) operatorChange {
 	switch ref.kind {
 	case workspaceKind:
 		if entry := s.workspaces[ref.name]; entry != nil {
-			return decision{entry.message.GetRevision(), entry.intent, true}
+			return operatorChange{entry.message.GetRevision(), entry.intent, true}
 		}
 	case modelKind:
 		if entry := s.models[ref.name]; entry != nil {
-			return decision{entry.message.GetRevision(), entry.intent, true}
+			return operatorChange{entry.message.GetRevision(), entry.intent, true}
 		}
 	case serviceKind:
 		if entry := s.services[ref.name]; entry != nil {
-			return decision{entry.message.GetRevision(), entry.intent, true}
+			return operatorChange{entry.message.GetRevision(), entry.intent, true}
 		}
 	case policyKind:
 		if entry := s.policies[ref.name]; entry != nil {
-			return decision{entry.message.GetRevision(), entry.intent, true}
+			return operatorChange{entry.message.GetRevision(), entry.intent, true}
 		}
 	case endpointKind:
 		if entry := s.endpoints[ref.name]; entry != nil {
-			return decision{entry.wantedRevision, entry.intent, true}
+			return operatorChange{entry.wantedRevision, entry.intent, true}
 		}
 	}
 	removal := s.tombstones.find(ref)
-	return decision{removal.GetRevision(), removal.GetIntentId(), false}
+	return operatorChange{removal.GetRevision(), removal.GetIntentId(), false}
 }
 
-// checkBase refuses an intent if anything that it names has changed since the
-// revision that its operator looked at.
-func (s *State) checkBase(intent *controlv1.Intent) *fault.Error {
+// checkBaseRevision returns an error if an object that the intent names has changed since
+// the intent's base revision.
+func (s *State) checkBaseRevision(intent *controlv1.Intent) *fault.Error {
 	base := intent.GetBaseRevision()
 	if base == 0 {
 		return nil
@@ -155,29 +157,30 @@
 			"intent %s is based on revision %d, which does not exist yet", intent.GetId(), base)
 	}
 	for _, ref := range intentRefs(intent) {
-		last := s.lastDecision(ref)
+		last := s.lastOperatorChange(ref)
 		if last.revision > base {
-			return s.movedFault(intent.GetId(), ref, last)
+			return s.conflictError(intent.GetId(), ref, last)
 		}
 		if !last.exists && last.revision == 0 && base < s.tombstones.floor {
-			return fault.Newf(fault.Conflict, replan,
-				"revision %d lies too far back to tell whether %s %s was removed since", base, ref.kind, ref.name)
+			return fault.Newf(fault.Conflict, replanRemedy,
+				"revision %d is too old to tell whether %s %s was removed since", base, ref.kind, ref.name)
 		}
 	}
 	return nil
 }
 
-// movedFault is the conflict of an intent that lost against another change.
-func (s *State) movedFault(loser string, ref objectRef, last decision) *fault.Error {
+// conflictError returns the Conflict error for an intent that names an object with a more
+// recent change.
+func (s *State) conflictError(intentID string, ref objectRef, last operatorChange) *fault.Error {
 	if last.intent == "" {
-		return fault.Newf(fault.Conflict, replan, "intent %s: %s %s has gone, or has come back, since", loser, ref.kind, ref.name)
+		return fault.Newf(fault.Conflict, replanRemedy, "intent %s: %s %s has since been removed or announced again", intentID, ref.kind, ref.name)
 	}
-	return fault.Newf(fault.Conflict, replan, "intent %s: %s %s changed at revision %d by %s",
-		loser, ref.kind, ref.name, last.revision, s.describeWinner(last.intent, ref))
+	return fault.Newf(fault.Conflict, replanRemedy, "intent %s: %s %s changed at revision %d by %s",
+		intentID, ref.kind, ref.name, last.revision, s.describeIntentChange(last.intent, ref))
 }
 
-// describeWinner names an intent, its operator and what it changed of an object.
-func (s *State) describeWinner(intentID string, ref objectRef) string {
+// describeIntentChange describes an intent, its operator and its change of an object.
+func (s *State) describeIntentChange(intentID string, ref objectRef) string {
 	record := s.intents.find(intentID)
 	if record == nil {
 		return "intent " + intentID
@@ -191,65 +194,65 @@
 	return text
 }
 
-// applyConfirm accepts a plan: it changes the configuration in one new
-// revision. Sent again it gives the first answer.
+// applyConfirm accepts a plan, which changes the configuration in one new revision. A
+// repeated request gets the first result.
 func (s *State) applyConfirm(request *controlv1.ConfirmRequest) *Result {
 	record := s.intents.find(request.GetIntentId())
 	if record == nil {
-		return &Result{Err: unknownIntent(request.GetIntentId())}
+		return &Result{Err: unknownIntentError(request.GetIntentId())}
 	}
 	if err := checkName("operator", request.GetOperator()); err != nil {
 		return &Result{Err: err}
 	}
 	if record.GetPlan().GetDigest() != request.GetDigest() {
-		return &Result{Err: fault.Newf(fault.Conflict, "read the plan again and confirm the digest that it shows",
-			"the plan of intent %s has another digest", request.GetIntentId())}
+		return &Result{Err: fault.Newf(fault.Conflict, "read the plan again and confirm it with its digest",
+			"the plan of intent %s has a different digest", request.GetIntentId())}
 	}
 	switch record.GetState() {
 	case controlv1.IntentState_INTENT_STATE_CONFIRMED, controlv1.IntentState_INTENT_STATE_DONE:
 		return &Result{Revision: record.GetRevision()}
 	case controlv1.IntentState_INTENT_STATE_CANCELLED:
-		return &Result{Err: fault.Newf(fault.Conflict, replan, "intent %s was cancelled", request.GetIntentId())}
+		return &Result{Err: fault.Newf(fault.Conflict, replanRemedy, "intent %s was cancelled", request.GetIntentId())}
 	}
-	if err := s.checkUnmoved(record); err != nil {
+	if err := s.checkPlanCurrent(record); err != nil {
 		return &Result{Err: err}
 	}
-	s.accept(record)
+	s.applyIntent(record)
 	record.State = controlv1.IntentState_INTENT_STATE_CONFIRMED
 	record.Revision = s.revision
 	record.ConfirmedBy = request.GetOperator()
 	return &Result{Revision: s.revision}
 }
 
-func unknownIntent(id string) *fault.Error {
-	return fault.Newf(fault.NotFound, "plan the intent first", "intent %s is not known", id)
+func unknownIntentError(id string) *fault.Error {
+	return fault.Newf(fault.NotFound, "plan the intent first", "intent %s is unknown", id)
 }
 
-// checkUnmoved refuses a plan if what it touches has changed since it was made,
-// or if carrying it out now would come to more than its operator has seen.
-func (s *State) checkUnmoved(record *contractv1.IntentRecord) *fault.Error {
+// checkPlanCurrent returns an error if an object that the plan touches has changed since
+// it was made, or if applying it now would have more effects than its operator was shown.
+func (s *State) checkPlanCurrent(record *contractv1.IntentRecord) *fault.Error {
 	id := record.GetIntent().GetId()
-	for _, seen := range record.GetTouched() {
-		ref := objectRef{objectKind(seen.GetKind()), seen.GetName()}
-		if last := s.lastDecision(ref); last.revision != seen.GetRevision() {
-			return s.movedFault(id, ref, last)
+	for _, touched := range record.GetTouched() {
+		ref := objectRef{objectKind(touched.GetKind()), touched.GetName()}
+		if last := s.lastOperatorChange(ref); last.revision != touched.GetRevision() {
+			return s.conflictError(id, ref, last)
 		}
 	}
-	now, err := s.draft(record.GetIntent())
+	current, err := s.buildPlan(record.GetIntent())
 	if err != nil {
-		return fault.Newf(fault.Conflict, replan, "intent %s is no longer possible%s: %s",
-			id, s.newestSince(record), err.Message)
+		return fault.Newf(fault.Conflict, replanRemedy, "intent %s can no longer be applied%s: %s",
+			id, s.describeNewestSince(record), err.Message)
 	}
-	if worse := worsePlan(record.GetPlan(), now); worse != "" {
-		return fault.Newf(fault.Conflict, replan, "intent %s would now come to more than its plan says%s: %s",
-			id, s.newestSince(record), worse)
+	if regression := describePlanRegression(record.GetPlan(), current); regression != "" {
+		return fault.Newf(fault.Conflict, replanRemedy, "applying intent %s would now have more effects than its plan shows%s: %s",
+			id, s.describeNewestSince(record), regression)
 	}
 	return nil
 }
 
-// newestSince names the newest intent confirmed after a plan was made, which
-// most likely is what moved the state under it.
-func (s *State) newestSince(record *contractv1.IntentRecord) string {
+// describeNewestSince describes the newest intent confirmed after a plan was made, which
+// is the most likely reason why the plan is outdated.
+func (s *State) describeNewestSince(record *contractv1.IntentRecord) string {
 	var newest *contractv1.IntentRecord
 	for _, other := range s.intents.order {
 		changed := len(other.GetPlan().GetChanges()) > 0
@@ -258,76 +261,78 @@
 		}
 	}
 	if newest == nil {
-		return " (endpoints have joined or left since)"
+		return " (endpoints have since joined or left)"
 	}
 	var texts []string
 	for _, change := range newest.GetPlan().GetChanges()[:min(3, len(newest.GetPlan().GetChanges()))] {
 		texts = append(texts, change.GetText())
 	}
-	return fmt.Sprintf(" (since then intent %s of operator %s made revision %d: %s)",
+	return fmt.Sprintf(" (intent %s of operator %s has since created revision %d: %s)",
 		newest.GetIntent().GetId(), newest.GetIntent().GetOperator(), newest.GetRevision(), strings.Join(texts, "; "))
 }
 
-// worsePlan says what is worse about a plan than the one that an operator saw,
-// or nothing: another change, more weights to move, a drain or a warning that
-// was not there. What has become better since does not count, and neither does
-// capacity, which moves with any endpoint of the fleet.
-func worsePlan(seen, now *controlv1.Plan) string {
-	if len(seen.GetChanges()) != len(now.GetChanges()) {
-		return fmt.Sprintf("%d changes instead of %d", len(now.GetChanges()), len(seen.GetChanges()))
-	}
-	for i, change := range now.GetChanges() {
-		if worseChange(seen.GetChanges()[i], change) {
+// describePlanRegression returns how the current plan is worse than the one shown to the
+// operator, or an empty string: a different change, more weights to load, a new drain or
+// a new warning. Improvements are ignored, and so is capacity, which changes with any
+// endpoint of the fleet.
+func describePlanRegression(shown, current *controlv1.Plan) string {
+	if len(shown.GetChanges()) != len(current.GetChanges()) {
+		return fmt.Sprintf("%d changes instead of %d", len(current.GetChanges()), len(shown.GetChanges()))
+	}
+	for i, change := range current.GetChanges() {
+		if isChangeRegression(shown.GetChanges()[i], change) {
 			return change.GetText()
 		}
 	}
-	for _, warning := range now.GetWarnings() {
-		if !slices.Contains(seen.GetWarnings(), warning) {
+	for _, warning := range current.GetWarnings() {
+		if !slices.Contains(shown.GetWarnings(), warning) {
 			return warning
 		}
 	}
 	return ""
 }
 
-func worseChange(seen, now *controlv1.Change) bool {
-	seenText, _, _ := strings.Cut(seen.GetText(), loadMark)
-	nowText, _, _ := strings.Cut(now.GetText(), loadMark)
-	return seenText != nowText ||
-		now.GetWeightBytes() > seen.GetWeightBytes() ||
-		now.GetDrains() && !seen.GetDrains()
+// isChangeRegression reports whether the current change is worse than the one shown: it
+// differs apart from the load estimate, loads more weights or newly drains an endpoint.
+func isChangeRegression(shown, current *controlv1.Change) bool {
+	shownText, _, _ := strings.Cut(shown.GetText(), loadTextSeparator)
+	currentText, _, _ := strings.Cut(current.GetText(), loadTextSeparator)
+	return shownText != currentText ||
+		current.GetWeightBytes() > shown.GetWeightBytes() ||
+		current.GetDrains() && !shown.GetDrains()
 }
 
-// applyCancel withdraws an intent that is not confirmed.
+// applyCancel cancels an unconfirmed intent.
 func (s *State) applyCancel(request *controlv1.CancelRequest) *Result {
 	record := s.intents.find(request.GetIntentId())
 	if record == nil {
-		return &Result{Err: unknownIntent(request.GetIntentId())}
+		return &Result{Err: unknownIntentError(request.GetIntentId())}
 	}
 	switch record.GetState() {
 	case controlv1.IntentState_INTENT_STATE_CONFIRMED, controlv1.IntentState_INTENT_STATE_DONE:
-		return &Result{Err: fault.Newf(fault.Conflict, "state a new intent that undoes it",
+		return &Result{Err: fault.Newf(fault.Conflict, "submit a new intent that reverts it",
 			"intent %s is confirmed as revision %d", request.GetIntentId(), record.GetRevision())}
 	}
 	record.State = controlv1.IntentState_INTENT_STATE_CANCELLED
 	return &Result{}
 }
 
-// applyIntentDone marks a confirmed intent as carried out.
+// applyIntentDone marks a confirmed intent as done.
 func (s *State) applyIntentDone(done *contractv1.IntentDone) *Result {
 	record := s.intents.find(done.GetIntentId())
 	if record == nil {
-		return &Result{Err: unknownIntent(done.GetIntentId())}
+		return &Result{Err: unknownIntentError(done.GetIntentId())}
 	}
 	switch record.GetState() {
 	case controlv1.IntentState_INTENT_STATE_DONE:
 		return &Result{Revision: record.GetRevision()}
 	case controlv1.IntentState_INTENT_STATE_CONFIRMED:
 	default:
-		return &Result{Err: fault.Newf(fault.Conflict, "confirm it first", "intent %s is not confirmed", done.GetIntentId())}
+		return &Result{Err: fault.Newf(fault.Conflict, "confirm the intent first", "intent %s is not confirmed", done.GetIntentId())}
 	}
 	if waiting := s.waitingFor(record); len(waiting) > 0 {
-		return &Result{Err: fault.Newf(fault.Conflict, "carry that out first",
-			"intent %s still waits: %s", done.GetIntentId(), waiting[0])}
+		return &Result{Err: fault.Newf(fault.Conflict, "complete the pending part first",
+			"intent %s is still waiting for %s", done.GetIntentId(), waiting[0])}
 	}
 	record.State = controlv1.IntentState_INTENT_STATE_DONE
 	return &Result{Revision: record.GetRevision()}
--- a/contract/intent_test.go
+++ b/contract/intent_test.go
@@ -16,98 +16,98 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// race is one operator's attempt: an intent to set the importance of the one
-// workspace, based on the revision that everyone has seen.
-type race struct {
+// raceAttempt is one operator's attempt to set the importance of the shared workspace, based
+// on the revision that all operators have read.
+type raceAttempt struct {
 	id   string
 	base uint64
 }
 
-// verdict is what the operator heard; none for a lost answer.
-type verdict struct {
-	heard, won bool
-	revision   uint64
+// raceOutcome is the response to an attempt; received is false if it was lost.
+type raceOutcome struct {
+	received, confirmed bool
+	revision            uint64
 }
 
-// raceState is the sequential specification: the revision of the workspace, and
-// the revision that each winner made.
+// raceState is the state of the sequential specification: the revision of the workspace and
+// the revision that each confirmed attempt created.
 type raceState struct {
-	revision uint64
-	winners  string
+	revision  uint64
+	confirmed string
 }
 
-// raceModel accepts what a single register with compare-and-set would answer,
-// where an attempt that has won once keeps its first answer.
+// raceModel is a single compare-and-set register in which a repeated successful attempt
+// returns its first result.
 var raceModel = porcupine.Model{
 	Init: func() any { return raceState{revision: 2} },
 	Step: func(state, input, output any) (bool, any) {
-		now, attempt, got := state.(raceState), input.(race), output.(verdict)
-		won, revision, next := false, uint64(0), now
-		if _, after, found := strings.Cut(now.winners, " "+attempt.id+"="); found {
+		current, attempt, got := state.(raceState), input.(raceAttempt), output.(raceOutcome)
+		confirmed, revision, next := false, uint64(0), current
+		if _, after, found := strings.Cut(current.confirmed, " "+attempt.id+"="); found {
 			fmt.Sscan(after, &revision)
-			won = true
-		} else if attempt.base == now.revision {
-			won, revision = true, now.revision+1
-			next = raceState{revision, fmt.Sprintf("%s %s=%d ", now.winners, attempt.id, revision)}
+			confirmed = true
+		} else if attempt.base == current.revision {
+			confirmed, revision = true, current.revision+1
+			next = raceState{revision, fmt.Sprintf("%s %s=%d ", current.confirmed, attempt.id, revision)}
 		}
-		return !got.heard || got.won == won && got.revision == revision, next
+		return !got.received || got.confirmed == confirmed && got.revision == revision, next
 	},
 }
 
-// TestRacingOperators lets operators with equal revisions race, lose answers
-// and resend, with a replica restored from a snapshot in between, and checks
-// that the whole history is linearizable.
-func TestRacingOperators(t *testing.T) {
+// TestConcurrentIntentsAreLinearizable runs concurrent attempts of operators with equal base
+// revisions, with lost responses, resent requests and replicas restored from snapshots, and
+// checks that the resulting history is linearizable.
+func TestConcurrentIntentsAreLinearizable(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.Lost, proof.RacingOps, proof.ResentIntents}, Step: "plan and confirm under equal revisions", Together: true,
-		Guard: "each alone: base revisions compared, a confirm sent again keeps its answer, intents in the snapshot"}.Log(t)
+		Guard: "each alone: base revisions compared, a repeated confirm keeps its answer, intents in the snapshot"}.Log(t)
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			is := is.New(t)
-			h := newHistory(seed)
-			h.announce("a", 1, engine("e1"))
-			h.accept(&controlv1.Intent{Id: "first", Workspaces: []*fleetv1.Workspace{workspace("ops", 1, 0)}})
-			operations := racingOperations(h)
+			h := newHarness(seed)
+			h.announce("a", 1, newEngine("e1"))
+			h.planAndConfirm(&controlv1.Intent{Id: "first", Workspaces: []*fleetv1.Workspace{newWorkspace("ops", 1, 0)}})
+			operations := runRace(h)
 			is.True(porcupine.CheckOperations(raceModel, operations))
-			won := map[uint64]string{}
-			for _, each := range operations {
-				if got := each.Output.(verdict); got.won {
-					id := each.Input.(race).id
-					is.True(won[got.revision] == "" || won[got.revision] == id)
-					won[got.revision] = id
+			confirmed := map[uint64]string{}
+			for _, operation := range operations {
+				if got := operation.Output.(raceOutcome); got.confirmed {
+					id := operation.Input.(raceAttempt).id
+					is.True(confirmed[got.revision] == "" || confirmed[got.revision] == id)
+					confirmed[got.revision] = id
 				}
 			}
-			is.True(len(won) > 2)
+			is.True(len(confirmed) > 2)
 		})
 	}
 }
 
-// racingOperations runs attempts whose applications fall at random moments
-// between their calls and their answers.
-func racingOperations(h *history) []porcupine.Operation {
+// runRace runs attempts that are applied at random times between their calls and their
+// responses.
+func runRace(h *harness) []porcupine.Operation {
 	var operations []porcupine.Operation
 	now := int64(0)
 	for round := range 8 {
 		base := h.state.Revision()
-		var attempts []race
+		var attempts []raceAttempt
 		for operator := range 3 {
-			attempts = append(attempts, race{fmt.Sprintf("r%d-o%d", round, operator), base})
+			attempts = append(attempts, raceAttempt{fmt.Sprintf("r%d-o%d", round, operator), base})
 		}
 		attempts = append(attempts, attempts[h.rng.IntN(3)], attempts[h.rng.IntN(3)])
 		shuffle(h.rng, attempts)
 		for client, attempt := range attempts {
 			call := now - int64(h.rng.IntN(3))
-			got := attemptRace(h, attempt, int32(2+round*3+client%3))
-			got.heard = h.rng.IntN(4) > 0
+			got := runAttempt(h, attempt, int32(2+round*3+client%3))
+			got.received = h.rng.IntN(4) > 0
 			now += 2
 			returned := now + int64(h.rng.IntN(3))
-			if !got.heard {
+			if !got.received {
 				returned = math.MaxInt64
 			}
 			operations = append(operations, porcupine.Operation{
 				ClientId: len(operations), Input: attempt, Output: got, Call: call, Return: returned,
 			})
 			if h.rng.IntN(4) == 0 {
-				restart(h)
+				restoreFromSnapshot(h)
 			}
 		}
 	}
@@ -118,24 +118,24 @@
 	rng.Shuffle(len(items), func(i, j int) { items[i], items[j] = items[j], items[i] })
 }
 
-// attemptRace plans and confirms; a resend plans the same intent again.
-func attemptRace(h *history, attempt race, importance int32) verdict {
-	intent := &controlv1.Intent{Id: attempt.id, BaseRevision: attempt.base, Workspaces: []*fleetv1.Workspace{workspace("ops", importance, 0)}}
+// runAttempt plans and confirms an intent; a resent attempt plans the same intent again.
+func runAttempt(h *harness, attempt raceAttempt, importance int32) raceOutcome {
+	intent := &controlv1.Intent{Id: attempt.id, BaseRevision: attempt.base, Workspaces: []*fleetv1.Workspace{newWorkspace("ops", importance, 0)}}
 	if known := h.state.Intent(attempt.id); known != nil {
 		intent = known.GetIntent()
 	}
 	if result := h.plan(intent); result.Err != nil {
-		return verdict{}
+		return raceOutcome{}
 	}
 	result := h.confirm(attempt.id)
 	if result.Err != nil {
-		return verdict{}
+		return raceOutcome{}
 	}
-	return verdict{won: true, revision: result.Revision}
+	return raceOutcome{confirmed: true, revision: result.Revision}
 }
 
-// restart replaces the replica by one that starts from its snapshot.
-func restart(h *history) {
+// restoreFromSnapshot replaces the replica with one that starts from its snapshot.
+func restoreFromSnapshot(h *harness) {
 	data, err := h.state.Snapshot()
 	if err != nil {
 		panic(err)
@@ -146,17 +146,18 @@
 	}
 }
 
-// TestConflictNamesTheWinner: who loses learns who won, and with what; a resend
-// of either keeps its answer, and one id means one intent.
-func TestConflictNamesTheWinner(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.RacingOps}, Step: "confirm of a plan whose ground has moved", Together: true,
+// TestConflictNamesConfirmedIntent checks that a conflict error describes the intent that was
+// confirmed, its operator and its change, that resent requests get their first result, and
+// that an id cannot be reused for a different intent.
+func TestConflictNamesConfirmedIntent(t *testing.T) {
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.RacingOps}, Step: "confirm of a plan after a change of what it touches", Together: true,
 		Guard: "each alone: base revisions, revisions of what a plan touches, intents in the snapshot"}.Log(t)
 	is := is.New(t)
-	h := newHistory(1)
-	h.accept(&controlv1.Intent{Id: "first", Workspaces: []*fleetv1.Workspace{workspace("ops", 1, 0.4)}})
-	raise := &controlv1.Intent{Id: "raise", Operator: "amel", BaseRevision: 1, Workspaces: []*fleetv1.Workspace{workspace("ops", 5, 0.4)}}
-	lower := &controlv1.Intent{Id: "lower", Operator: "bilel", BaseRevision: 1, Workspaces: []*fleetv1.Workspace{workspace("ops", 2, 0.4)}}
-	share := &controlv1.Intent{Id: "share", Operator: "chedly", Workspaces: []*fleetv1.Workspace{workspace("night", 1, 0.7)}}
+	h := newHarness(1)
+	h.planAndConfirm(&controlv1.Intent{Id: "first", Workspaces: []*fleetv1.Workspace{newWorkspace("ops", 1, 0.4)}})
+	raise := &controlv1.Intent{Id: "raise", Operator: "amel", BaseRevision: 1, Workspaces: []*fleetv1.Workspace{newWorkspace("ops", 5, 0.4)}}
+	lower := &controlv1.Intent{Id: "lower", Operator: "bilel", BaseRevision: 1, Workspaces: []*fleetv1.Workspace{newWorkspace("ops", 2, 0.4)}}
+	share := &controlv1.Intent{Id: "share", Operator: "chedly", Workspaces: []*fleetv1.Workspace{newWorkspace("night", 1, 0.7)}}
 	h.plan(raise)
 	h.plan(lower)
 	is.Equal(h.plan(share).Err.Kind, fault.Invalid) // 110%
@@ -167,36 +168,36 @@
 	for _, part := range []string{"raise", "amel", "importance 1 → 5"} {
 		is.True(strings.Contains(conflict.Message, part))
 	}
-	restart(h)
+	restoreFromSnapshot(h)
 	is.Equal(h.confirm("raise").Revision, uint64(2))
-	is.Equal(h.plan(lower).Err, nil) // the first answer, as a plan only
+	is.Equal(h.plan(lower).Err, nil) // the first result; nothing is confirmed
 	is.Equal(h.confirm("lower").Err.Kind, fault.Conflict)
-	late := &controlv1.Intent{Id: "late", BaseRevision: 1, Workspaces: []*fleetv1.Workspace{workspace("ops", 9, 0)}}
+	late := &controlv1.Intent{Id: "late", BaseRevision: 1, Workspaces: []*fleetv1.Workspace{newWorkspace("ops", 9, 0)}}
 	is.Equal(h.plan(late).Err.Kind, fault.Conflict)
 	is.Equal(h.plan(&controlv1.Intent{Id: "raise", RemoveWorkspaces: []string{"ops"}}).Err.Kind, fault.Conflict)
 	is.Equal(h.apply(EncodeCancel(0, &controlv1.CancelRequest{IntentId: "raise"})).Err.Kind, fault.Conflict)
 	is.Equal(h.apply(EncodeCancel(0, &controlv1.CancelRequest{IntentId: "lower"})).Err, nil)
 	is.True(strings.Contains(h.confirm("lower").Err.Message, "cancelled"))
 
-	// Back and forth is a move too, though the plan would read the same.
-	h.plan(&controlv1.Intent{Id: "aba", Workspaces: []*fleetv1.Workspace{workspace("ops", 7, 0.4)}})
-	h.accept(&controlv1.Intent{Id: "there", Workspaces: []*fleetv1.Workspace{workspace("ops", 6, 0.4)}})
-	h.accept(&controlv1.Intent{Id: "back", Workspaces: []*fleetv1.Workspace{workspace("ops", 5, 0.4)}})
+	// A change that is reverted also conflicts, although the plan would read the same.
+	h.plan(&controlv1.Intent{Id: "aba", Workspaces: []*fleetv1.Workspace{newWorkspace("ops", 7, 0.4)}})
+	h.planAndConfirm(&controlv1.Intent{Id: "there", Workspaces: []*fleetv1.Workspace{newWorkspace("ops", 6, 0.4)}})
+	h.planAndConfirm(&controlv1.Intent{Id: "back", Workspaces: []*fleetv1.Workspace{newWorkspace("ops", 5, 0.4)}})
 	is.Equal(h.confirm("aba").Err.Kind, fault.Conflict)
 	h.digests["raise"] = "0"
 	is.Equal(h.confirm("raise").Err.Kind, fault.Conflict)
 }
 
-// TestConfirmNeedsAPlanThatHolds: a plan whose grounds have moved, without
-// anything that it names having changed, is refused; one of another pool's
-// capacity is not.
-func TestConfirmNeedsAPlanThatHolds(t *testing.T) {
+// TestConfirmRefusesOutdatedPlan checks that a plan is refused if other changes make its
+// effects worse although the objects that it names are unchanged, and that a change in
+// another pool's capacity does not matter.
+func TestConfirmRefusesOutdatedPlan(t *testing.T) {
 	is := is.New(t)
-	h := newHistory(1)
-	h.announce("a", 1, engine("e1"), engine("e2"))
+	h := newHarness(1)
+	h.announce("a", 1, newEngine("e1"), newEngine("e2"))
 	h.announce("b", 1, &fleetv1.Endpoint{Id: "s1", Pool: "roster-api", Kind: fleetv1.EndpointKind_ENDPOINT_KIND_SERVICE})
-	h.plan(&controlv1.Intent{Id: "one", Workspaces: []*fleetv1.Workspace{workspace("ops", 1, 0.6)}})
-	h.plan(&controlv1.Intent{Id: "two", Workspaces: []*fleetv1.Workspace{workspace("night", 1, 0.6)}})
+	h.plan(&controlv1.Intent{Id: "one", Workspaces: []*fleetv1.Workspace{newWorkspace("ops", 1, 0.6)}})
+	h.plan(&controlv1.Intent{Id: "two", Workspaces: []*fleetv1.Workspace{newWorkspace("night", 1, 0.6)}})
 	h.plan(&controlv1.Intent{Id: "leave-1", Endpoints: []*controlv1.EndpointChange{{Id: "e1", State: leaving}}})
 	h.plan(&controlv1.Intent{Id: "leave-2", Endpoints: []*controlv1.EndpointChange{{Id: "e2", State: leaving}}})
 	is.Equal(h.confirm("one").Err, nil)
@@ -205,42 +206,42 @@
 	is.True(strings.Contains(conflict.Message, "one") && strings.Contains(conflict.Message, "120%"))
 
 	h.apply(EncodeExpire(0, AgentRef{"b", 1}))
-	is.Equal(h.confirm("leave-2").Err.Kind, fault.Conflict) // ops's guarantee falls since
+	is.Equal(h.confirm("leave-2").Err.Kind, fault.Conflict) // the guarantee of workspace ops would now fall
 	h.plan(&controlv1.Intent{Id: "leave-3", Endpoints: []*controlv1.EndpointChange{{Id: "e2", State: leaving}}})
 	h.announce("b", 1, &fleetv1.Endpoint{Id: "s1", Pool: "roster-api", Kind: fleetv1.EndpointKind_ENDPOINT_KIND_SERVICE})
 	is.Equal(h.confirm("leave-3").Err, nil)
-	last := h.confirm("leave-1").Err
-	is.Equal(last.Kind, fault.Conflict)
-	is.True(strings.Contains(last.Message, "leave-3"))
+	lastConflict := h.confirm("leave-1").Err
+	is.Equal(lastConflict.Kind, fault.Conflict)
+	is.True(strings.Contains(lastConflict.Message, "leave-3"))
 }
 
-// TestConfirmMindsOnlyWhatIsWorse: endpoints that join meanwhile may take a
-// warning away, but more weights than the plan shows need another look.
-func TestConfirmMindsOnlyWhatIsWorse(t *testing.T) {
+// TestConfirmAcceptsImprovedPlan checks that a plan can be confirmed after an endpoint joined
+// and a warning no longer applies, but not if more weights must be loaded than it shows.
+func TestConfirmAcceptsImprovedPlan(t *testing.T) {
 	is := is.New(t)
-	h := newHistory(1)
+	h := newHarness(1)
 	model := &fleetv1.Model{Name: "draft", Pool: "lilackeel-pool", Version: "v1"}
-	loaded := engine("e1")
+	loaded := newEngine("e1")
 	loaded.Model, loaded.Version = "draft", "v1"
 	is.Equal(len(h.plan(&controlv1.Intent{Id: "early", Models: []*fleetv1.Model{model}}).Plan.GetWarnings()), 1)
 	h.announce("a", 1, loaded)
 	h.plan(&controlv1.Intent{Id: "late", Models: []*fleetv1.Model{model}})
-	h.announce("b", 1, engine("e2"))
+	h.announce("b", 1, newEngine("e2"))
 	is.Equal(h.confirm("late").Err.Kind, fault.Conflict)
 	h.apply(EncodeExpire(0, AgentRef{"b", 1}))
 	is.Equal(h.confirm("early").Err, nil)
 }
 
-// TestPlanSaysWhatItCosts: weights, drains, capacity, guarantees that fall and
-// the last endpoint of a pool.
-func TestPlanSaysWhatItCosts(t *testing.T) {
+// TestPlanCostsAndWarnings checks the weights, drains and capacity that a plan shows, and its
+// warnings about reduced guarantees, stopped ranks and the last endpoint of a pool.
+func TestPlanCostsAndWarnings(t *testing.T) {
 	is := is.New(t)
-	h := newHistory(1)
-	rank := engine("e1")
+	h := newHarness(1)
+	rank := newEngine("e1")
 	rank.Group, rank.Rank = "g", 3
-	h.announce("a", 1, rank, engine("e2"))
+	h.announce("a", 1, rank, newEngine("e2"))
 	model := &fleetv1.Model{Name: "draft", Pool: "lilackeel-pool", Version: "v2", Adapters: []string{"legal"}}
-	plan := h.plan(&controlv1.Intent{Id: "model", Models: []*fleetv1.Model{model}, Workspaces: []*fleetv1.Workspace{workspace("ops", 1, 0.5)}}).Plan
+	plan := h.plan(&controlv1.Intent{Id: "model", Models: []*fleetv1.Model{model}, Workspaces: []*fleetv1.Workspace{newWorkspace("ops", 1, 0.5)}}).Plan
 	is.Equal(plan.GetChanges()[1].GetWeightBytes(), int64(2*(AssumedModelBytes+AssumedAdapterBytes)))
 	is.Equal(plan.GetChanges()[1].GetWeightMs(), int64(32500))
 	is.Equal(h.confirm("model").Err, nil)
@@ -269,17 +270,17 @@
 	is.Equal(h.apply(EncodeIntentDone(0, "stop")).Err, nil)
 }
 
-// TestInvalidIntentsAreRefused: each wrong statement is refused with a remedy.
+// TestInvalidIntentsAreRefused checks that each invalid intent is refused with a remedy.
 func TestInvalidIntentsAreRefused(t *testing.T) {
 	key := strings.Repeat("ab", digestBytes)
-	wrong := map[string]*controlv1.Intent{
+	invalid := map[string]*controlv1.Intent{
 		"nothing":    {},
-		"importance": {Workspaces: []*fleetv1.Workspace{workspace("ops", 0, 0)}},
-		"share":      {Workspaces: []*fleetv1.Workspace{workspace("ops", 1, math.NaN())}},
-		"name":       {Workspaces: []*fleetv1.Workspace{workspace("two words", 1, 0)}},
+		"importance": {Workspaces: []*fleetv1.Workspace{newWorkspace("ops", 0, 0)}},
+		"share":      {Workspaces: []*fleetv1.Workspace{newWorkspace("ops", 1, math.NaN())}},
+		"name":       {Workspaces: []*fleetv1.Workspace{newWorkspace("two words", 1, 0)}},
 		"plain key":  {Workspaces: []*fleetv1.Workspace{{Name: "ops", Importance: 1, KeyDigests: []string{"secret"}}}},
 		"shared key": {Workspaces: []*fleetv1.Workspace{{Name: "ops", Importance: 1, KeyDigests: []string{key}}, {Name: "night", Importance: 1, KeyDigests: []string{key}}}},
-		"twice":      {Workspaces: []*fleetv1.Workspace{workspace("ops", 1, 0), workspace("ops", 2, 0)}},
+		"twice":      {Workspaces: []*fleetv1.Workspace{newWorkspace("ops", 1, 0), newWorkspace("ops", 2, 0)}},
 		"prefix":     {Services: []*fleetv1.Service{{Name: "roster", Pool: "p", PathPrefix: "roster"}}},
 		"method":     {Services: []*fleetv1.Service{{Name: "roster", Pool: "p", PathPrefix: "/", Routes: []*fleetv1.ServiceRoute{{Method: "post", PathPrefix: "/"}}}}},
 		"version":    {Models: []*fleetv1.Model{{Name: "draft", Pool: "p"}}},
@@ -289,10 +290,10 @@
 		"unknown":    {RemoveModels: []string{"draft"}},
 		"endpoint":   {Endpoints: []*controlv1.EndpointChange{{Id: "e9", State: leaving}}},
 	}
-	for name, intent := range wrong {
+	for name, intent := range invalid {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			h := newHistory(1)
+			h := newHarness(1)
 			intent.Id = "i"
 			result := h.plan(intent)
 			is.True(result.Err != nil)
--- a/contract/intenttable.go
+++ b/contract/intenttable.go
@@ -7,19 +7,19 @@
 	controlv1 "github.com/lilackeel/lilackeel/api/control/v1"
 )
 
-// Bounds of the history.
+// Limits on the history of intents and removals.
 const (
-	// MaxIntents is how many intents are kept. The oldest that are not waiting
-	// to be carried out are forgotten first.
+	// MaxIntents is the maximum number of intents. The oldest ones are evicted first,
+	// except confirmed ones that are not done.
 	MaxIntents = 4096
-	// MaxIntentBytes bounds their encoded size.
+	// MaxIntentBytes is the maximum total size of the encoded intents and plans.
 	MaxIntentBytes = 64 << 20
-	// maxTombstones is how many removed objects are remembered.
+	// maxTombstones is the maximum number of tombstones of removed objects.
 	maxTombstones = 4096
 )
 
-// intentTable holds the intents by id and by age. Records are edited in place
-// under the state's lock and never leave it.
+// intentTable holds the intents by id and by age. Records are modified in place under the
+// state's lock and are never returned to callers.
 type intentTable struct {
 	byID  map[string]*contractv1.IntentRecord
 	order []*contractv1.IntentRecord
@@ -32,33 +32,33 @@
 
 func (t *intentTable) find(id string) *contractv1.IntentRecord { return t.byID[id] }
 
-// push appends a record, whatever the bounds.
+// push appends a record without enforcing the limits.
 func (t *intentTable) push(record *contractv1.IntentRecord) {
 	t.byID[record.GetIntent().GetId()] = record
 	t.order = append(t.order, record)
 	t.bytes += recordBytes(record)
 }
 
-// add appends a new record and forgets what the bounds no longer allow.
+// add appends a new record and evicts old ones beyond the limits.
 func (t *intentTable) add(record *contractv1.IntentRecord) {
 	t.push(record)
-	for t.oversized() && t.forgetOldest() {
+	for t.overLimit() && t.evictOldest() {
 	}
 }
 
-// recordBytes is the size of the parts of a record that never change, so that
-// a restored table counts alike.
+// recordBytes returns the size of the immutable parts of a record. Only these are counted,
+// so that a restored table has the same size as the original.
 func recordBytes(record *contractv1.IntentRecord) int {
 	return proto.Size(record.GetIntent()) + proto.Size(record.GetPlan())
 }
 
-func (t *intentTable) oversized() bool {
+func (t *intentTable) overLimit() bool {
 	return len(t.order) > MaxIntents || t.bytes > MaxIntentBytes
 }
 
-// forgetOldest drops the oldest intent that nothing waits for. It returns false
-// if there is none but the newest.
-func (t *intentTable) forgetOldest() bool {
+// evictOldest removes the oldest intent that is not confirmed and pending. It returns false
+// if there is no such intent besides the newest.
+func (t *intentTable) evictOldest() bool {
 	for i, record := range t.order[:len(t.order)-1] {
 		if record.GetState() == controlv1.IntentState_INTENT_STATE_CONFIRMED {
 			continue
@@ -71,7 +71,7 @@
 	return false
 }
 
-// copies returns copies of the records, which share their immutable parts.
+// copies returns copies of the records that share their immutable parts.
 func (t *intentTable) copies() []*contractv1.IntentRecord {
 	copied := make([]*contractv1.IntentRecord, len(t.order))
 	for i, record := range t.order {
@@ -84,7 +84,7 @@
 	return copied
 }
 
-// historyEntry returns a record as operators see it.
+// historyEntry returns a record as it is shown to operators.
 func historyEntry(record *contractv1.IntentRecord) *controlv1.HistoryEntry {
 	return &controlv1.HistoryEntry{
 		Intent: record.GetIntent(), Plan: record.GetPlan(),
@@ -104,8 +104,8 @@
 	return historyEntry(record)
 }
 
-// History returns the newest intents first, at most limit (all if zero or
-// less), or only the one with the given id.
+// History returns the intents with the newest first, at most limit of them (all if limit is
+// zero or negative). If id is not empty, only the intent with that id is returned.
 func (s *State) History(limit int, id string) []*controlv1.HistoryEntry {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -122,11 +122,12 @@
 	return entries
 }
 
-// tombstoneTable remembers the objects that operators removed, oldest first.
+// tombstoneTable holds tombstones of the objects that operators removed, oldest first.
 type tombstoneTable struct {
 	order []*contractv1.Tombstone
 	byRef map[objectRef]*contractv1.Tombstone
-	// floor is the highest revision whose removals may be forgotten.
+	// floor is the highest revision of an evicted tombstone. Removals up to it may be
+	// missing from the table.
 	floor uint64
 }
 
--- a/contract/plan.go
+++ b/contract/plan.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// shareUnit is how finely guaranteed shares are added up: exactly, so that
-	// every replica comes to the same sum in whatever order it adds.
-	shareUnit = 1_000_000
-	// maxShareWarnings is how many workspaces are named one by one.
+	// shareScale is the factor by which guaranteed shares are scaled to integers. Sums
+	// of integers are exact, so every replica computes the same sum in any order.
+	shareScale = 1_000_000
+	// maxShareWarnings is the maximum number of reduced guarantees listed individually.
 	maxShareWarnings = 10
 )
 
-// draft plans an intent against the present state. The plan has no digest yet.
-func (s *State) draft(intent *controlv1.Intent) (*controlv1.Plan, *fault.Error) {
+// buildPlan plans an intent against the current state. The plan has no digest yet.
+func (s *State) buildPlan(intent *controlv1.Intent) (*controlv1.Plan, *fault.Error) {
 	p, err := s.propose(intent)
 	if err != nil {
 		return nil, err
@@ -36,22 +36,22 @@
 	return &controlv1.Plan{
 		IntentId: intent.GetId(), BaseRevision: s.revision,
 		Changes:        p.changes,
-		CapacityBefore: total(before), CapacityAfter: total(after),
+		CapacityBefore: totalSlots(before), CapacityAfter: totalSlots(after),
 		Warnings: p.warnings(before, after),
 	}, nil
 }
 
-// accept carries out a confirmed intent, whose plan still holds.
-func (s *State) accept(record *contractv1.IntentRecord) {
+// applyIntent applies an intent whose plan has been checked by checkPlanCurrent.
+func (s *State) applyIntent(record *contractv1.IntentRecord) {
 	p, err := s.propose(record.GetIntent())
 	if err != nil {
-		// checkUnmoved has drafted the same intent against the same state.
-		panic("contract: accepting a plan that no longer holds: " + err.Error())
+		// checkPlanCurrent has planned the same intent against the same state.
+		panic("contract: applying an outdated plan: " + err.Error())
 	}
-	p.accept()
+	p.commit()
 }
 
-// checkKeys refuses a key that would belong to two workspaces.
+// checkKeys returns an error if a key would belong to two workspaces.
 func (p *proposal) checkKeys() *fault.Error {
 	owners := make(map[string]string)
 	for _, name := range sortedKeys(p.workspaces) {
@@ -61,7 +61,7 @@
 				owner = p.keyOwner(digest, name)
 			}
 			if owner != name {
-				return fault.Newf(fault.Invalid, "give each workspace keys of its own",
+				return fault.Newf(fault.Invalid, "use different keys for each workspace",
 					"workspaces %s and %s have the same key %s", owner, name, digest[:8])
 			}
 			owners[digest] = name
@@ -70,26 +70,26 @@
 	return nil
 }
 
-// keyOwner returns the workspace that would have a key apart from the claimant,
-// or the claimant.
+// keyOwner returns the other workspace that would have a key besides the claimant, or the
+// claimant if there is none.
 func (p *proposal) keyOwner(digest, claimant string) string {
-	present, taken := p.state.keyOwners[digest]
-	if !taken || !slices.Contains(p.workspace(present).GetKeyDigests(), digest) {
+	owner, taken := p.state.keyOwners[digest]
+	if !taken || !slices.Contains(p.workspace(owner).GetKeyDigests(), digest) {
 		return claimant
 	}
-	return present
+	return owner
 }
 
-// checkPrefixes refuses two services under one path prefix.
+// checkPrefixes returns an error if two services would have the same path prefix.
 func (p *proposal) checkPrefixes() *fault.Error {
 	if len(p.services) == 0 {
 		return nil
 	}
 	owners := make(map[string]string)
-	for _, name := range names(p.state.services, p.services) {
+	for _, name := range proposedNames(p.state.services, p.services) {
 		prefix := p.service(name).GetPathPrefix()
 		if other, taken := owners[prefix]; taken {
-			return fault.Newf(fault.Invalid, "give each service a path prefix of its own",
+			return fault.Newf(fault.Invalid, "use a different path prefix for each service",
 				"services %s and %s both have the path prefix %s", other, name, prefix)
 		}
 		owners[prefix] = name
@@ -97,9 +97,9 @@
 	return nil
 }
 
-// checkShares refuses guaranteed shares that come to more than a whole pool.
+// checkShares returns an error if the guaranteed shares of a pool would exceed 100%.
 func (p *proposal) checkShares() *fault.Error {
-	if !p.movesShares() {
+	if !p.affectsShareSums() {
 		return nil
 	}
 	sums := shareSums{byPool: make(map[string]int64)}
@@ -114,8 +114,9 @@
 	return sums.check()
 }
 
-// movesShares reports whether the sum of any pool's guaranteed shares may grow.
-func (p *proposal) movesShares() bool {
+// affectsShareSums reports whether the sum of the guaranteed shares of any pool may
+// increase.
+func (p *proposal) affectsShareSums() bool {
 	for name, next := range p.workspaces {
 		var old *fleetv1.Workspace
 		if entry := p.state.workspaces[name]; entry != nil {
@@ -129,11 +130,11 @@
 	return len(p.models) > 0 || len(p.services) > 0
 }
 
-// shareSums are the sums of guaranteed shares for all pools and for each, in
-// units of 1/shareUnit.
+// shareSums holds sums of guaranteed shares in units of 1/shareScale: those that apply to
+// all pools, and those of each pool.
 type shareSums struct {
-	everywhere int64
-	byPool     map[string]int64
+	allPools int64
+	byPool   map[string]int64
 }
 
 func (s *shareSums) add(p *proposal, workspace *fleetv1.Workspace) {
@@ -141,36 +142,36 @@
 		return
 	}
 	if len(workspace.GetModels()) == 0 {
-		s.everywhere += shareUnits(workspace)
+		s.allPools += scaledShare(workspace)
 	}
 	for _, pool := range p.poolsOf(workspace) {
-		s.byPool[pool] += shareUnits(workspace)
+		s.byPool[pool] += scaledShare(workspace)
 	}
 }
 
 func (s *shareSums) check() *fault.Error {
-	if s.everywhere > shareUnit {
-		return oversharedFault("every pool", s.everywhere)
+	if s.allPools > shareScale {
+		return shareSumError("every pool", s.allPools)
 	}
 	for _, pool := range sortedKeys(s.byPool) {
-		if sum := s.everywhere + s.byPool[pool]; sum > shareUnit {
-			return oversharedFault("pool "+pool, sum)
+		if sum := s.allPools + s.byPool[pool]; sum > shareScale {
+			return shareSumError("pool "+pool, sum)
 		}
 	}
 	return nil
 }
 
-func oversharedFault(where string, sum int64) *fault.Error {
-	return fault.Newf(fault.Invalid, "lower guaranteed shares until they come to 100% or less",
-		"the guaranteed shares of %s come to %s", where, percent(float64(sum)/shareUnit))
+func shareSumError(where string, sum int64) *fault.Error {
+	return fault.Newf(fault.Invalid, "lower the guaranteed shares until their sum is at most 100%",
+		"the guaranteed shares of %s add up to %s", where, formatPercent(float64(sum)/shareScale))
 }
 
-func shareUnits(workspace *fleetv1.Workspace) int64 {
-	return int64(math.Round(workspace.GetGuaranteedShare() * shareUnit))
+func scaledShare(workspace *fleetv1.Workspace) int64 {
+	return int64(math.Round(workspace.GetGuaranteedShare() * shareScale))
 }
 
-// poolsOf returns the pools that a workspace names, through models, services or
-// directly; none for a workspace that may call all.
+// poolsOf returns the pools that a workspace names through models or services or directly.
+// It returns none for a workspace that may call all pools.
 func (p *proposal) poolsOf(workspace *fleetv1.Workspace) []string {
 	var pools []string
 	for _, name := range workspace.GetModels() {
@@ -187,8 +188,8 @@
 	return pools
 }
 
-// capacities returns how many requests each pool takes at the same time, before
-// and after.
+// capacities returns the number of concurrent requests that each pool accepts before and
+// after the proposal.
 func (p *proposal) capacities() (before, after map[string]int64) {
 	before = make(map[string]int64)
 	after = make(map[string]int64)
@@ -204,7 +205,7 @@
 	return before, after
 }
 
-func total(byPool map[string]int64) int64 {
+func totalSlots(byPool map[string]int64) int64 {
 	sum := int64(0)
 	for _, slots := range byPool {
 		sum += slots
@@ -212,7 +213,7 @@
 	return sum
 }
 
-// warnings lists what an operator should know before confirming.
+// warnings returns the warnings to show to an operator before the plan is confirmed.
 func (p *proposal) warnings(before, after map[string]int64) []string {
 	var warnings []string
 	for _, pool := range sortedKeys(before) {
@@ -220,21 +221,21 @@
 			warnings = append(warnings, fmt.Sprintf("no endpoint of pool %s would take work: its requests are refused", pool))
 		}
 	}
-	warnings = append(warnings, p.stoppedRanks()...)
-	warnings = append(warnings, p.emptyPools(after)...)
-	warnings = append(warnings, p.fallingShares(before, after)...)
-	warnings = append(warnings, p.unresolvedNames()...)
+	warnings = append(warnings, p.stoppedRankWarnings()...)
+	warnings = append(warnings, p.emptyPoolWarnings(after)...)
+	warnings = append(warnings, p.reducedGuaranteeWarnings(before, after)...)
+	warnings = append(warnings, p.unresolvedNameWarnings()...)
 	return warnings
 }
 
-// stoppedRanks warns of groups that could not step any more: a rank that leaves
-// still steps with its group, a stopped one does not.
-func (p *proposal) stoppedRanks() []string {
+// stoppedRankWarnings warns about groups that could not step any more: a leaving rank still
+// steps with its group, a stopped one does not.
+func (p *proposal) stoppedRankWarnings() []string {
 	var warnings []string
 	for _, id := range sortedKeys(p.endpoints) {
 		announced := p.endpoints[id].announced
-		stops := p.endpoints[id].wantedState == fleetv1.EndpointState_ENDPOINT_STATE_STOPPED
-		if stops && announced.GetGroup() != "" {
+		isStopped := p.endpoints[id].wantedState == fleetv1.EndpointState_ENDPOINT_STATE_STOPPED
+		if isStopped && announced.GetGroup() != "" {
 			warnings = append(warnings, fmt.Sprintf("endpoint %s is rank %d of group %s, which cannot step without it",
 				id, announced.GetRank(), announced.GetGroup()))
 		}
@@ -242,8 +243,8 @@
 	return warnings
 }
 
-// emptyPools warns of models and services that nothing would serve.
-func (p *proposal) emptyPools(after map[string]int64) []string {
+// emptyPoolWarnings warns about models and services whose pool would have no capacity.
+func (p *proposal) emptyPoolWarnings(after map[string]int64) []string {
 	var warnings []string
 	for _, name := range sortedKeys(p.models) {
 		if model := p.models[name]; model != nil && after[model.GetPool()] == 0 {
@@ -258,70 +259,71 @@
 	return warnings
 }
 
-// shareFall is a workspace whose guarantee in a pool shrinks.
-type shareFall struct {
+// guaranteeReduction is the reduction of a workspace's guarantee in a pool, in slots.
+type guaranteeReduction struct {
 	workspace, pool string
 	before, after   int64
 }
 
-// fallingShares warns of workspaces that would be guaranteed fewer requests at
-// the same time than now, the hardest hit first.
-func (p *proposal) fallingShares(before, after map[string]int64) []string {
-	var shrinking []string
+// reducedGuaranteeWarnings warns about workspaces that would be guaranteed fewer concurrent
+// requests than now, the largest reduction first.
+func (p *proposal) reducedGuaranteeWarnings(before, after map[string]int64) []string {
+	var reducedPools []string
 	for _, pool := range sortedKeys(before) {
 		if after[pool] < before[pool] {
-			shrinking = append(shrinking, pool)
+			reducedPools = append(reducedPools, pool)
 		}
 	}
-	if len(shrinking) == 0 {
+	if len(reducedPools) == 0 {
 		return nil
 	}
-	var falls []shareFall
-	for _, name := range names(p.state.workspaces, p.workspaces) {
+	var reductions []guaranteeReduction
+	for _, name := range proposedNames(p.state.workspaces, p.workspaces) {
 		workspace := p.workspace(name)
 		if workspace.GetGuaranteedShare() == 0 {
 			continue
 		}
 		pools := p.poolsOf(workspace)
-		for _, pool := range shrinking {
-			fall := shareFall{name, pool, guaranteed(workspace, before[pool]), guaranteed(workspace, after[pool])}
-			calls := len(workspace.GetModels()) == 0 || slices.Contains(pools, pool)
-			if calls && fall.after < fall.before {
-				falls = append(falls, fall)
+		for _, pool := range reducedPools {
+			reduction := guaranteeReduction{name, pool, guaranteedSlots(workspace, before[pool]), guaranteedSlots(workspace, after[pool])}
+			mayCall := len(workspace.GetModels()) == 0 || slices.Contains(pools, pool)
+			if mayCall && reduction.after < reduction.before {
+				reductions = append(reductions, reduction)
 			}
 		}
 	}
-	return fallTexts(falls)
+	return formatGuaranteeReductions(reductions)
 }
 
-// guaranteed is how many of a pool's slots a workspace gets whenever it asks.
-func guaranteed(workspace *fleetv1.Workspace, slots int64) int64 {
-	return slots * shareUnits(workspace) / shareUnit
+// guaranteedSlots returns how many of a pool's slots are guaranteed to a workspace.
+func guaranteedSlots(workspace *fleetv1.Workspace, slots int64) int64 {
+	return slots * scaledShare(workspace) / shareScale
 }
 
-func fallTexts(falls []shareFall) []string {
-	sort.SliceStable(falls, func(i, j int) bool {
-		return falls[i].before-falls[i].after > falls[j].before-falls[j].after
+func formatGuaranteeReductions(reductions []guaranteeReduction) []string {
+	sort.SliceStable(reductions, func(i, j int) bool {
+		return reductions[i].before-reductions[i].after > reductions[j].before-reductions[j].after
 	})
 	var texts []string
-	for i, fall := range falls {
+	for i, reduction := range reductions {
 		if i == maxShareWarnings {
-			texts = append(texts, fmt.Sprintf("%d more guarantees would fall", len(falls)-i))
+			texts = append(texts, fmt.Sprintf("%d more guarantees would fall", len(reductions)-i))
 			break
 		}
 		texts = append(texts, fmt.Sprintf("workspace %s: its guarantee in pool %s falls from %d to %d requests at a time",
-			fall.workspace, fall.pool, fall.before, fall.after))
+			reduction.workspace, reduction.pool, reduction.before, reduction.after))
 	}
 	return texts
 }
 
-// unresolvedNames warns of names that no model, service or pool has.
-func (p *proposal) unresolvedNames() []string {
+// unresolvedNameWarnings warns about names in workspaces for which there is no model,
+// service or pool.
+func (p *proposal) unresolvedNameWarnings() []string {
 	pools := make(map[string]bool)
 	for _, entry := range p.state.endpoints {
 		pools[entry.announced.GetPool()] = true
 	}
-	for _, name := range names(p.state.models, p.models) {
+	for _, name := range proposedNames(p.state.models, p.models) {
 		pools[p.model(name).GetPool()] = true
 	}
 	var warnings []string
@@ -333,16 +335,16 @@
 		}
 	}
 	for _, removed := range p.intent.GetRemoveModels() {
-		if count := p.callersOf(removed); count > 0 {
+		if count := p.countWorkspacesNaming(removed); count > 0 {
 			warnings = append(warnings, fmt.Sprintf("model %s is removed, but %d workspaces name it", removed, count))
 		}
 	}
 	return warnings
 }
 
-func (p *proposal) callersOf(model string) int {
+func (p *proposal) countWorkspacesNaming(model string) int {
 	count := 0
-	for _, name := range names(p.state.workspaces, p.workspaces) {
+	for _, name := range proposedNames(p.state.workspaces, p.workspaces) {
 		if slices.Contains(p.workspace(name).GetModels(), model) {
 			count++
 		}
--- a/contract/preview.go
+++ b/contract/preview.go
@@ -7,34 +7,34 @@
 	fleetv1 "github.com/lilackeel/lilackeel/api/fleet/v1"
 )
 
-// Preview plans an intent against a configuration without asking anyone, for
-// operators who want to see the difference. Nothing is recorded, and the plan
-// has no digest: it cannot be confirmed.
+// Preview plans an intent against a configuration locally, for operators who want to see its
+// effects. Nothing is recorded, and the plan has no digest, so it cannot be confirmed.
 func Preview(configuration *fleetv1.Configuration, intent *controlv1.Intent) (*controlv1.Plan, error) {
 	if err := validateIntent(intent); err != nil {
 		return nil, err
 	}
-	s := stateOf(configuration)
-	plan, err := s.draft(intent)
+	s := stateFromConfiguration(configuration)
+	plan, err := s.buildPlan(intent)
 	if err != nil {
 		return nil, err
 	}
 	return plan, nil
 }
 
-// previewEndpoint takes an endpoint that is out of rotation for one that
-// operators took out; the configuration does not say who did.
+// previewEndpoint returns the entry of a configured endpoint. A leaving or stopped state is
+// taken as requested by operators, because the configuration does not tell whether an
+// operator or the agent set it.
 func previewEndpoint(endpoint *fleetv1.Endpoint) *endpointEntry {
 	announced := proto.Clone(endpoint).(*fleetv1.Endpoint)
 	announced.State = fleetv1.EndpointState_ENDPOINT_STATE_SERVING
 	return &endpointEntry{
 		announced: announced, message: endpoint, live: endpoint.GetLive(),
-		wantedState: wantedState(endpoint.GetState()),
+		wantedState: toWantedState(endpoint.GetState()),
 	}
 }
 
-// stateOf returns a state with the given configuration.
-func stateOf(configuration *fleetv1.Configuration) *State {
+// stateFromConfiguration returns a state with the given configuration.
+func stateFromConfiguration(configuration *fleetv1.Configuration) *State {
 	s := NewState()
 	s.revision = configuration.GetRevision()
 	for _, workspace := range configuration.GetWorkspaces() {
--- a/contract/progress.go
+++ b/contract/progress.go
@@ -10,9 +10,9 @@
 	fleetv1 "github.com/lilackeel/lilackeel/api/fleet/v1"
 )
 
-// Progress says, for every confirmed intent that is not done, what it waits for
-// as far as the state shows. A leader adds the daemons that have not yet
-// acknowledged the intent's revision.
+// Progress returns, for every confirmed intent that is not done, what it is waiting for
+// according to the state. A leader adds the daemons that have not yet acknowledged the
+// intent's revision.
 func (s *State) Progress() []*controlv1.IntentProgress {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -29,19 +29,19 @@
 	return progress
 }
 
-// waitingFor lists what keeps a confirmed intent from being carried out. Things
-// that a later intent has changed since are that intent's to wait for.
+// waitingFor lists what a confirmed intent is waiting for. Objects that a later intent has
+// changed since are left to that intent.
 func (s *State) waitingFor(record *contractv1.IntentRecord) []string {
 	var waiting []string
 	id := record.GetIntent().GetId()
-	for _, each := range record.GetPlan().GetChanges() {
-		switch objectKind(each.GetKind()) {
+	for _, change := range record.GetPlan().GetChanges() {
+		switch objectKind(change.GetKind()) {
 		case modelKind:
-			if entry := s.models[each.GetName()]; entry != nil && entry.intent == id {
+			if entry := s.models[change.GetName()]; entry != nil && entry.intent == id {
 				waiting = append(waiting, s.waitingForModel(entry.message)...)
 			}
 		case endpointKind:
-			if entry := s.endpoints[each.GetName()]; entry != nil && entry.intent == id {
+			if entry := s.endpoints[change.GetName()]; entry != nil && entry.intent == id {
 				waiting = append(waiting, waitingForEndpoint(entry)...)
 			}
 		}
@@ -57,11 +57,11 @@
 			continue
 		}
 		serving++
-		if gap := gapOf(target.engine, model); gap.model || len(gap.adapters)+len(gap.surplus) > 0 {
+		if diff := diffLoaded(target.engine, model); diff.modelMismatch || len(diff.missingAdapters)+len(diff.extraAdapters) > 0 {
 			waiting = append(waiting, fmt.Sprintf("endpoint %s to load model %s %s with adapters %s (has %s %s, %s)",
-				target.engine.announced.GetId(), model.GetName(), model.GetVersion(), list(model.GetAdapters(), "none"),
+				target.engine.announced.GetId(), model.GetName(), model.GetVersion(), formatList(model.GetAdapters(), "none"),
 				orNone(target.engine.announced.GetModel()), target.engine.announced.GetVersion(),
-				list(target.engine.announced.GetAdapters(), "none")))
+				formatList(target.engine.announced.GetAdapters(), "none")))
 		}
 	}
 	if serving == 0 {
@@ -86,22 +86,22 @@
 	return waiting
 }
 
-// Drain is an endpoint that operators set leaving or stopped and that has not
-// finished its work as far as is known.
+// Drain is an endpoint that operators set leaving or stopped and that is not known to have
+// finished its work.
 type Drain struct {
 	// Endpoint is the id of the endpoint.
 	Endpoint string
-	// Agent gates the endpoint; its name is empty if none does any more.
+	// Agent manages the endpoint; its name is empty if no agent does any more.
 	Agent AgentRef
-	// Revision is the one that made it leave.
+	// Revision is the configuration revision that made the endpoint leave.
 	Revision uint64
-	// Limit is the longest wait that the intent allows; zero means no limit.
+	// Limit is the maximum drain time that the intent allows; zero means no limit.
 	Limit time.Duration
 	// Live is whether the agent's lease is current.
 	Live bool
 }
 
-// Draining returns the endpoints that have to finish their work, sorted.
+// Draining returns the endpoints that are draining, sorted by id.
 func (s *State) Draining() []Drain {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -122,15 +122,15 @@
 	return drains
 }
 
-// target is the model that an engine should have.
-type target struct {
+// modelTarget is the model that an engine should have loaded.
+type modelTarget struct {
 	engine *endpointEntry
 	model  *fleetv1.Model
 }
 
-// poolTargets returns the targets of the serving engines of a pool, or of all
-// pools if pool is empty, sorted by endpoint within each pool.
-func (s *State) poolTargets(pool string) []target {
+// poolTargets returns the model targets of the serving engines of a pool, or of all pools
+// if pool is empty, sorted by endpoint within each pool.
+func (s *State) poolTargets(pool string) []modelTarget {
 	models := make(map[string][]*fleetv1.Model)
 	for _, name := range sortedKeys(s.models) {
 		model := s.models[name].message
@@ -145,39 +145,39 @@
 			engines[entry.announced.GetPool()] = append(engines[entry.announced.GetPool()], entry)
 		}
 	}
-	var targets []target
-	for _, each := range sortedKeys(engines) {
-		assigned := assignModels(engines[each], models[each])
-		for _, engine := range engines[each] {
-			targets = append(targets, target{engine, assigned[engine.announced.GetId()]})
+	var targets []modelTarget
+	for _, poolName := range sortedKeys(engines) {
+		assigned := assignModels(engines[poolName], models[poolName])
+		for _, engine := range engines[poolName] {
+			targets = append(targets, modelTarget{engine, assigned[engine.announced.GetId()]})
 		}
 	}
 	return targets
 }
 
-// Order is one order to an endpoint through its agent.
+// Order is an order that an agent carries out on one of its endpoints.
 type Order struct {
-	// Agent is the incarnation that gates the endpoint.
+	// Agent is the agent incarnation that manages the endpoint.
 	Agent AgentRef
 	// Addr is the agent's gRPC address, host:port.
 	Addr string
-	// Request lacks only the fencing token and the order id.
+	// Request is complete except for the fencing token and the order id.
 	Request *agentv1.OrderRequest
 }
 
-// Orders returns what would bring the serving endpoints to what is accepted, at
-// most one order for each endpoint: first its model, then its adapters, then
-// its role. An order that was cut short may have been carried out; it must be
-// followed by a read-back (EncodeObserved) before it is sent again.
+// Orders returns the orders that move the serving endpoints toward the accepted
+// configuration, at most one for each endpoint: first its model, then its adapters, then its
+// role. An interrupted order may have been carried out, so a read-back (EncodeObserved) must
+// follow before it is sent again.
 func (s *State) Orders() []Order {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	var orders []Order
 	ordered := make(map[string]bool)
-	for _, each := range s.poolTargets("") {
-		if request := loadOrder(each.engine, each.model); request != nil {
-			orders = append(orders, orderTo(each.engine, request))
-			ordered[each.engine.announced.GetId()] = true
+	for _, target := range s.poolTargets("") {
+		if request := nextLoadOrder(target.engine, target.model); request != nil {
+			orders = append(orders, newOrder(target.engine, request))
+			ordered[target.engine.announced.GetId()] = true
 		}
 	}
 	for _, id := range sortedKeys(s.endpoints) {
@@ -185,33 +185,34 @@
 		if ordered[id] || !entry.serves() || entry.wantedRole == "" || entry.wantedRole == entry.announced.GetRole() {
 			continue
 		}
-		orders = append(orders, orderTo(entry, &agentv1.OrderRequest{
+		orders = append(orders, newOrder(entry, &agentv1.OrderRequest{
 			Kind: agentv1.OrderKind_ORDER_KIND_CHANGE_ROLE, Role: entry.wantedRole,
 		}))
 	}
 	return orders
 }
 
-// loadOrder returns the next order that brings an engine to its model, or nil.
-func loadOrder(engine *endpointEntry, model *fleetv1.Model) *agentv1.OrderRequest {
+// nextLoadOrder returns the next order that an engine needs to have its target model and
+// adapters loaded, or nil.
+func nextLoadOrder(engine *endpointEntry, model *fleetv1.Model) *agentv1.OrderRequest {
 	request := &agentv1.OrderRequest{Model: model.GetName(), Version: model.GetVersion()}
-	gap := gapOf(engine, model)
+	diff := diffLoaded(engine, model)
 	switch {
-	case gap.model:
+	case diff.modelMismatch:
 		request.Kind = agentv1.OrderKind_ORDER_KIND_LOAD_MODEL
-	case len(gap.adapters) > 0:
+	case len(diff.missingAdapters) > 0:
 		request.Kind = agentv1.OrderKind_ORDER_KIND_LOAD_ADAPTER
-		request.Adapter = gap.adapters[0]
-	case len(gap.surplus) > 0:
+		request.Adapter = diff.missingAdapters[0]
+	case len(diff.extraAdapters) > 0:
 		request.Kind = agentv1.OrderKind_ORDER_KIND_UNLOAD_ADAPTER
-		request.Adapter = gap.surplus[0]
+		request.Adapter = diff.extraAdapters[0]
 	default:
 		return nil
 	}
 	return request
 }
 
-func orderTo(entry *endpointEntry, request *agentv1.OrderRequest) Order {
+func newOrder(entry *endpointEntry, request *agentv1.OrderRequest) Order {
 	request.Endpoint = entry.announced.GetId()
 	request.Incarnation = entry.announced.GetIncarnation()
 	return Order{
--- a/contract/proposal.go
+++ b/contract/proposal.go
@@ -6,8 +6,8 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// proposal is the state as it would be if an intent were accepted: the state
-// below, and over it what the intent changes. A nil value means removed.
+// proposal is the state as it would be if an intent were accepted: the changes of the intent
+// as an overlay on the current state. A nil value means that the object is removed.
 type proposal struct {
 	state      *State
 	intent     *controlv1.Intent
@@ -19,8 +19,8 @@
 	changes    []*controlv1.Change
 }
 
-// propose works out what an intent changes; things that it states as they are
-// already do not count. Messages in the proposal carry the next revision.
+// propose computes the changes that an intent makes; objects that it declares as they
+// already are do not count. Messages in the proposal have the next revision.
 func (s *State) propose(intent *controlv1.Intent) (*proposal, *fault.Error) {
 	p := &proposal{
 		state: s, intent: intent,
@@ -30,10 +30,10 @@
 		policies:   make(map[string]*fleetv1.BalancePolicy),
 		endpoints:  make(map[string]*endpointEntry),
 	}
-	proposeStated(p, workspaceType, intent.GetWorkspaces(), s.workspaces, p.workspaces)
-	proposeStated(p, modelType, intent.GetModels(), s.models, p.models)
-	proposeStated(p, serviceType, intent.GetServices(), s.services, p.services)
-	proposeStated(p, policyType, intent.GetPolicies(), s.policies, p.policies)
+	proposeDeclared(p, workspaceType, intent.GetWorkspaces(), s.workspaces, p.workspaces)
+	proposeDeclared(p, modelType, intent.GetModels(), s.models, p.models)
+	proposeDeclared(p, serviceType, intent.GetServices(), s.services, p.services)
+	proposeDeclared(p, policyType, intent.GetPolicies(), s.policies, p.policies)
 	for _, step := range []func() *fault.Error{p.proposeRemovals, p.proposeEndpoints} {
 		if err := step(); err != nil {
 			return nil, err
@@ -42,23 +42,23 @@
 	return p, nil
 }
 
-func (p *proposal) add(each *controlv1.Change) { p.changes = append(p.changes, each) }
+func (p *proposal) addChange(change *controlv1.Change) { p.changes = append(p.changes, change) }
 
-// proposeStated adds the objects of one type that an intent creates or changes;
-// one that it states as it is already is left out.
-func proposeStated[M any](p *proposal, t objectType[M], stated []*M, present map[string]*statedEntry[M], next map[string]*M) {
-	for _, each := range stated {
-		name := t.name(each)
-		proposed := t.at(each, p.state.revision+1)
-		var old []field
-		if entry := present[name]; entry != nil {
-			if t.same(entry.message, proposed) {
+// proposeDeclared adds the objects of one type that an intent creates or changes. Objects
+// declared as they already are are skipped.
+func proposeDeclared[M any](p *proposal, t objectType[M], declared []*M, current map[string]*declaredEntry[M], next map[string]*M) {
+	for _, object := range declared {
+		name := t.name(object)
+		proposed := t.normalize(object, p.state.revision+1)
+		var old []property
+		if entry := current[name]; entry != nil {
+			if t.equal(entry.message, proposed) {
 				continue
 			}
-			old = t.fields(entry.message)
+			old = t.properties(entry.message)
 		}
 		next[name] = proposed
-		p.add(change(objectRef{t.kind, name}, old, t.fields(proposed)))
+		p.addChange(describeChange(objectRef{t.kind, name}, old, t.properties(proposed)))
 	}
 }
 
@@ -73,53 +73,53 @@
 	return proposeRemoved(p, serviceKind, intent.GetRemoveServices(), s.services, p.services)
 }
 
-// proposeRemoved adds the removal of objects of one kind, which must be there.
-func proposeRemoved[M any](p *proposal, kind objectKind, removed []string, present map[string]*statedEntry[M], next map[string]*M) *fault.Error {
+// proposeRemoved adds the removal of objects of one kind, which must exist.
+func proposeRemoved[M any](p *proposal, kind objectKind, removed []string, current map[string]*declaredEntry[M], next map[string]*M) *fault.Error {
 	for _, name := range removed {
 		ref := objectRef{kind, name}
-		if present[name] == nil {
-			return notThere(ref)
+		if current[name] == nil {
+			return notFoundError(ref)
 		}
 		next[name] = nil
-		p.add(removal(ref))
+		p.addChange(describeRemoval(ref))
 	}
 	return nil
 }
 
-func notThere(ref objectRef) *fault.Error {
-	return fault.Newf(fault.NotFound, "check the name against lilackeelctl config", "there is no %s %s", ref.kind, ref.name)
+func notFoundError(ref objectRef) *fault.Error {
+	return fault.Newf(fault.NotFound, "check the name in the output of lilackeelctl config", "there is no %s %s", ref.kind, ref.name)
 }
 
 func (p *proposal) proposeEndpoints() *fault.Error {
-	for _, stated := range p.intent.GetEndpoints() {
-		old := p.state.endpoints[stated.GetId()]
+	for _, requested := range p.intent.GetEndpoints() {
+		old := p.state.endpoints[requested.GetId()]
 		if old == nil {
-			return notThere(objectRef{endpointKind, stated.GetId()})
+			return notFoundError(objectRef{endpointKind, requested.GetId()})
 		}
-		next := p.nextEndpoint(old, stated)
+		next := p.nextEndpoint(old, requested)
 		if next == nil {
 			continue
 		}
-		p.endpoints[stated.GetId()] = next
-		p.add(&controlv1.Change{
-			Kind: string(endpointKind), Name: stated.GetId(), Action: actionUpdate,
-			Text:   endpointChangeText(old, next),
+		p.endpoints[requested.GetId()] = next
+		p.addChange(&controlv1.Change{
+			Kind: string(endpointKind), Name: requested.GetId(), Action: actionUpdate,
+			Text:   describeEndpointChange(old, next),
 			Drains: old.wantedState == 0 && next.wantedState != 0,
 		})
 	}
 	return nil
 }
 
-// nextEndpoint returns the endpoint as the intent wants it, or nil if it is so
-// already.
-func (p *proposal) nextEndpoint(old *endpointEntry, stated *controlv1.EndpointChange) *endpointEntry {
+// nextEndpoint returns the endpoint with the requested state and role, or nil if the request
+// changes nothing.
+func (p *proposal) nextEndpoint(old *endpointEntry, requested *controlv1.EndpointChange) *endpointEntry {
 	next := *old
-	if stated.GetState() != fleetv1.EndpointState_ENDPOINT_STATE_UNSPECIFIED {
-		next.wantedState = wantedState(stated.GetState())
-		next.drainLimitMS = stated.GetDrainLimitMs()
+	if requested.GetState() != fleetv1.EndpointState_ENDPOINT_STATE_UNSPECIFIED {
+		next.wantedState = toWantedState(requested.GetState())
+		next.drainLimitMS = requested.GetDrainLimitMs()
 	}
-	if stated.GetRole() != "" {
-		next.wantedRole = stated.GetRole()
+	if requested.GetRole() != "" {
+		next.wantedRole = requested.GetRole()
 	}
 	if next.wantedState == old.wantedState && next.wantedRole == old.wantedRole && next.drainLimitMS == old.drainLimitMS {
 		return nil
@@ -133,25 +133,25 @@
 	return &next
 }
 
-// wantedState is what is kept of a stated state: serving leaves the endpoint to
-// its agent.
-func wantedState(stated fleetv1.EndpointState) fleetv1.EndpointState {
-	if stated == fleetv1.EndpointState_ENDPOINT_STATE_SERVING {
+// toWantedState returns the wanted state to store for a requested state. For Serving it is
+// unspecified, so that the announced state applies.
+func toWantedState(requested fleetv1.EndpointState) fleetv1.EndpointState {
+	if requested == fleetv1.EndpointState_ENDPOINT_STATE_SERVING {
 		return fleetv1.EndpointState_ENDPOINT_STATE_UNSPECIFIED
 	}
-	return stated
+	return requested
 }
 
-// accept makes a proposal the state, in one new revision. An intent that
-// changes nothing makes none.
-func (p *proposal) accept() {
+// commit applies the proposal to the state in one new revision. A proposal without changes
+// creates no revision.
+func (p *proposal) commit() {
 	s := p.state
 	id := p.intent.GetId()
-	for _, each := range p.changes {
-		ref := objectRef{objectKind(each.GetKind()), each.GetName()}
+	for _, change := range p.changes {
+		ref := objectRef{objectKind(change.GetKind()), change.GetName()}
 		switch ref.kind {
 		case workspaceKind:
-			p.acceptWorkspace(ref.name)
+			p.storeWorkspace(ref.name)
 		case modelKind:
 			s.models[ref.name] = &modelEntry{message: p.models[ref.name], intent: id}
 		case serviceKind:
@@ -161,7 +161,7 @@
 		case endpointKind:
 			s.endpoints[ref.name] = p.endpoints[ref.name]
 		}
-		if each.GetAction() == actionRemove {
+		if change.GetAction() == actionRemove {
 			s.removeObject(ref)
 			s.tombstones.add(ref, s.revision+1, id)
 		}
@@ -171,13 +171,13 @@
 		return
 	}
 	refs := make([]objectRef, len(p.changes))
-	for i, each := range p.changes {
-		refs[i] = objectRef{objectKind(each.GetKind()), each.GetName()}
+	for i, change := range p.changes {
+		refs[i] = objectRef{objectKind(change.GetKind()), change.GetName()}
 	}
 	s.commit(refs)
 }
 
-func (p *proposal) acceptWorkspace(name string) {
+func (p *proposal) storeWorkspace(name string) {
 	s := p.state
 	if old := s.workspaces[name]; old != nil {
 		for _, digest := range old.message.GetKeyDigests() {
@@ -198,8 +198,8 @@
 	}
 }
 
-// indexKeys notes the owners of the keys that a proposal states, after the keys
-// of all workspaces that it changes were released.
+// indexKeys records the owners of the keys in a proposal, after the keys of all workspaces
+// that it changes were released.
 func (s *State) indexKeys(p *proposal) {
 	for name, workspace := range p.workspaces {
 		for _, digest := range workspace.GetKeyDigests() {
@@ -208,34 +208,34 @@
 	}
 }
 
-// workspace returns a workspace as it would be, or nil.
+// workspace returns a workspace as proposed, or nil.
 func (p *proposal) workspace(name string) *fleetv1.Workspace {
-	return proposedOr(p.workspaces, p.state.workspaces, name)
+	return proposedOrCurrent(p.workspaces, p.state.workspaces, name)
 }
 
-// model returns a model as it would be, or nil.
+// model returns a model as proposed, or nil.
 func (p *proposal) model(name string) *fleetv1.Model {
-	return proposedOr(p.models, p.state.models, name)
+	return proposedOrCurrent(p.models, p.state.models, name)
 }
 
-// service returns a service as it would be, or nil.
+// service returns a service as proposed, or nil.
 func (p *proposal) service(name string) *fleetv1.Service {
-	return proposedOr(p.services, p.state.services, name)
+	return proposedOrCurrent(p.services, p.state.services, name)
 }
 
-// proposedOr returns the proposed object if the proposal changes it, otherwise
-// the present one, or nil.
-func proposedOr[M any](proposed map[string]*M, present map[string]*statedEntry[M], name string) *M {
+// proposedOrCurrent returns the proposed object if the proposal changes it, otherwise the
+// current one, or nil.
+func proposedOrCurrent[M any](proposed map[string]*M, current map[string]*declaredEntry[M], name string) *M {
 	if next, changed := proposed[name]; changed {
 		return next
 	}
-	if entry := present[name]; entry != nil {
+	if entry := current[name]; entry != nil {
 		return entry.message
 	}
 	return nil
 }
 
-// endpoint returns an endpoint as it would be, or nil.
+// endpoint returns an endpoint as proposed, or nil.
 func (p *proposal) endpoint(id string) *endpointEntry {
 	if next, changed := p.endpoints[id]; changed {
 		return next
@@ -243,10 +243,10 @@
 	return p.state.endpoints[id]
 }
 
-// names returns the names of all objects of one kind as they would be, sorted.
-func names[E, M any](present map[string]E, proposed map[string]*M) []string {
-	union := make(map[string]bool, len(present))
-	for name := range present {
+// proposedNames returns the sorted names of all objects of one kind as proposed.
+func proposedNames[E, M any](current map[string]E, proposed map[string]*M) []string {
+	union := make(map[string]bool, len(current))
+	for name := range current {
 		union[name] = true
 	}
 	for name, next := range proposed {
--- a/contract/result.go
+++ b/contract/result.go
@@ -6,27 +6,27 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// Result is what applying one command came to. Fields that do not belong to
-// the kind of command are zero.
+// Result is the result of applying one command. Fields that do not apply to the kind of
+// command are zero.
 type Result struct {
-	// Err is the typed refusal of the command; nil when it was accepted. A
-	// refused command has changed nothing but log time.
+	// Err is the reason why the command was refused, or nil if it was accepted. A
+	// refused command changes nothing but log time.
 	Err *fault.Error
-	// Revision is the one that an accepted intent made (Confirm: the first
-	// answer, also when resent), otherwise the revision after the command.
+	// Revision is the revision that a confirmed intent created, also for a repeated
+	// Confirm; for other commands it is the revision after the command.
 	Revision uint64
-	// Plan answers a Plan command.
+	// Plan is the plan of the intent after a Plan command.
 	Plan *controlv1.Plan
 	// Claim is the claim that holds the key after a Claim or Settle command.
 	Claim *controlv1.Claim
-	// Granted is set when the command's own claim id holds the key and may be
+	// Granted is set when the claim id of the command holds the key; its call may be
 	// dispatched.
 	Granted bool
-	// Fence is the token that an IssueFence command gave out.
+	// Fence is the fencing token that an IssueFence command issued.
 	Fence uint64
-	// Map is the group's record after MapBegin and MapDecide.
+	// Map is the group's expert map record after a MapBegin or MapDecide command.
 	Map *fleetv1.MapRecord
-	// Refused lists announced endpoints that another agent holds; the rest of
-	// the announcement was accepted.
+	// Refused has one error for each announced endpoint whose lease another agent
+	// holds; the rest of the announcement was accepted.
 	Refused []*fault.Error
 }
--- a/contract/retired.go
+++ b/contract/retired.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// hashBytes is how much of the SHA-256 of a key is kept.
+	// hashBytes is the length of the prefix of a key's SHA-256 that is kept.
 	hashBytes = 16
-	// retiredBytes is the size of a retired claim in a snapshot: hash, digest,
-	// claim id, expiry and status.
+	// retiredBytes is the size of a retired claim in a snapshot: key hash, digest, hash
+	// of the claim id, expiry and status.
 	retiredBytes = hashBytes + digestBytes + 8 + 8 + 4
-	// retiredChunk is the number of retired claims that are allocated together.
+	// retiredChunk is the number of retired claims in an allocated chunk.
 	retiredChunk = 4096
 )
 
-// keyHash is the beginning of the SHA-256 of a claim's key.
+// keyHash is a prefix of the SHA-256 of a claim's workspace and key.
 type keyHash [hashBytes]byte
 
 func hashKey(workspace, key string) keyHash {
@@ -29,8 +29,8 @@
 	return keyHash(sum[:hashBytes])
 }
 
-// retiredClaim is what is kept of an answered claim whose answer is not kept any
-// more. It never changes.
+// retiredClaim is the compact record of an answered claim whose answer is no longer kept. It
+// is immutable.
 type retiredClaim struct {
 	key     keyHash
 	digest  [digestBytes]byte
@@ -39,15 +39,15 @@
 	status  int32
 }
 
-func (e *claimEntry) retired() retiredClaim {
+func (e *claimEntry) toRetired() retiredClaim {
 	return retiredClaim{
 		key: hashKey(e.workspace, e.key), digest: e.digest,
 		id: xxhash.Sum64String(e.id), expires: e.expires, status: e.answer.GetStatus(),
 	}
 }
 
-// message returns the claim as the protocol has it, for a caller that knows the
-// key and perhaps the claim id.
+// message returns the claim as a protobuf message, with the given key. The claim id is set
+// only if id is the one that holds the key.
 func (r *retiredClaim) message(workspace, key, id string) *controlv1.Claim {
 	claim := &controlv1.Claim{
 		Workspace: workspace, Key: key, Digest: r.digest[:], State: controlv1.ClaimState_CLAIM_STATE_ANSWERED,
@@ -61,13 +61,12 @@
 
 func (r *retiredClaim) heldBy(id string) bool { return id != "" && r.id == xxhash.Sum64String(id) }
 
-// retiredTable holds retired claims by key, oldest first. A record that has
-// expired may stay for a while behind one that has not; a later one of the same
-// key then takes its place in the index.
+// retiredTable holds retired claims by key, oldest first. An expired record stays until all
+// older ones have expired; a later record of the same key replaces it in the index.
 type retiredTable struct {
-	chunks [][]retiredClaim // full but for the last; only appended to
-	first  uint64           // sequence number of the first record of chunks
-	head   uint64           // sequence number of the oldest record that is kept
+	chunks [][]retiredClaim // all full except the last; append-only
+	first  uint64           // sequence number of the first record in chunks
+	head   uint64           // sequence number of the oldest kept record
 	next   uint64           // sequence number of the next record
 	index  map[keyHash]uint64
 }
@@ -77,8 +76,8 @@
 func (t *retiredTable) len() int { return int(t.next - t.head) }
 
 func (t *retiredTable) at(sequence uint64) *retiredClaim {
-	place := sequence - t.first
-	return &t.chunks[place/retiredChunk][place%retiredChunk]
+	offset := sequence - t.first
+	return &t.chunks[offset/retiredChunk][offset%retiredChunk]
 }
 
 func (t *retiredTable) push(r retiredClaim) {
@@ -92,7 +91,7 @@
 	t.next++
 }
 
-// find returns the claim that holds a key at logTime, or nil.
+// find returns the retired claim that holds a key at logTime, or nil.
 func (t *retiredTable) find(workspace, key string, logTime int64) *retiredClaim {
 	if len(t.index) == 0 {
 		return nil
@@ -107,7 +106,7 @@
 	return nil
 }
 
-// expire forgets the oldest claims whose TTL has passed, at most limit.
+// expire removes the oldest claims whose TTL has passed, at most limit.
 func (t *retiredTable) expire(logTime int64, limit int) {
 	for range limit {
 		if t.head == t.next || t.at(t.head).expires > logTime {
@@ -124,8 +123,8 @@
 	}
 }
 
-// capture returns the records that are kept now. They never change, so that they
-// may be read beside later commands.
+// capture returns the records that are kept now. They are immutable and may be read while
+// later commands are applied.
 func (t *retiredTable) capture() [][]retiredClaim {
 	captured := append([][]retiredClaim(nil), t.chunks...)
 	if len(captured) > 0 {
@@ -148,15 +147,15 @@
 	return data
 }
 
-// fill reads what encodeRetired wrote; the length must be a multiple of
-// retiredBytes.
-func (t *retiredTable) fill(data []byte) {
+// decode appends the claims encoded by encodeRetired; the length of data must be a multiple
+// of retiredBytes.
+func (t *retiredTable) decode(data []byte) {
 	for ; len(data) > 0; data = data[retiredBytes:] {
-		numbers := data[hashBytes+digestBytes:]
+		fields := data[hashBytes+digestBytes:]
 		t.push(retiredClaim{
 			key: keyHash(data[:hashBytes]), digest: [digestBytes]byte(data[hashBytes : hashBytes+digestBytes]),
-			id: binary.BigEndian.Uint64(numbers), expires: int64(binary.BigEndian.Uint64(numbers[8:])),
-			status: int32(binary.BigEndian.Uint32(numbers[16:])),
+			id: binary.BigEndian.Uint64(fields), expires: int64(binary.BigEndian.Uint64(fields[8:])),
+			status: int32(binary.BigEndian.Uint32(fields[16:])),
 		})
 	}
 }
--- a/contract/site_test.go
+++ b/contract/site_test.go
@@ -14,7 +14,7 @@
 
 func testSite(version uint64) *fleetv1.Site {
 	return &fleetv1.Site{
-		Version: version, Document: []byte("the operator's own words"),
+		Version: version, Document: []byte("the published document"),
 		Pools: []*fleetv1.Pool{{Name: "a"}, {Name: "b"}},
 		Routes: []*fleetv1.Route{
 			{Name: "one", Host: "x.example", PathPrefix: "/a/", Kind: fleetv1.CallKind_CALL_KIND_SINGLE, TimeoutMs: 1000, Splits: []*fleetv1.Split{{Pool: "a", Weight: 1}}},
@@ -24,7 +24,7 @@
 	}
 }
 
-// publish applies a site as the next command.
+// publish applies a Publish command with the given site.
 func publish(t *testing.T, s *State, site *fleetv1.Site) *Result {
 	t.Helper()
 	data, err := EncodePublish(1, site)
@@ -35,41 +35,41 @@
 	return s.Apply(index+1, max(term, 1), data).(*Result)
 }
 
-func TestTheHighestVersionIsInForce(t *testing.T) {
+func TestHighestSiteVersionIsInForce(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
 	is.True(s.Site() == nil)
 	is.True(publish(t, s, testSite(7)).Err == nil)
 	revision := s.Revision()
-	for _, version := range []uint64{7, 3, 0} { // resent, overtaken
+	for _, version := range []uint64{7, 3, 0} { // resent, superseded
 		other := testSite(version)
-		other.Document = []byte("something else")
+		other.Document = []byte("a different document")
 		other.Routes = other.Routes[:1]
-		is.True(publish(t, s, other).Err == nil) // confirmed
-		is.Equal(s.Revision(), revision)         // and changes nothing
-		is.Equal(string(s.Site().GetDocument()), "the operator's own words")
+		is.True(publish(t, s, other).Err == nil) // succeeds
+		is.Equal(s.Revision(), revision)         // without any change
+		is.Equal(string(s.Site().GetDocument()), "the published document")
 	}
 	is.True(publish(t, s, testSite(9)).Err == nil)
 	is.Equal(s.Site().GetVersion(), uint64(9))
 	is.Equal(s.Revision(), revision+1)
 }
 
-func TestAnInvalidSiteIsRefusedWhateverItsVersion(t *testing.T) {
-	for name, spoil := range map[string]func(*fleetv1.Site){
-		"unknown pool":      func(s *fleetv1.Site) { s.Routes[0].Splits[0].Pool = "c" },
-		"pool twice":        func(s *fleetv1.Site) { s.Pools[1].Name = "a" },
-		"same place":        func(s *fleetv1.Site) { s.Routes[1].Host, s.Routes[1].PathPrefix = "X.example", "/a/" },
-		"no weight":         func(s *fleetv1.Site) { s.Routes[1].Splits[1].Weight = 0 },
-		"negative weight":   func(s *fleetv1.Site) { s.Routes[1].Splits[0].Weight = -1 },
-		"no split":          func(s *fleetv1.Site) { s.Routes[0].Splits = nil },
-		"no timeout":        func(s *fleetv1.Site) { s.Routes[0].TimeoutMs = 0 },
-		"no kind":           func(s *fleetv1.Site) { s.Routes[0].Kind = 0 },
-		"prefix no slash":   func(s *fleetv1.Site) { s.Routes[0].PathPrefix = "/a" },
-		"shared key":        func(s *fleetv1.Site) { s.Workspaces[1].KeyDigests = []string{"d2"} },
-		"workspace twice":   func(s *fleetv1.Site) { s.Workspaces[1].Name = "w" },
-		"nameless pool":     func(s *fleetv1.Site) { s.Pools[0].Name = "" },
-		"prefix not begun":  func(s *fleetv1.Site) { s.Routes[0].PathPrefix = "a/" },
-		"missing workspace": func(s *fleetv1.Site) { s.Workspaces[0].Name = "" },
+func TestInvalidSiteIsRefusedAtAnyVersion(t *testing.T) {
+	for name, corrupt := range map[string]func(*fleetv1.Site){
+		"unknown pool":        func(s *fleetv1.Site) { s.Routes[0].Splits[0].Pool = "c" },
+		"duplicate pool":      func(s *fleetv1.Site) { s.Pools[1].Name = "a" },
+		"same address":        func(s *fleetv1.Site) { s.Routes[1].Host, s.Routes[1].PathPrefix = "X.example", "/a/" },
+		"no weight":           func(s *fleetv1.Site) { s.Routes[1].Splits[1].Weight = 0 },
+		"negative weight":     func(s *fleetv1.Site) { s.Routes[1].Splits[0].Weight = -1 },
+		"no split":            func(s *fleetv1.Site) { s.Routes[0].Splits = nil },
+		"no timeout":          func(s *fleetv1.Site) { s.Routes[0].TimeoutMs = 0 },
+		"no kind":             func(s *fleetv1.Site) { s.Routes[0].Kind = 0 },
+		"no trailing slash":   func(s *fleetv1.Site) { s.Routes[0].PathPrefix = "/a" },
+		"shared key":          func(s *fleetv1.Site) { s.Workspaces[1].KeyDigests = []string{"d2"} },
+		"duplicate workspace": func(s *fleetv1.Site) { s.Workspaces[1].Name = "w" },
+		"unnamed pool":        func(s *fleetv1.Site) { s.Pools[0].Name = "" },
+		"no leading slash":    func(s *fleetv1.Site) { s.Routes[0].PathPrefix = "a/" },
+		"unnamed workspace":   func(s *fleetv1.Site) { s.Workspaces[0].Name = "" },
 	} {
 		for _, version := range []uint64{1, 5, 9} {
 			t.Run(name, func(t *testing.T) {
@@ -78,7 +78,7 @@
 				is.True(publish(t, s, testSite(5)).Err == nil)
 				before := s.Revision()
 				bad := testSite(version)
-				spoil(bad)
+				corrupt(bad)
 				is.Equal(fault.KindOf(publish(t, s, bad).Err), fault.Invalid)
 				is.Equal(s.Revision(), before)
 				is.Equal(s.Site().GetVersion(), uint64(5))
@@ -87,9 +87,9 @@
 	}
 }
 
-// Daemons get the site without the document, by delta and as a whole; a restored
-// replica gives the document back.
-func TestTheSiteReachesDaemonsAndSurvivesASnapshot(t *testing.T) {
+// TestSiteInDeltaAndSnapshot checks that daemons receive the site without its document, in a
+// delta and in the whole configuration, and that a restored replica has the document.
+func TestSiteInDeltaAndSnapshot(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
 	publish(t, s, testSite(1))
@@ -111,13 +111,13 @@
 	is.Equal(again, data)
 }
 
-// An endpoint that announces itself and has said that it leaves never comes back
-// under its id, whatever a late announcement says.
-func TestALeavingEndpointDoesNotComeBack(t *testing.T) {
+// TestSelfAnnouncedEndpointStaysLeaving checks that a delayed announcement does not undo the
+// leaving state of an endpoint that announces itself.
+func TestSelfAnnouncedEndpointStaysLeaving(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
 	announce := func(stopping bool) {
-		request := ownAnnouncement(stopping)
+		request := selfAnnouncement(stopping)
 		data, err := EncodeAnnounce(1, request)
 		is.NoErr(err)
 		index, _ := s.Applied()
@@ -131,16 +131,17 @@
 	is.Equal(s.Endpoint("e").GetState(), fleetv1.EndpointState_ENDPOINT_STATE_LEAVING)
 }
 
-// An endpoint that has started again under its id is a new one: it serves although its
-// earlier incarnation left, and what is still heard of that changes nothing. A start that a
-// clock set back has dated before the present one is believed once that is silent.
-func TestAnEndpointStartsAgainUnderItsID(t *testing.T) {
+// TestSelfAnnouncedEndpointRestart checks that an endpoint that restarts under the same id
+// serves although its earlier incarnation left, and that delayed announcements of the earlier
+// incarnation change nothing. A start with an earlier time, from a clock that was set back,
+// is accepted once the lease of the current incarnation has expired.
+func TestSelfAnnouncedEndpointRestart(t *testing.T) {
 	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Restart, proof.Late, proof.ClockStep}, Step: "announcements of two incarnations of one id", Together: true,
-		Guard: "laterStart: an earlier incarnation says nothing while a later one is heard"}.Log(t)
+		Guard: "acceptNewerStart: an earlier incarnation is refused while a later one renews its lease"}.Log(t)
 	is := is.New(t)
 	s := NewState()
 	announce := func(incarnation uint64, stopping bool, addr string) *Result {
-		request := ownAnnouncement(stopping)
+		request := selfAnnouncement(stopping)
 		request.Incarnation = incarnation
 		request.Endpoints[0].Addr = addr
 		data, err := EncodeAnnounce(1, request)
@@ -155,11 +156,11 @@
 	serving, leaving := fleetv1.EndpointState_ENDPOINT_STATE_SERVING, fleetv1.EndpointState_ENDPOINT_STATE_LEAVING
 	is.True(announce(1000, false, "10.0.0.1:80").Err == nil)
 	is.True(announce(1000, true, "10.0.0.1:80").Err == nil)
-	is.True(announce(2000, false, "10.0.0.2:80").Err == nil) // started again, elsewhere
+	is.True(announce(2000, false, "10.0.0.2:80").Err == nil) // restarted at another address
 	got, addr := state()
 	is.Equal(got, serving)
 	is.Equal(addr, "10.0.0.2:80")
-	for _, stopping := range []bool{false, true} { // late heartbeat and late withdrawal
+	for _, stopping := range []bool{false, true} { // delayed heartbeat and delayed withdrawal
 		is.Equal(announce(1000, stopping, "10.0.0.1:80").Err.Kind, fault.Fenced)
 		got, addr = state()
 		is.Equal(got, serving)
@@ -173,13 +174,13 @@
 	got, addr = state()
 	is.Equal(got, serving)
 	is.Equal(addr, "10.0.0.3:80")
-	is.True(announce(2000, true, "10.0.0.2:80").Err == nil) // later by its own word
+	is.True(announce(2000, true, "10.0.0.2:80").Err == nil) // later by its own clock
 	got, _ = state()
 	is.Equal(got, leaving)
 }
 
-// ownAnnouncement is what an endpoint says of itself.
-func ownAnnouncement(stopping bool) *controlv1.AnnounceRequest {
+// selfAnnouncement returns the announcement of an endpoint without an agent.
+func selfAnnouncement(stopping bool) *controlv1.AnnounceRequest {
 	return &controlv1.AnnounceRequest{
 		Agent: "e", Incarnation: 1, Full: true, Stopping: stopping,
 		Endpoints: []*fleetv1.Endpoint{{Id: "e", Addr: "10.0.0.1:80", Pool: "a"}},
--- a/contract/snapshot.go
+++ b/contract/snapshot.go
@@ -13,20 +13,20 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// A snapshot is snapshotMagic, the xxhash64 of the rest in big-endian order,
-// and the deterministic encoding of contractv1.Snapshot.
+// A snapshot consists of snapshotMagic, the big-endian xxhash64 of the rest, and the
+// deterministic encoding of contractv1.Snapshot.
 const (
 	snapshotMagic  = "lilackeel-state-1\n"
 	checksumBytes  = 8
 	snapshotHeader = len(snapshotMagic) + checksumBytes
 )
 
-// Snapshot returns the whole state. Equal states have equal bytes.
+// Snapshot returns the encoded state. Equal states have equal encodings.
 func (s *State) Snapshot() ([]byte, error) { return s.Capture()() }
 
-// Capture copies the references to the whole state under the lock and returns a
-// function that encodes them. The encoding, which takes most of the time, may run
-// concurrently with later commands.
+// Capture copies references to the whole state under the lock and returns a function that
+// encodes it. The encoding, which takes most of the time, may run concurrently with later
+// commands.
 func (s *State) Capture() func() ([]byte, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -49,8 +49,8 @@
 	return data, nil
 }
 
-// Restore replaces the state by a snapshot. A snapshot that fails its checksum,
-// or that is older than the state, is refused and changes nothing.
+// Restore replaces the state with a snapshot. A corrupt snapshot, or one that is older than
+// the state, is refused and changes nothing.
 func (s *State) Restore(data []byte) error {
 	message, err := decodeSnapshot(data)
 	if err != nil {
@@ -59,18 +59,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if message.GetAppliedIndex() < s.appliedIndex {
-		return fault.Newf(fault.Stale, "keep the present state", "the snapshot ends at entry %d, the state at %d",
+		return fault.Newf(fault.Stale, "keep the current state", "the snapshot ends at log entry %d, the state is at entry %d",
 			message.GetAppliedIndex(), s.appliedIndex)
 	}
 	s.reset()
-	s.fill(message)
+	s.load(message)
 	return nil
 }
 
 func decodeSnapshot(data []byte) (*contractv1.Snapshot, error) {
 	const remedy = "fetch the snapshot again from another replica"
 	if len(data) < snapshotHeader || string(data[:len(snapshotMagic)]) != snapshotMagic {
-		return nil, fault.New(fault.Corrupt, "this is not a snapshot of the control state", remedy)
+		return nil, fault.New(fault.Corrupt, "the data is not a snapshot of the control state", remedy)
 	}
 	sum := binary.BigEndian.Uint64(data[len(snapshotMagic):])
 	if sum != xxhash.Sum64(data[snapshotHeader:]) {
@@ -81,13 +81,14 @@
 		return nil, fault.New(fault.Corrupt, "the snapshot of the control state cannot be decoded", remedy).Because(err)
 	}
 	if err := checkSnapshot(message); err != nil {
-		return nil, fault.New(fault.Corrupt, "the snapshot of the control state contradicts itself", remedy).Because(err)
+		return nil, fault.New(fault.Corrupt, "the snapshot of the control state is inconsistent", remedy).Because(err)
 	}
 	return message, nil
 }
 
-// snapshotMessage builds the snapshot out of messages that never change and
-// copies of what is edited in place. Tombstones are only appended and cut off.
+// snapshotMessage builds the snapshot from immutable messages and from copies of those that
+// are modified in place. The tombstones need no copy, because their list is only appended to
+// and truncated at its front.
 func (s *State) snapshotMessage() *contractv1.Snapshot {
 	message := &contractv1.Snapshot{
 		AppliedIndex: s.appliedIndex, AppliedTerm: s.appliedTerm,
@@ -122,7 +123,7 @@
 		entry := s.maps[group]
 		message.Maps = append(message.Maps, &contractv1.MapEntry{Record: entry.record, Fence: entry.fence})
 	}
-	for entry := s.claims.grants.head; entry != nil; entry = entry.links[byGrant].next {
+	for entry := s.claims.grants.head; entry != nil; entry = entry.links[grantOrder].next {
 		message.Claims = append(message.Claims, entry.record())
 	}
 	return message
@@ -144,11 +145,11 @@
 }
 
 func (e *claimEntry) record() *contractv1.ClaimRecord {
-	return &contractv1.ClaimRecord{Claim: e.message(), Spent: e.spent, AnswerSeq: e.answerSeq}
+	return &contractv1.ClaimRecord{Claim: e.message(), Spent: e.usedClaimIDs, AnswerSeq: e.answerSeq}
 }
 
-// fill sets an empty state from a checked snapshot.
-func (s *State) fill(message *contractv1.Snapshot) {
+// load loads a checked snapshot into an empty state.
+func (s *State) load(message *contractv1.Snapshot) {
 	s.appliedIndex, s.appliedTerm = message.GetAppliedIndex(), message.GetAppliedTerm()
 	s.logTime, s.revision, s.fence = message.GetLogTimeNs(), message.GetRevision(), message.GetFence()
 	for _, record := range message.GetWorkspaces() {
@@ -167,12 +168,12 @@
 		s.maps[record.GetRecord().GetGroup()] = &mapEntry{record: record.GetRecord(), fence: record.GetFence()}
 	}
 	s.site = newSiteEntry(message.GetSite())
-	s.fillEndpoints(message)
-	s.fillIntents(message)
-	s.fillClaims(message)
+	s.loadEndpoints(message)
+	s.loadIntents(message)
+	s.loadClaims(message)
 }
 
-// addWorkspace stores a workspace that was not there and indexes its keys.
+// addWorkspace stores a new workspace and indexes its keys.
 func (s *State) addWorkspace(workspace *fleetv1.Workspace, intent string) {
 	s.workspaces[workspace.GetName()] = &workspaceEntry{message: workspace, intent: intent}
 	for _, digest := range workspace.GetKeyDigests() {
@@ -180,7 +181,7 @@
 	}
 }
 
-func (s *State) fillEndpoints(message *contractv1.Snapshot) {
+func (s *State) loadEndpoints(message *contractv1.Snapshot) {
 	for _, record := range message.GetAgents() {
 		s.agents[record.GetName()] = &agentEntry{
 			name: record.GetName(), host: record.GetHost(), zone: record.GetZone(),
@@ -199,15 +200,15 @@
 		id := entry.announced.GetId()
 		s.endpoints[id] = entry
 		if holder := s.agents[entry.announced.GetAgent()]; holder != nil {
-			holder.holds = append(holder.holds, id)
+			holder.endpointIDs = append(holder.endpointIDs, id)
 		}
 	}
 	for _, agent := range s.agents {
-		slices.Sort(agent.holds)
+		slices.Sort(agent.endpointIDs)
 	}
 }
 
-func (s *State) fillIntents(message *contractv1.Snapshot) {
+func (s *State) loadIntents(message *contractv1.Snapshot) {
 	for _, record := range message.GetIntents() {
 		s.intents.push(record)
 	}
@@ -217,12 +218,12 @@
 	s.tombstones.floor = message.GetTombstoneFloor()
 }
 
-func (s *State) fillClaims(message *contractv1.Snapshot) {
-	s.claims.retired.fill(message.GetRetiredClaims())
+func (s *State) loadClaims(message *contractv1.Snapshot) {
+	s.claims.retired.decode(message.GetRetiredClaims())
 	var answers []*claimEntry
-	shared := make(interner)
+	interned := make(interner)
 	for _, record := range message.GetClaims() {
-		entry := s.restoredClaim(record, shared)
+		entry := s.claimFromRecord(record, interned)
 		s.claims.add(entry)
 		if entry.answerSeq > 0 {
 			answers = append(answers, entry)
@@ -234,7 +235,7 @@
 	}
 }
 
-// interner keeps one copy of each string that many claims have in common.
+// interner holds one copy of each string that many claims share.
 type interner map[string]string
 
 func (i interner) intern(text string) string {
@@ -245,14 +246,14 @@
 	return text
 }
 
-func (s *State) restoredClaim(record *contractv1.ClaimRecord, shared interner) *claimEntry {
+func (s *State) claimFromRecord(record *contractv1.ClaimRecord, interned interner) *claimEntry {
 	claim := record.GetClaim()
 	return &claimEntry{
-		claimKey: claimKey{shared.intern(claim.GetWorkspace()), claim.GetKey()},
+		claimKey: claimKey{interned.intern(claim.GetWorkspace()), claim.GetKey()},
 		digest:   [digestBytes]byte(claim.GetDigest()),
-		id:       claim.GetClaimId(), endpoint: shared.intern(claim.GetEndpoint()),
-		agent: shared.intern(claim.GetAgent()), agentAddr: shared.intern(claim.GetAgentAddr()), incarnation: claim.GetIncarnation(),
+		id:       claim.GetClaimId(), endpoint: interned.intern(claim.GetEndpoint()),
+		agent: interned.intern(claim.GetAgent()), agentAddr: interned.intern(claim.GetAgentAddr()), incarnation: claim.GetIncarnation(),
 		state: claim.GetState(), answer: claim.GetAnswer(), expires: claim.GetExpiresNs(),
-		spent: record.GetSpent(), answerSeq: record.GetAnswerSeq(),
+		usedClaimIDs: record.GetSpent(), answerSeq: record.GetAnswerSeq(),
 	}
 }
--- a/contract/snapshot_test.go
+++ b/contract/snapshot_test.go
@@ -13,20 +13,20 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// mixed returns a history that has met most commands.
-func mixed(seed uint64, commands int) *history {
-	h := newHistory(seed)
+// randomHarness returns a harness to which random commands of most kinds were applied.
+func randomHarness(seed uint64, commands int) *harness {
+	h := newHarness(seed)
 	for range commands {
 		h.step()
 	}
 	return h
 }
 
-// TestDamagedSnapshotsAreRefused: any flipped bit, a cut and an older snapshot
-// are refused and leave the state as it is; so does an entry applied twice.
+// TestDamagedSnapshotsAreRefused checks that a snapshot with a flipped bit, a truncated one
+// and an older one are refused without changing the state, as is an entry applied twice.
 func TestDamagedSnapshotsAreRefused(t *testing.T) {
 	is := is.New(t)
-	h := mixed(1, 300)
+	h := randomHarness(1, 300)
 	data, err := h.state.Snapshot()
 	is.NoErr(err)
 	target := NewState()
@@ -41,17 +41,17 @@
 	newer, _ := h.state.Snapshot()
 	is.True(fault.Is(h.state.Restore(data), fault.Stale))
 	is.Equal(h.state.Apply(5, 1, h.log[4]).(*Result).Err.Kind, fault.Internal)
-	kept, _ := h.state.Snapshot()
-	is.Equal(string(kept), string(newer))
+	unchanged, _ := h.state.Snapshot()
+	is.Equal(string(unchanged), string(newer))
 }
 
-// TestCaptureStandsStill: a snapshot that is encoded while later commands run is
-// that of the moment at which it was captured. Under the race detector it also
-// shows that readers and the encoder may run beside Apply.
-func TestCaptureStandsStill(t *testing.T) {
+// TestCaptureIsPointInTime checks that a snapshot that is encoded while later commands are
+// applied has the state at the time of its capture. With the race detector it also checks
+// that readers and the encoder may run concurrently with Apply.
+func TestCaptureIsPointInTime(t *testing.T) {
 	is := is.New(t)
-	h := mixed(3, 300)
-	h.plan(&controlv1.Intent{Id: "open", Workspaces: []*fleetv1.Workspace{workspace("new", 1, 0)}})
+	h := randomHarness(3, 300)
+	h.plan(&controlv1.Intent{Id: "open", Workspaces: []*fleetv1.Workspace{newWorkspace("new", 1, 0)}})
 	want, err := h.state.Snapshot()
 	is.NoErr(err)
 	encode := h.state.Capture()
@@ -75,14 +75,14 @@
 	is.True(string(again) == string(want))
 }
 
-// TestFarBehindNeedsASnapshot: a watcher beyond the ring, or after a restart,
-// is told to read the whole configuration.
-func TestFarBehindNeedsASnapshot(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.ManyChanges}, Step: "watcher that more changes have passed by than are remembered", Together: true,
-		Guard: "the bound of the remembered revisions"}.Log(t)
+// TestDeltaUnavailableBeyondChangeRing checks that there is no delta for a revision that is no
+// longer in the change ring, is in the future, or predates a restart from a snapshot.
+func TestDeltaUnavailableBeyondChangeRing(t *testing.T) {
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.ManyChanges}, Step: "watcher that is further behind than the change ring reaches", Together: true,
+		Guard: "the size of the change ring"}.Log(t)
 	is := is.New(t)
-	h := newHistory(1)
-	for i := range ringRevisions + 10 {
+	h := newHarness(1)
+	for i := range changeRingSize + 10 {
 		h.announce("a", 1, &fleetv1.Endpoint{Id: "e1", Pool: "p", Slots: int32(i + 1)})
 	}
 	_, ok := h.state.DeltaSince(9)
@@ -92,15 +92,15 @@
 	is.Equal(len(delta.GetEndpoints()), 1)
 	_, ok = h.state.DeltaSince(h.state.Revision() + 1)
 	is.True(!ok)
-	restart(h)
+	restoreFromSnapshot(h)
 	_, ok = h.state.DeltaSince(h.state.Revision() - 1)
 	is.True(!ok)
 }
 
-// FuzzCommand feeds arbitrary log entries: nothing panics, and two replicas
-// still agree.
+// FuzzCommand applies arbitrary log entries and checks that nothing panics and that two
+// replicas have the same state.
 func FuzzCommand(f *testing.F) {
-	base := mixed(2, 200)
+	base := randomHarness(2, 200)
 	for _, data := range base.log[:100] {
 		f.Add(data)
 	}
@@ -120,16 +120,16 @@
 			bytes[i] = string(after)
 		}
 		if bytes[0] != bytes[1] {
-			t.Fatal("replicas differ")
+			t.Fatal("replicas have different states")
 		}
 	})
 }
 
-// FuzzSnapshot feeds arbitrary contents under a right checksum: they are refused
-// or lead to a state that can be written and read again.
+// FuzzSnapshot restores snapshots with arbitrary content and a correct checksum. They are
+// either refused or lead to a state that can be encoded and restored again.
 func FuzzSnapshot(f *testing.F) {
 	for seed := range uint64(4) {
-		data, _ := mixed(seed, 50).state.Snapshot()
+		data, _ := randomHarness(seed, 50).state.Snapshot()
 		f.Add(data[snapshotHeader:])
 	}
 	f.Fuzz(func(t *testing.T, content []byte) {
