--- a/contract/snapshotcheck.go
+++ b/contract/snapshotcheck.go
@@ -6,22 +6,23 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// checkSnapshot refuses a snapshot with records that have no name, have the name
-// of another, or point to one that is missing: fill could not place them.
+// checkSnapshot returns an error if a snapshot has records that State.load cannot restore:
+// records without a name, with a duplicate name or with a reference to a missing record, and
+// malformed claims.
 func checkSnapshot(message *contractv1.Snapshot) *fault.Error {
 	checks := []*fault.Error{
-		checkNames("workspace", message.GetWorkspaces(), func(r *contractv1.WorkspaceRecord) string { return r.GetWorkspace().GetName() }),
-		checkNames("model", message.GetModels(), func(r *contractv1.ModelRecord) string { return r.GetModel().GetName() }),
-		checkNames("service", message.GetServices(), func(r *contractv1.ServiceRecord) string { return r.GetService().GetName() }),
-		checkNames("policy", message.GetPolicies(), func(r *contractv1.PolicyRecord) string { return r.GetPolicy().GetGroup() }),
-		checkNames("endpoint", message.GetEndpoints(), func(r *contractv1.EndpointRecord) string { return r.GetAnnounced().GetId() }),
-		checkNames("agent", message.GetAgents(), (*contractv1.AgentRecord).GetName),
-		checkNames("intent", message.GetIntents(), func(r *contractv1.IntentRecord) string { return r.GetIntent().GetId() }),
-		checkNames("map", message.GetMaps(), func(r *contractv1.MapEntry) string { return r.GetRecord().GetGroup() }),
-		checkNames("claim", message.GetClaims(), claimName),
+		checkUniqueNames("workspace", message.GetWorkspaces(), func(r *contractv1.WorkspaceRecord) string { return r.GetWorkspace().GetName() }),
+		checkUniqueNames("model", message.GetModels(), func(r *contractv1.ModelRecord) string { return r.GetModel().GetName() }),
+		checkUniqueNames("service", message.GetServices(), func(r *contractv1.ServiceRecord) string { return r.GetService().GetName() }),
+		checkUniqueNames("policy", message.GetPolicies(), func(r *contractv1.PolicyRecord) string { return r.GetPolicy().GetGroup() }),
+		checkUniqueNames("endpoint", message.GetEndpoints(), func(r *contractv1.EndpointRecord) string { return r.GetAnnounced().GetId() }),
+		checkUniqueNames("agent", message.GetAgents(), (*contractv1.AgentRecord).GetName),
+		checkUniqueNames("intent", message.GetIntents(), func(r *contractv1.IntentRecord) string { return r.GetIntent().GetId() }),
+		checkUniqueNames("map", message.GetMaps(), func(r *contractv1.MapEntry) string { return r.GetRecord().GetGroup() }),
+		checkUniqueNames("claim", message.GetClaims(), claimName),
 		checkClaims(message.GetClaims()),
-		checkRetired(message),
-		checkHolders(message),
+		checkRetiredClaims(message),
+		checkAgentReferences(message),
 	}
 	for _, err := range checks {
 		if err != nil {
@@ -31,10 +32,10 @@
 	return nil
 }
 
-// malformed is the fault of one record; decodeSnapshot adds the remedy.
+// malformed returns the error for one record; decodeSnapshot adds the remedy.
 func malformed(what string) *fault.Error { return fault.New(fault.Corrupt, what, "") }
 
-func checkNames[R any](what string, records []R, name func(R) string) *fault.Error {
+func checkUniqueNames[R any](what string, records []R, name func(R) string) *fault.Error {
 	seen := make(map[string]bool, len(records))
 	for _, record := range records {
 		text := name(record)
@@ -42,14 +43,14 @@
 			return malformed("a record of kind " + what + " has no name")
 		}
 		if seen[text] {
-			return malformed(what + " " + text + " is there twice")
+			return malformed(what + " " + text + " appears twice")
 		}
 		seen[text] = true
 	}
 	return nil
 }
 
-// claimName joins workspace and key; a key may not be empty.
+// claimName returns workspace and key as one name, or an empty string if there is no key.
 func claimName(record *contractv1.ClaimRecord) string {
 	claim := record.GetClaim()
 	if claim.GetKey() == "" {
@@ -63,20 +64,20 @@
 		claim := record.GetClaim()
 		_, known := controlv1.ClaimState_name[int32(claim.GetState())]
 		if len(claim.GetDigest()) != digestBytes || !known {
-			return malformed("the claim of key " + claim.GetKey() + " has no digest or state")
+			return malformed("the claim of key " + claim.GetKey() + " has no valid digest or state")
 		}
 	}
 	return nil
 }
 
-func checkRetired(message *contractv1.Snapshot) *fault.Error {
+func checkRetiredClaims(message *contractv1.Snapshot) *fault.Error {
 	if len(message.GetRetiredClaims())%retiredBytes != 0 {
-		return malformed("the last retired claim is cut short")
+		return malformed("the last retired claim is truncated")
 	}
 	return nil
 }
 
-func checkHolders(message *contractv1.Snapshot) *fault.Error {
+func checkAgentReferences(message *contractv1.Snapshot) *fault.Error {
 	agents := make(map[string]bool, len(message.GetAgents()))
 	for _, record := range message.GetAgents() {
 		agents[record.GetName()] = true
--- a/contract/state.go
+++ b/contract/state.go
@@ -10,7 +10,7 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// State is the replicated state. The package documentation gives its locking.
+// State is the replicated state. The package documentation describes its locking.
 type State struct {
 	mu sync.RWMutex
 
@@ -27,13 +27,13 @@
 	endpoints  map[string]*endpointEntry
 	agents     map[string]*agentEntry
 	maps       map[string]*mapEntry
-	// site is nil where none was published.
+	// site is nil if none was published.
 	site *siteEntry
 
-	// maxGone is the bound of that name; tests set a smaller one.
-	maxGone int
+	// maxExpiredEndpoints is the limit in use; tests set a smaller one than the constant.
+	maxExpiredEndpoints int
 
-	// keyOwners names the workspace of each key digest.
+	// keyOwners maps each key digest to the name of its workspace.
 	keyOwners map[string]string
 
 	intents    intentTable
@@ -46,12 +46,12 @@
 
 // NewState returns an empty state at revision zero.
 func NewState() *State {
-	s := &State{claims: claimTable{claimBounds: defaultBounds}, maxGone: maxGone}
+	s := &State{claims: claimTable{claimBounds: defaultClaimBounds}, maxExpiredEndpoints: maxExpiredEndpoints}
 	s.reset()
 	return s
 }
 
-// reset empties the state. The caller holds mu or owns s.
+// reset empties the state. The caller must hold mu or be the only user of s.
 func (s *State) reset() {
 	s.appliedIndex, s.appliedTerm = 0, 0
 	s.logTime, s.revision, s.fence = 0, 0, 0
@@ -71,16 +71,16 @@
 	s.cache.clear()
 }
 
-// Apply carries out the committed command at index and returns a *Result.
-// Empty data is the entry with which a leader opens its term; it changes
-// nothing. An index that was applied before is refused and changes nothing.
+// Apply applies the committed command at index and returns a *Result. Empty data is the
+// entry that a leader writes at the start of its term; it changes nothing. An index that was
+// already applied is refused and changes nothing.
 func (s *State) Apply(index, term uint64, data []byte) any {
 	command, err := decode(data)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if index <= s.appliedIndex {
 		return &Result{Err: fault.Newf(fault.Internal, "apply each log entry once, in order",
-			"entry %d was applied before; the state is at %d", index, s.appliedIndex)}
+			"log entry %d was already applied; the state is at entry %d", index, s.appliedIndex)}
 	}
 	s.appliedIndex, s.appliedTerm = index, term
 	if err != nil {
@@ -129,18 +129,18 @@
 	case *contractv1.Command_Publish:
 		return s.applyPublish(kind.Publish)
 	}
-	return &Result{Err: fault.New(fault.Internal, "this version does not know a command of the log",
+	return &Result{Err: fault.New(fault.Internal, "the log has a command that this version does not support",
 		"upgrade all control replicas before using new features")}
 }
 
-// applyIssueFence gives out a token above every earlier one. Tokens follow the
-// log's index, so a token given out in a later term is always higher.
+// applyIssueFence issues a fencing token higher than all earlier ones. Tokens follow the log
+// index, so a token issued in a later term is always higher.
 func (s *State) applyIssueFence() *Result {
 	s.fence = max(s.fence+1, s.appliedIndex)
 	return &Result{Fence: s.fence}
 }
 
-// Revision returns the revision of the present configuration.
+// Revision returns the revision of the current configuration.
 func (s *State) Revision() uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -154,14 +154,14 @@
 	return s.logTime
 }
 
-// Fence returns the highest fencing token given out.
+// Fence returns the highest fencing token that was issued.
 func (s *State) Fence() uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.fence
 }
 
-// Applied returns the index and term of the last command applied.
+// Applied returns the index and term of the last applied command.
 func (s *State) Applied() (index, term uint64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// FencedMapRecord returns the expert map record of a group, or nil, and the
-// fencing token of the coordinator that wrote it last or adopted it.
+// FencedMapRecord returns the expert map record of a group, or nil, and the fencing token of
+// the coordinator that last wrote it or took over its switch.
 func (s *State) FencedMapRecord(group string) (record *fleetv1.MapRecord, fence uint64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -210,18 +210,18 @@
 	return endpoints
 }
 
-// Agents returns every agent that has announced itself, by name.
+// Agents returns every agent that has announced itself, sorted by name.
 func (s *State) Agents() []Agent {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	agents := make([]Agent, 0, len(s.agents))
 	for _, name := range sortedKeys(s.agents) {
-		agents = append(agents, s.agents[name].view())
+		agents = append(agents, s.agents[name].toAgent())
 	}
 	return agents
 }
 
-// Agent returns one agent by name.
+// Agent returns the agent with the given name, and whether it exists.
 func (s *State) Agent(name string) (Agent, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -229,10 +229,10 @@
 	if entry == nil {
 		return Agent{}, false
 	}
-	return entry.view(), true
+	return entry.toAgent(), true
 }
 
-// Claim returns the record that holds a key, or nil.
+// Claim returns the claim that holds a key, or nil.
 func (s *State) Claim(workspace, key string) *controlv1.Claim {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -246,14 +246,14 @@
 	return entry.message()
 }
 
-// ClaimCounts returns how many claims are kept and how they stand.
+// ClaimCounts returns the number of claims by state.
 func (s *State) ClaimCounts() ClaimCounts {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.claims.counts()
 }
 
-// sortedKeys returns the keys of a table in order.
+// sortedKeys returns the keys of a table in sorted order.
 func sortedKeys[V any](table map[string]V) []string {
 	keys := make([]string, 0, len(table))
 	for key := range table {
@@ -263,8 +263,8 @@
 	return keys
 }
 
-// appendBounded returns a copy of values with one more, of which at most the
-// last bound are kept.
+// appendBounded returns a copy of values with value appended, limited to the last bound
+// elements.
 func appendBounded(values []uint64, value uint64, bound int) []uint64 {
 	longer := append(slices.Clone(values), value)
 	return longer[max(0, len(longer)-bound):]
--- a/contract/validate.go
+++ b/contract/validate.go
@@ -12,7 +12,7 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// Bounds of text in requests, in bytes.
+// Maximum lengths of texts in requests, in bytes.
 const (
 	maxNameBytes    = 128
 	maxKeyBytes     = 512
@@ -21,12 +21,13 @@
 
 const nameRemedy = "use 1 to 128 letters, digits and any of . _ - : / @, beginning with a letter or digit"
 
-// checkName refuses a name that people or programs could misread.
+// checkName returns an error for a name with characters that operators or tools could
+// misread, or with an invalid length.
 func checkName(what, name string) *fault.Error {
 	if validName(name) {
 		return nil
 	}
-	return fault.Newf(fault.Invalid, nameRemedy, "%q is not a name for a %s", name, what)
+	return fault.Newf(fault.Invalid, nameRemedy, "%q is not a valid name for a %s", name, what)
 }
 
 func validName(name string) bool {
@@ -49,8 +50,8 @@
 	return strings.IndexByte("._-:/@", char) >= 0
 }
 
-// ValidateIntent checks what can be checked of an intent without the state. The
-// error is a *fault.Error of kind Invalid.
+// ValidateIntent runs the checks of an intent that do not need the state. The error is a
+// *fault.Error of kind Invalid.
 func ValidateIntent(intent *controlv1.Intent) error {
 	if err := validateIntent(intent); err != nil {
 		return err
@@ -66,7 +67,7 @@
 		return err
 	}
 	if len(intent.GetComment()) > maxCommentBytes {
-		return fault.Newf(fault.Invalid, "shorten it", "the comment is longer than %d bytes", maxCommentBytes)
+		return fault.Newf(fault.Invalid, "shorten the comment", "the comment is longer than %d bytes", maxCommentBytes)
 	}
 	checks := []func(*controlv1.Intent) *fault.Error{
 		validateWorkspaces, validateModels, validateServices, validateEndpointChanges, validatePolicies, validateUnique,
@@ -79,17 +80,17 @@
 	return nil
 }
 
-// validateUnique refuses an intent that is empty or names a thing twice.
+// validateUnique returns an error if an intent is empty or names an object twice.
 func validateUnique(intent *controlv1.Intent) *fault.Error {
 	refs := intentRefs(intent)
 	if len(refs) == 0 {
 		return fault.Newf(fault.Invalid, "name at least one workspace, model, service, endpoint or policy",
-			"intent %s asks for nothing", intent.GetId())
+			"intent %s contains no changes", intent.GetId())
 	}
 	slices.SortFunc(refs, compareRefs)
 	for i := 1; i < len(refs); i++ {
 		if refs[i] == refs[i-1] {
-			return fault.Newf(fault.Invalid, "state each thing once in an intent",
+			return fault.Newf(fault.Invalid, "name each object once in an intent",
 				"%s %s is named twice", refs[i].kind, refs[i].name)
 		}
 	}
@@ -110,11 +111,11 @@
 
 func validateWorkspace(workspace *fleetv1.Workspace) *fault.Error {
 	if workspace.GetImportance() < 1 {
-		return fault.Newf(fault.Invalid, "give an importance of 1 or more",
+		return fault.Newf(fault.Invalid, "set an importance of 1 or more",
 			"workspace %s has importance %d", workspace.GetName(), workspace.GetImportance())
 	}
 	if !isShare(workspace.GetGuaranteedShare()) {
-		return fault.Newf(fault.Invalid, "give a share from 0 to 1",
+		return fault.Newf(fault.Invalid, "set a share from 0 to 1",
 			"workspace %s has a guaranteed share of %v", workspace.GetName(), workspace.GetGuaranteedShare())
 	}
 	limits := []float64{
@@ -123,14 +124,14 @@
 	}
 	for _, limit := range limits {
 		if math.IsNaN(limit) || math.IsInf(limit, 0) || limit < 0 {
-			return fault.Newf(fault.Invalid, "give a limit of 0 (none) or more",
+			return fault.Newf(fault.Invalid, "set a limit of 0 (no limit) or more",
 				"workspace %s has a limit of %v", workspace.GetName(), limit)
 		}
 	}
 	for _, digest := range workspace.GetKeyDigests() {
 		if !isHexDigest(digest) {
-			return fault.Newf(fault.Invalid, "give the lower-case hex SHA-256 of the key, not the key",
-				"workspace %s has a key digest that is not one", workspace.GetName())
+			return fault.Newf(fault.Invalid, "set the lower-case hex SHA-256 of the key, not the key itself",
+				"workspace %s has an invalid key digest", workspace.GetName())
 		}
 	}
 	return nil
@@ -145,14 +146,14 @@
 
 func validateModels(intent *controlv1.Intent) *fault.Error {
 	for _, model := range intent.GetModels() {
-		names := []struct{ what, name string }{
+		namedFields := []struct{ what, name string }{
 			{"model", model.GetName()}, {"pool", model.GetPool()}, {"version", model.GetVersion()},
 		}
 		for _, adapter := range model.GetAdapters() {
-			names = append(names, struct{ what, name string }{"adapter", adapter})
+			namedFields = append(namedFields, struct{ what, name string }{"adapter", adapter})
 		}
-		for _, each := range names {
-			if err := checkName(each.what, each.name); err != nil {
+		for _, field := range namedFields {
+			if err := checkName(field.what, field.name); err != nil {
 				return err
 			}
 		}
@@ -169,7 +170,7 @@
 			return err
 		}
 		if !strings.HasPrefix(service.GetPathPrefix(), "/") {
-			return fault.Newf(fault.Invalid, "give a prefix that begins with /",
+			return fault.Newf(fault.Invalid, "use a path prefix that begins with /",
 				"service %s has the path prefix %q", service.GetName(), service.GetPathPrefix())
 		}
 		for _, route := range service.GetRoutes() {
@@ -183,7 +184,7 @@
 
 func validateRoute(service string, route *fleetv1.ServiceRoute) *fault.Error {
 	if !strings.HasPrefix(route.GetPathPrefix(), "/") {
-		return fault.Newf(fault.Invalid, "give a prefix that begins with /",
+		return fault.Newf(fault.Invalid, "use a path prefix that begins with /",
 			"service %s has a route with the path prefix %q", service, route.GetPathPrefix())
 	}
 	if strings.ToUpper(route.GetMethod()) != route.GetMethod() {
@@ -191,7 +192,7 @@
 			"service %s has a route with the method %q", service, route.GetMethod())
 	}
 	if route.GetTimeoutMs() < 0 {
-		return fault.Newf(fault.Invalid, "give a timeout of 0 (the entry's own) or more",
+		return fault.Newf(fault.Invalid, "set a timeout of 0 (the entry's default) or more",
 			"service %s has a route with a timeout of %d ms", service, route.GetTimeoutMs())
 	}
 	return nil
@@ -208,13 +209,13 @@
 			}
 		}
 		if _, known := fleetv1.EndpointState_name[int32(change.GetState())]; !known {
-			return fault.Newf(fault.Invalid, "ask for serving, leaving or stopped", "endpoint %s has an unknown state", change.GetId())
+			return fault.Newf(fault.Invalid, "request serving, leaving or stopped", "endpoint %s has an unknown state", change.GetId())
 		}
 		if change.GetState() == 0 && change.GetRole() == "" {
-			return fault.Newf(fault.Invalid, "give a state or a role", "nothing is asked of endpoint %s", change.GetId())
+			return fault.Newf(fault.Invalid, "set a state or a role", "the change of endpoint %s requests nothing", change.GetId())
 		}
 		if change.GetDrainLimitMs() < 0 {
-			return fault.Newf(fault.Invalid, "give a drain limit of 0 (none) or more",
+			return fault.Newf(fault.Invalid, "set a drain limit of 0 (no limit) or more",
 				"endpoint %s has a drain limit of %d ms", change.GetId(), change.GetDrainLimitMs())
 		}
 	}
@@ -227,11 +228,11 @@
 			return err
 		}
 		if !isShare(policy.GetEvenness()) || !isShare(policy.GetStoreShare()) {
-			return fault.Newf(fault.Invalid, "give evenness and store share from 0 to 1",
-				"the policy of group %s is out of bounds", policy.GetGroup())
+			return fault.Newf(fault.Invalid, "set evenness and store share from 0 to 1",
+				"the policy of group %s has an evenness or store share out of range", policy.GetGroup())
 		}
 		if policy.GetMaxMoves() < 0 {
-			return fault.Newf(fault.Invalid, "give 0 or more moves",
+			return fault.Newf(fault.Invalid, "set 0 or more moves",
 				"the policy of group %s allows %d moves", policy.GetGroup(), policy.GetMaxMoves())
 		}
 	}
@@ -243,7 +244,7 @@
 		return err
 	}
 	if request.GetIncarnation() == 0 {
-		return fault.Newf(fault.Invalid, "draw a new incarnation at every start", "agent %s announced no incarnation", request.GetAgent())
+		return fault.Newf(fault.Invalid, "choose a new incarnation at every start", "agent %s announced no incarnation", request.GetAgent())
 	}
 	seen := make(map[string]bool, len(request.GetEndpoints()))
 	for _, endpoint := range request.GetEndpoints() {
@@ -254,7 +255,7 @@
 			return err
 		}
 		if _, known := fleetv1.EndpointState_name[int32(endpoint.GetState())]; !known {
-			return fault.Newf(fault.Invalid, "announce a known state", "endpoint %s has an unknown state", endpoint.GetId())
+			return fault.Newf(fault.Invalid, "announce a valid state", "endpoint %s has an unknown state", endpoint.GetId())
 		}
 		if seen[endpoint.GetId()] {
 			return fault.Newf(fault.Invalid, "announce each endpoint once", "endpoint %s is announced twice", endpoint.GetId())
@@ -265,7 +266,7 @@
 }
 
 func validateClaim(request *controlv1.ClaimRequest) *fault.Error {
-	texts := []struct {
+	fields := []struct {
 		what, text string
 		limit      int
 	}{
@@ -273,14 +274,14 @@
 		{"key", request.GetKey(), maxKeyBytes},
 		{"claim id", request.GetClaimId(), maxNameBytes},
 	}
-	for _, each := range texts {
-		if each.text == "" || len(each.text) > each.limit {
-			return fault.Newf(fault.Invalid, "send a "+each.what+" of bounded length",
-				"a claim has a %s of %d bytes, not of 1 to %d", each.what, len(each.text), each.limit)
+	for _, field := range fields {
+		if field.text == "" || len(field.text) > field.limit {
+			return fault.Newf(fault.Invalid, "send a "+field.what+" of valid length",
+				"a claim has a %s of %d bytes; allowed are 1 to %d", field.what, len(field.text), field.limit)
 		}
 	}
 	if len(request.GetDigest()) != digestBytes {
-		return fault.New(fault.Invalid, "a claim has no request digest", "send the SHA-256 over method, path and body")
+		return fault.New(fault.Invalid, "a claim has no request digest", "send the SHA-256 of method, path and body")
 	}
 	return nil
 }
@@ -291,7 +292,7 @@
 	}
 	if len(begin.GetMap()) == 0 || len(begin.GetMap()) > maxMapBytes {
 		return fault.Newf(fault.Invalid, "send the encoded map",
-			"the expert map of group %s has %d bytes, not 1 to %d", begin.GetGroup(), len(begin.GetMap()), maxMapBytes)
+			"the expert map of group %s has %d bytes; allowed are 1 to %d", begin.GetGroup(), len(begin.GetMap()), maxMapBytes)
 	}
 	return nil
 }
--- a/contract/weights.go
+++ b/contract/weights.go
@@ -10,26 +10,25 @@
 	fleetv1 "github.com/lilackeel/lilackeel/api/fleet/v1"
 )
 
-// What plans assume of weights and of the weight store, since models do not
-// state their sizes. A plan's figures are estimates and say so.
+// Assumptions of plans about weights and the weight store, because models do not declare
+// their sizes. Plans mark the resulting figures as estimates.
 const (
-	// AssumedModelBytes is what one endpoint loads for a model.
+	// AssumedModelBytes is the number of bytes that one endpoint loads for a model.
 	AssumedModelBytes = 16 << 30
-	// AssumedAdapterBytes is what one endpoint loads for an adapter.
+	// AssumedAdapterBytes is the number of bytes that one endpoint loads for an adapter.
 	AssumedAdapterBytes = 256 << 20
-	// AssumedStoreRate is what the weight store gives the whole fleet, in bytes
-	// per second.
+	// AssumedStoreRate is the throughput of the weight store for the whole fleet, in
+	// bytes per second.
 	AssumedStoreRate = 1 << 30
 )
 
-// loadMark separates, in the text of a model's change, the change from what must
-// be loaded for it.
-const loadMark = "; to load: "
+// loadTextSeparator separates the change from the load estimate in the text of a model's
+// change.
+const loadTextSeparator = "; to load: "
 
-// assignModels says which model each engine of one pool should have loaded.
-// engines and models are sorted by name. An engine keeps the model that it has
-// if the pool still serves it; the others get the models in turn, all ranks of a
-// group the same one.
+// assignModels returns the model that each engine of one pool should have loaded. engines and
+// models are sorted by name. An engine keeps its loaded model if the pool still serves it; the
+// others get the models round-robin, with the same model for all ranks of a group.
 func assignModels(engines []*endpointEntry, models []*fleetv1.Model) map[string]*fleetv1.Model {
 	assigned := make(map[string]*fleetv1.Model, len(engines))
 	if len(models) == 0 {
@@ -42,25 +41,26 @@
 	return assigned
 }
 
-// assignUnits returns the model of each load unit: the one that its first engine
-// with a served model has loaded, otherwise that of its turn.
+// assignUnits returns the model of each load unit: the one that its first engine with a served
+// model has loaded, otherwise the next one round-robin.
 func assignUnits(engines []*endpointEntry, models []*fleetv1.Model) map[string]*fleetv1.Model {
 	loaded := make(map[string]*fleetv1.Model)
-	inTurn := make(map[string]*fleetv1.Model)
+	assigned := make(map[string]*fleetv1.Model)
 	for _, engine := range engines {
 		unit := loadUnit(engine)
-		if _, seen := inTurn[unit]; !seen {
-			inTurn[unit] = models[len(inTurn)%len(models)]
+		if _, seen := assigned[unit]; !seen {
+			assigned[unit] = models[len(assigned)%len(models)]
 		}
 		if model := findModel(models, engine.announced.GetModel()); model != nil && loaded[unit] == nil {
 			loaded[unit] = model
 		}
 	}
-	maps.Copy(inTurn, loaded)
-	return inTurn
+	maps.Copy(assigned, loaded)
+	return assigned
 }
 
-// loadUnit names what must have one model: a group of ranks, or an engine alone.
+// loadUnit returns the name of the unit that must have one model: a group of ranks or a single
+// engine.
 func loadUnit(engine *endpointEntry) string {
 	if group := engine.announced.GetGroup(); group != "" {
 		return "group " + group
@@ -77,65 +77,64 @@
 	return nil
 }
 
-// loadGap is what an engine lacks of its model, and the adapters that it has
-// beyond it.
-type loadGap struct {
-	// model is set when the model or its version must be loaded.
-	model    bool
-	adapters []string
-	surplus  []string
+// loadDiff is the difference between a model and what an engine has loaded.
+type loadDiff struct {
+	// modelMismatch is set when the model or its version must be loaded.
+	modelMismatch   bool
+	missingAdapters []string
+	extraAdapters   []string
 }
 
-// gapOf compares what an engine has loaded with a model.
-func gapOf(engine *endpointEntry, model *fleetv1.Model) loadGap {
-	has := engine.announced
-	gap := loadGap{model: has.GetModel() != model.GetName() || has.GetVersion() != model.GetVersion()}
+// diffLoaded compares what an engine has loaded with a model.
+func diffLoaded(engine *endpointEntry, model *fleetv1.Model) loadDiff {
+	current := engine.announced
+	diff := loadDiff{modelMismatch: current.GetModel() != model.GetName() || current.GetVersion() != model.GetVersion()}
 	for _, adapter := range model.GetAdapters() {
-		if !slices.Contains(has.GetAdapters(), adapter) {
-			gap.adapters = append(gap.adapters, adapter)
+		if !slices.Contains(current.GetAdapters(), adapter) {
+			diff.missingAdapters = append(diff.missingAdapters, adapter)
 		}
 	}
-	for _, adapter := range has.GetAdapters() {
+	for _, adapter := range current.GetAdapters() {
 		if !slices.Contains(model.GetAdapters(), adapter) {
-			gap.surplus = append(gap.surplus, adapter)
+			diff.extraAdapters = append(diff.extraAdapters, adapter)
 		}
 	}
-	return gap
+	return diff
 }
 
-// bytes is what must move through the weight store to close the gap.
-func (g loadGap) bytes() int64 {
-	moved := int64(len(g.adapters)) * AssumedAdapterBytes
-	if g.model {
+// bytes returns the number of bytes to load from the weight store to resolve the difference.
+func (d loadDiff) bytes() int64 {
+	moved := int64(len(d.missingAdapters)) * AssumedAdapterBytes
+	if d.modelMismatch {
 		moved += AssumedModelBytes
 	}
 	return moved
 }
 
-// isEngine reports whether models are loaded on the endpoint.
+// isEngine reports whether the endpoint is an engine, on which models are loaded.
 func isEngine(entry *endpointEntry) bool {
 	return entry.announced.GetKind() != fleetv1.EndpointKind_ENDPOINT_KIND_SERVICE
 }
 
-// estimateLoads adds to each model's change an estimate of the weights to load.
+// estimateLoads adds an estimate of the weights to load to the change of each model.
 func (p *proposal) estimateLoads() {
 	assignments := make(map[string]map[string]*fleetv1.Model)
-	for _, each := range p.changes {
-		model := p.models[each.GetName()]
-		if each.GetKind() != string(modelKind) || model == nil {
+	for _, change := range p.changes {
+		model := p.models[change.GetName()]
+		if change.GetKind() != string(modelKind) || model == nil {
 			continue
 		}
 		pool := model.GetPool()
 		if assignments[pool] == nil {
 			assignments[pool] = p.assignPool(pool)
 		}
-		p.estimateLoad(each, model, assignments[pool])
+		p.estimateLoad(change, model, assignments[pool])
 	}
 }
 
 func (p *proposal) assignPool(pool string) map[string]*fleetv1.Model {
 	var models []*fleetv1.Model
-	for _, name := range names(p.state.models, p.models) {
+	for _, name := range proposedNames(p.state.models, p.models) {
 		if model := p.model(name); model.GetPool() == pool {
 			models = append(models, model)
 		}
@@ -150,26 +149,26 @@
 	return assignModels(engines, models)
 }
 
-func (p *proposal) estimateLoad(each *controlv1.Change, model *fleetv1.Model, assigned map[string]*fleetv1.Model) {
+func (p *proposal) estimateLoad(change *controlv1.Change, model *fleetv1.Model, assigned map[string]*fleetv1.Model) {
 	loading := 0
 	for _, id := range sortedKeys(assigned) {
 		if assigned[id] != model {
 			continue
 		}
-		gap := gapOf(p.endpoint(id), model)
-		if gap.bytes() == 0 {
+		diff := diffLoaded(p.endpoint(id), model)
+		if diff.bytes() == 0 {
 			continue
 		}
 		loading++
-		each.WeightBytes += gap.bytes()
-		each.Drains = each.Drains || (gap.model && p.endpoint(id).announced.GetModel() != "")
+		change.WeightBytes += diff.bytes()
+		change.Drains = change.Drains || (diff.modelMismatch && p.endpoint(id).announced.GetModel() != "")
 	}
-	each.WeightMs = each.WeightBytes * int64(time.Second/time.Millisecond) / AssumedStoreRate
+	change.WeightMs = change.WeightBytes * int64(time.Second/time.Millisecond) / AssumedStoreRate
 	if loading > 0 {
-		each.Text += loadMark + fmt.Sprintf("%d endpoints, about %s, about %s through the weight store",
-			loading, bytesText(each.WeightBytes), milliseconds(each.WeightMs))
+		change.Text += loadTextSeparator + fmt.Sprintf("%d endpoints, about %s, about %s through the weight store",
+			loading, formatGiB(change.WeightBytes), formatMilliseconds(change.WeightMs))
 	}
 }
 
-// bytesText prints a size in GiB.
-func bytesText(size int64) string { return number(float64(size)/(1<<30)) + " GiB" }
+// formatGiB formats a size in GiB.
+func formatGiB(size int64) string { return formatNumber(float64(size)/(1<<30)) + " GiB" }
