--- a/endpoint/concurrency/concurrency.go
+++ b/endpoint/concurrency/concurrency.go
@@ -14,15 +14,15 @@
 // Config says what pace is wanted.
 type Config struct {
 	// Pause is the longest pause between two parts of a stream that is in time.
-	Pause time.Duration
+	MaxGap time.Duration
 	// Fixed is the part of a pause that does not grow with the calls; zero if it is
 	// not known.
-	Fixed time.Duration
+	FixedGap time.Duration
 	// Slots is the number of calls that the pool can run at once.
 	Slots int
 	// First is the number of calls that the pool may run while it fills up; zero for all
 	// of its slots.
-	First float64
+	InitialLimit float64
 }
 
 const (
@@ -95,7 +95,7 @@
 
 // Observe notes a pause between two parts of a stream.
 func (l *Limiter) Observe(now, pause time.Duration, cfg Config) {
-	if cfg.Pause <= 0 || pause > stall*cfg.Pause {
+	if cfg.MaxGap <= 0 || pause > stall*cfg.MaxGap {
 		return
 	}
 	if now-l.began > window {
@@ -161,20 +161,20 @@
 
 // fixedOf is the part of a pause that does not grow with the calls.
 func fixedOf(pause time.Duration, cfg Config) time.Duration {
-	if cfg.Fixed > 0 && cfg.Fixed < pause {
-		return cfg.Fixed
+	if cfg.FixedGap > 0 && cfg.FixedGap < pause {
+		return cfg.FixedGap
 	}
 	return time.Duration(fixedGuess * float64(pause))
 }
 
 // Closed notes that the pool runs nothing at now. What it did before says nothing about
 // the pace after it.
-func (l *Limiter) Closed(now time.Duration, cfg Config) {
+func (l *Limiter) Reset(now time.Duration, cfg Config) {
 	l.opened, l.closed = now, l.closed[:0]
 	l.slopes = [memory][2]float64{}
 	l.limit = float64(cfg.Slots)
-	if cfg.First > 0 {
-		l.limit = min(cfg.First, l.limit)
+	if cfg.InitialLimit > 0 {
+		l.limit = min(cfg.InitialLimit, l.limit)
 	}
 }
 
@@ -182,7 +182,7 @@
 // nothing is taken for one that has just opened; another has been filled by others.
 func (l *Limiter) meet(now time.Duration, cfg Config, running float64) {
 	if running < idle*float64(cfg.Slots) {
-		l.Closed(now, cfg)
+		l.Reset(now, cfg)
 		return
 	}
 	l.opened = now - filling
@@ -201,8 +201,8 @@
 		return l.limit
 	}
 	asked := slots
-	if slope := l.steepest(); slope > 0 && cfg.Pause > 0 {
-		wanted := time.Duration(target * float64(cfg.Pause))
+	if slope := l.steepest(); slope > 0 && cfg.MaxGap > 0 {
+		wanted := time.Duration(target * float64(cfg.MaxGap))
 		asked = (wanted - fixedOf(wanted, cfg)).Seconds() / slope
 	}
 	asked = min(max(asked, least*slots), slots)
--- a/endpoint/concurrency/concurrency_test.go
+++ b/endpoint/concurrency/concurrency_test.go
@@ -14,7 +14,7 @@
 	return time.Duration((p.fixed + p.each*running/16*(0.15+0.85*p.skew)) * float64(time.Millisecond))
 }
 
-var config = Config{Pause: 120 * time.Millisecond, Fixed: 18200 * time.Microsecond, Slots: 192}
+var config = Config{MaxGap: 120 * time.Millisecond, FixedGap: 18200 * time.Microsecond, Slots: 192}
 
 // play runs a pool at its limit, as under a flood of callers, for a time.
 func play(l *Limiter, p pool, from, length time.Duration, running float64) (limit, mean float64, worst time.Duration) {
@@ -39,9 +39,9 @@
 		var l Limiter
 		p := pool{fixed: 18.2, each: 5, skew: skew}
 		_, running, worst := play(&l, p, 0, 20*time.Second, 192)
-		is.True(worst <= config.Pause)                       // streams stay in time
-		full := p.pause(192) <= config.Pause                 // unless the slots bind
-		used := p.pause(running) >= config.Pause*7/10        // the pace is made use of
+		is.True(worst <= config.MaxGap)                      // streams stay in time
+		full := p.pause(192) <= config.MaxGap                // unless the slots bind
+		used := p.pause(running) >= config.MaxGap*7/10       // the pace is made use of
 		is.True(full || used || running <= least*192*1.0001) // and no more is left idle than needed
 	}
 }
@@ -64,7 +64,7 @@
 		running += 0.15 * (limit - running)
 		if now > 10*time.Second {
 			passes++
-			if pause > config.Pause {
+			if pause > config.MaxGap {
 				late++
 			}
 		}
--- a/endpoint/concurrency/opening_test.go
+++ b/endpoint/concurrency/opening_test.go
@@ -15,8 +15,8 @@
 	is := is.New(t)
 	var l Limiter
 	cfg := config
-	cfg.First = 70
-	l.Closed(0, cfg)
+	cfg.InitialLimit = 70
+	l.Reset(0, cfg)
 	running, limit, most := 0.0, 0.0, 0.0
 	for now := 100 * time.Millisecond; now < 4*time.Second; now += 50 * time.Millisecond {
 		p := pool{fixed: 18.2, each: 5, skew: 1.1}
@@ -30,7 +30,7 @@
 		limit = l.Update(now, cfg, running)
 		running += 0.3 * (min(limit, 130) - running)
 	}
-	is.True(most <= cfg.First)
+	is.True(most <= cfg.InitialLimit)
 	is.True(limit > 0.8*float64(cfg.Slots))
 }
 
@@ -39,8 +39,8 @@
 func TestAFilledPoolIsNotTakenForOneThatOpens(t *testing.T) {
 	is := is.New(t)
 	cfg := config
-	cfg.First = 70
+	cfg.InitialLimit = 70
 	var filled, idle Limiter
 	is.Equal(filled.Update(time.Second, cfg, 100), float64(cfg.Slots))
-	is.Equal(idle.Update(time.Second, cfg, 3), cfg.First)
+	is.Equal(idle.Update(time.Second, cfg, 3), cfg.InitialLimit)
 }
--- a/endpoint/concurrency/ramp_test.go
+++ b/endpoint/concurrency/ramp_test.go
@@ -14,7 +14,7 @@
 	is := is.New(t)
 	var l Limiter
 	p := pool{fixed: 29, each: 2.2, skew: 3.3}
-	cfg := Config{Pause: 120 * time.Millisecond, Fixed: 29 * time.Millisecond, Slots: 192}
+	cfg := Config{MaxGap: 120 * time.Millisecond, FixedGap: 29 * time.Millisecond, Slots: 192}
 	calls := func(now time.Duration) float64 { return max(0, min(90*now.Seconds(), 90)) }
 	var limit float64
 	for now := time.Duration(0); now < 4*time.Second; now += 50 * time.Millisecond {
--- a/endpoint/direct_test.go
+++ b/endpoint/direct_test.go
@@ -21,15 +21,15 @@
 		ids = append(ids, e.ID)
 	}
 	is.Equal(ids, []string{"new", "other"})
-	at, ok := view.At("10.0.0.1:80")
+	at, ok := view.ByAddr("10.0.0.1:80")
 	is.True(ok)
 	is.Equal(at.ID, "new")
-	table.Apply([]Endpoint{{ID: "old", Pool: "p", Addr: "10.0.0.1:80", Silent: true, Revision: 3}}, nil)
-	at, _ = table.Snapshot().At("10.0.0.1:80")
+	table.Apply([]Endpoint{{ID: "old", Pool: "p", Addr: "10.0.0.1:80", AnnouncementExpired: true, Revision: 3}}, nil)
+	at, _ = table.Snapshot().ByAddr("10.0.0.1:80")
 	is.Equal(at.ID, "new") // the end of the old one's lease does not bring it back
 	is.Equal(len(table.Snapshot().Serving(Key{Pool: "p"})), 2)
 	table.Apply(nil, []string{"new"})
-	at, ok = table.Snapshot().At("10.0.0.1:80")
+	at, ok = table.Snapshot().ByAddr("10.0.0.1:80")
 	is.True(ok)
 	is.Equal(at.ID, "old") // nobody else is there any more
 }
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -90,7 +90,7 @@
 	Addr string
 	// Silent is true for an endpoint that is called directly and has stopped
 	// announcing itself: the reason may lie between it and the control replicas.
-	Silent bool
+	AnnouncementExpired bool
 	// AgentAddr is the address of the agent that is the gate of this endpoint.
 	AgentAddr string
 	// Incarnation is that agent's incarnation; it grows with each restart.
@@ -114,10 +114,10 @@
 }
 
 // Run names the present run of the endpoint's process, for an endpoint that is called directly.
-func (e *Endpoint) Run() string { return e.ID + runSeparator + strconv.FormatUint(e.Incarnation, 10) }
+func (e *Endpoint) RunID() string { return e.ID + runSeparator + strconv.FormatUint(e.Incarnation, 10) }
 
 // OfRun returns the id in the name of a run.
-func OfRun(run string) string { return run[:max(strings.LastIndex(run, runSeparator), 0)] }
+func IDFromRunID(run string) string { return run[:max(strings.LastIndex(run, runSeparator), 0)] }
 
 // runSeparator stands between id and incarnation in the name of a run.
 const runSeparator = "/"
--- a/endpoint/load/estimate.go
+++ b/endpoint/load/estimate.go
@@ -10,7 +10,7 @@
 // Defaults of Config and of values that no report has stated yet.
 const (
 	// DefaultSurpriseTTL is the default of Config.SurpriseTTL.
-	DefaultSurpriseTTL = 20 * time.Second
+	DefaultPredictionErrorTTL = 20 * time.Second
 	// defaultPrefillRate is in tokens per second.
 	defaultPrefillRate = 8000
 	defaultStepTime    = 5 * time.Millisecond
@@ -28,35 +28,35 @@
 	// report counts for 1/e of its distance from the mean of all alike endpoints;
 	// the rest is taken to be the mean. Zero: learned from the reports. Negative:
 	// reports are believed whatever their age.
-	Memory time.Duration
+	DecayTime time.Duration
 	// SurpriseTTL is the time in which a surprise fades that is not
 	// observed again. Negative: surprises are not remembered.
-	SurpriseTTL time.Duration
+	PredictionErrorTTL time.Duration
 }
 
 func (c Config) withDefaults() Config {
 	c.Peers = max(c.Peers, 1)
-	if c.SurpriseTTL == 0 {
-		c.SurpriseTTL = DefaultSurpriseTTL
+	if c.PredictionErrorTTL == 0 {
+		c.PredictionErrorTTL = DefaultPredictionErrorTTL
 	}
 	return c
 }
 
 // estimate computes the estimate of one endpoint.
 func (t *Tracker) estimate(now time.Duration, r *record) Estimate {
-	e := Estimate{Age: Silent}
+	e := Estimate{Age: NeverReported}
 	if r.reported {
 		e.Age = now - r.taken
 	}
 	f := r.fleet
 	e.PrefillRate = known(r.report.PrefillRate, f.rate.or(defaultPrefillRate))
-	e.AnswerTokens = f.answer.or(defaultAnswerTokens)
+	e.OutputTokens = f.answer.or(defaultAnswerTokens)
 	if r.endpoint.Kind == endpoint.Service {
-		e.AnswerTokens = 1
+		e.OutputTokens = 1
 	}
-	e.StepTime, e.StepSpread = t.stepAt(now, r, e.AnswerTokens)
+	e.StepTime, e.StepTimeStdDev = t.stepAt(now, r, e.OutputTokens)
 	e.Running = t.runningAt(now, r)
-	e.Wait, e.Spread = t.waitAt(now, r, &e)
+	e.Wait, e.WaitStdDev = t.waitAt(now, r, &e)
 	if r.group != nil {
 		t.refresh(now, r.group)
 		e.GroupRunning, e.GroupPeak = r.group.running, r.group.peak
@@ -69,8 +69,8 @@
 
 // memory is the memory in force for a value; negative for one without end.
 func (t *Tracker) memory(p *persistence) time.Duration {
-	if t.config.Memory != 0 {
-		return t.config.Memory
+	if t.config.DecayTime != 0 {
+		return t.config.DecayTime
 	}
 	return p.memory()
 }
@@ -135,7 +135,7 @@
 	for _, s := range r.sent {
 		ahead += s.left(now, e.PrefillRate)
 	}
-	wait = perSecond(ahead, e.PrefillRate) + r.slotWait(e) + r.surpriseAt(now, t.config.SurpriseTTL)
+	wait = perSecond(ahead, e.PrefillRate) + r.slotWait(e) + r.surpriseAt(now, t.config.PredictionErrorTTL)
 	return wait, perSecond(deviation, e.PrefillRate)
 }
 
@@ -155,7 +155,7 @@
 	if over <= 0 {
 		return 0
 	}
-	residence := e.AnswerTokens * float64(e.StepTime)
+	residence := e.OutputTokens * float64(e.StepTime)
 	return time.Duration(over * residence / slots)
 }
 
--- a/endpoint/load/load.go
+++ b/endpoint/load/load.go
@@ -57,7 +57,7 @@
 	// Work is the size of the call.
 	Work Work
 	// Expected is the time to the first token foreseen at dispatch.
-	Expected time.Duration
+	ExpectedFirstToken time.Duration
 	// surprise is the part of Expected that comes from earlier first tokens.
 	surprise time.Duration
 	// started is true once FirstToken has been called.
@@ -77,21 +77,21 @@
 	// Wait is the time before the endpoint would start on a new call.
 	Wait time.Duration
 	// Spread is the standard deviation of Wait: how little a lagged report tells.
-	Spread time.Duration
+	WaitStdDev time.Duration
 	// PrefillRate is the prompt tokens computed per second.
 	PrefillRate float64
 	// StepTime is the time of one step, and StepSpread its standard deviation.
-	StepTime, StepSpread time.Duration
+	StepTime, StepTimeStdDev time.Duration
 	// Running is the number of requests running and waiting.
 	Running float64
 	// GroupRunning, GroupMean and GroupPeak are the sum, the mean and the
 	// highest of Running among the ranks of the endpoint's group.
 	GroupRunning, GroupMean, GroupPeak float64
 	// AnswerTokens is the mean number of tokens of an answer.
-	AnswerTokens float64
+	OutputTokens float64
 	// Age is the time since the last report was taken; Silent if there is none.
 	Age time.Duration
 }
 
 // Silent is the Age of an endpoint that has not reported.
-const Silent = time.Duration(1<<63 - 1)
+const NeverReported = time.Duration(1<<63 - 1)
--- a/endpoint/load/tracker.go
+++ b/endpoint/load/tracker.go
@@ -72,11 +72,11 @@
 	rec := t.record(id)
 	e := t.estimate(now, rec)
 	expected := e.Wait + perSecond(float64(w.PromptTokens), e.PrefillRate) + e.StepTime
-	surprise := rec.surpriseAt(now, t.config.SurpriseTTL)
+	surprise := rec.surpriseAt(now, t.config.PredictionErrorTTL)
 	rec.send(now, w)
 	rec.fleet.prompt.add(float64(w.PromptTokens), minWindow)
 	rec.touch()
-	return Call{ID: id, SentAt: now, Work: w, Expected: expected, surprise: surprise}
+	return Call{ID: id, SentAt: now, Work: w, ExpectedFirstToken: expected, surprise: surprise}
 }
 
 // FirstToken notes that the first token of the call came.
@@ -92,7 +92,7 @@
 		return
 	}
 	rec.started(c)
-	rec.learn(now, now-c.SentAt, c.Expected-c.surprise)
+	rec.learn(now, now-c.SentAt, c.ExpectedFirstToken-c.surprise)
 }
 
 // Done notes that the call ended, whatever its result.
--- a/endpoint/load/tracker_test.go
+++ b/endpoint/load/tracker_test.go
@@ -16,7 +16,7 @@
 	is := is.New(t)
 	table := endpoint.NewTable()
 	table.Replace([]endpoint.Endpoint{{ID: "a", Pool: "p", Slots: 8, Group: "g"}})
-	tracker := New(Config{Memory: -1}, table)
+	tracker := New(Config{DecayTime: -1}, table)
 	running := func(now time.Duration) float64 { return tracker.Estimate(now, "a").Running }
 
 	tracker.Report(0, "a", Report{Running: 2, Age: 0})
@@ -44,7 +44,7 @@
 	is := is.New(t)
 	table := endpoint.NewTable()
 	table.Replace([]endpoint.Endpoint{{ID: "a", Group: "g"}, {ID: "b", Group: "h"}})
-	tracker := New(Config{Memory: -1}, table)
+	tracker := New(Config{DecayTime: -1}, table)
 	tracker.Report(0, "a", Report{Running: 2})
 	tracker.Report(0, "b", Report{Running: 5})
 	table.Apply([]endpoint.Endpoint{{ID: "a", Group: "h", Revision: 1}}, nil)
--- a/endpoint/lockstep/lockstep.go
+++ b/endpoint/lockstep/lockstep.go
@@ -111,7 +111,7 @@
 // Silent notes that nobody speaks for the engine at an address any more. What it has said
 // of its group's being closed is dropped, so that calls may find out; where it belongs
 // is kept.
-func (t *Tracker) Silent(addr string) {
+func (t *Tracker) ClearReport(addr string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if g := t.groups[t.members[addr]]; g != nil {
@@ -158,7 +158,7 @@
 
 // Of returns the group of the engine at an address, empty if it is not known to have
 // one.
-func (t *Tracker) Of(addr string) string {
+func (t *Tracker) GroupOf(addr string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.members[addr]
@@ -202,7 +202,7 @@
 }
 
 // Calls returns the number of this entry's calls in flight in a group.
-func (t *Tracker) Calls(name string) int {
+func (t *Tracker) InFlight(name string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if g := t.groups[name]; g != nil {
@@ -212,7 +212,7 @@
 }
 
 // Part notes a part of an answer. A pause of zero is that of a first part.
-func (t *Tracker) Part(now time.Duration, name string, pause, longest time.Duration) {
+func (t *Tracker) Chunk(now time.Duration, name string, pause, longest time.Duration) {
 	if name == "" {
 		return
 	}
@@ -277,7 +277,7 @@
 }
 
 // Silence returns how long a group with calls in flight has been silent.
-func (t *Tracker) Silence(now time.Duration, name string) time.Duration {
+func (t *Tracker) TimeSinceProgress(now time.Duration, name string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := t.groups[name]
@@ -290,7 +290,7 @@
 // LatestPasses is how long each of the two latest passes of a group took at least, as this entry's
 // calls show it; zero if there are none. A single long pass, as at a switch of maps, does
 // not show in it.
-func (t *Tracker) LatestPasses(name string) time.Duration {
+func (t *Tracker) RecentStepTime(name string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := t.groups[name]
--- a/endpoint/lockstep/lockstep_test.go
+++ b/endpoint/lockstep/lockstep_test.go
@@ -14,17 +14,17 @@
 	tracker := New()
 	tracker.Report("e1", "g", false)
 	tracker.Report("e2", "g", false)
-	is.Equal(tracker.Of("e1"), "g")
+	is.Equal(tracker.GroupOf("e1"), "g")
 	is.Equal(tracker.State(time.Second, "g", longest), Paced) // no calls: silence says nothing
 	tracker.Sent(time.Second, "g")
 	is.Equal(tracker.State(1200*time.Millisecond, "g", longest), Paced) // a prompt is being read
 	is.Equal(tracker.State(1400*time.Millisecond, "g", longest), Stalled)
-	tracker.Part(1500*time.Millisecond, "g", 0, longest)
+	tracker.Chunk(1500*time.Millisecond, "g", 0, longest)
 	is.Equal(tracker.State(1600*time.Millisecond, "g", longest), Paced)
-	is.Equal(tracker.Silence(2500*time.Millisecond, "g"), time.Second)
+	is.Equal(tracker.TimeSinceProgress(2500*time.Millisecond, "g"), time.Second)
 	tracker.Done("g")
 	is.Equal(tracker.State(time.Minute, "g", longest), Paced)
-	is.Equal(tracker.Silence(time.Minute, "g"), time.Duration(0))
+	is.Equal(tracker.TimeSinceProgress(time.Minute, "g"), time.Duration(0))
 }
 
 func TestAGroupIsClosedWhileMostOfItsRanksSaySo(t *testing.T) {
@@ -39,11 +39,11 @@
 	tracker.Report("e2", "g", false)
 	is.Equal(tracker.State(0, "g", longest), Paced) // e3 has been cut off, or its host
 	tracker.Report("e2", "g", true)
-	tracker.Silent("e2")
+	tracker.ClearReport("e2")
 	is.Equal(tracker.State(0, "g", longest), Paced) // nobody speaks for it any more
-	is.Equal(tracker.Of("e2"), "g")                 // it still belongs there
+	is.Equal(tracker.GroupOf("e2"), "g")            // it still belongs there
 	tracker.Report("e3", "h", false)                // formed elsewhere
-	is.Equal(tracker.Of("e3"), "h")
+	is.Equal(tracker.GroupOf("e3"), "h")
 	is.Equal(tracker.State(0, "", longest), Paced) // no group, no judgement
 }
 
@@ -57,7 +57,7 @@
 	run := func(pause time.Duration, steps int) {
 		for range steps {
 			now += pause
-			tracker.Part(now, "g", pause, longest)
+			tracker.Chunk(now, "g", pause, longest)
 		}
 	}
 	run(60*time.Millisecond, 20)
@@ -81,7 +81,7 @@
 	tracker.Sent(0, "g")
 	tracker.Forget("a")
 	tracker.Report("b", "h", false) // its engine is of another group now
-	is.Equal(tracker.Calls("g"), 1)
+	is.Equal(tracker.InFlight("g"), 1)
 	is.Equal(len(tracker.groups), 2)
 	tracker.Done("g")
 	is.Equal(len(tracker.groups), 1)
--- a/endpoint/lockstep/passes_test.go
+++ b/endpoint/lockstep/passes_test.go
@@ -17,20 +17,20 @@
 	pass := func(took time.Duration) {
 		now += took
 		for i, late := range []time.Duration{0, 2 * time.Millisecond, 30 * time.Millisecond} {
-			tracker.Part(now+time.Duration(i)*time.Millisecond, "g", took+late, longest)
+			tracker.Chunk(now+time.Duration(i)*time.Millisecond, "g", took+late, longest)
 		}
 	}
-	is.Equal(tracker.LatestPasses("g"), time.Duration(0))
+	is.Equal(tracker.RecentStepTime("g"), time.Duration(0))
 	for range 10 {
 		pass(65 * time.Millisecond)
 	}
 	pass(600 * time.Millisecond)
-	is.True(tracker.LatestPasses("g") <= longest)
+	is.True(tracker.RecentStepTime("g") <= longest)
 	pass(65 * time.Millisecond)
 	pass(65 * time.Millisecond)
-	is.True(tracker.LatestPasses("g") <= longest)
+	is.True(tracker.RecentStepTime("g") <= longest)
 	pass(600 * time.Millisecond)
 	pass(600 * time.Millisecond)
-	is.Equal(tracker.LatestPasses("g"), 600*time.Millisecond)
-	is.Equal(tracker.LatestPasses("unknown"), time.Duration(0))
+	is.Equal(tracker.RecentStepTime("g"), 600*time.Millisecond)
+	is.Equal(tracker.RecentStepTime("unknown"), time.Duration(0))
 }
--- a/endpoint/outlier/detector.go
+++ b/endpoint/outlier/detector.go
@@ -16,15 +16,15 @@
 	// DefaultSlowRatio is the default of Config.SlowRatio.
 	DefaultSlowRatio = 2.0
 	// DefaultNoise is the default of Config.Noise.
-	DefaultNoise = 3.0
+	DefaultStdDevFactor = 3.0
 	// DefaultFailureExcess is the default of Config.FailureExcess.
 	DefaultFailureExcess = 0.4
 	// DefaultStrikes is the default of Config.Strikes.
-	DefaultStrikes = 3
+	DefaultConsecutiveBad = 3
 	// DefaultEjection is the default of Config.Ejection.
-	DefaultEjection = 10 * time.Second
+	DefaultBaseEjectionTime = 10 * time.Second
 	// DefaultMaxEjection is the default of Config.MaxEjection.
-	DefaultMaxEjection = 5 * time.Minute
+	DefaultMaxEjectionTime = 5 * time.Minute
 	// DefaultSlowStart is the default of Config.SlowStart.
 	DefaultSlowStart = 15 * time.Second
 )
@@ -42,16 +42,16 @@
 	// Noise is how many of the peers' standard deviations (of the logarithm of
 	// the latency, estimated from the median absolute deviation) an endpoint has to be
 	// above the median to be slow.
-	Noise float64
+	StdDevFactor float64
 	// FailureExcess is by how much the share of failed samples has to exceed
 	// the peers' median share.
 	FailureExcess float64
 	// Strikes is the number of bad verdicts in a row that eject an endpoint;
 	// one is enough during its slow start.
-	Strikes int
+	ConsecutiveBad int
 	// Ejection is how long the first ejection lasts. Each further one lasts
 	// twice as long, up to MaxEjection.
-	Ejection, MaxEjection time.Duration
+	BaseEjectionTime, MaxEjectionTime time.Duration
 	// SlowStart is how long an endpoint takes back to its full share.
 	SlowStart time.Duration
 }
@@ -60,11 +60,11 @@
 	setDefault(&c.MaxEjected, DefaultMaxEjected)
 	setDefault(&c.MinSamples, DefaultMinSamples)
 	setDefault(&c.SlowRatio, DefaultSlowRatio)
-	setDefault(&c.Noise, DefaultNoise)
+	setDefault(&c.StdDevFactor, DefaultStdDevFactor)
 	setDefault(&c.FailureExcess, DefaultFailureExcess)
-	setDefault(&c.Strikes, DefaultStrikes)
-	setDefault(&c.Ejection, DefaultEjection)
-	setDefault(&c.MaxEjection, DefaultMaxEjection)
+	setDefault(&c.ConsecutiveBad, DefaultConsecutiveBad)
+	setDefault(&c.BaseEjectionTime, DefaultBaseEjectionTime)
+	setDefault(&c.MaxEjectionTime, DefaultMaxEjectionTime)
 	setDefault(&c.SlowStart, DefaultSlowStart)
 	return c
 }
@@ -215,7 +215,7 @@
 	if !t.timed || n.timed < minPeers {
 		return false
 	}
-	margin := max(math.Log(d.config.SlowRatio), d.config.Noise*n.spread)
+	margin := max(math.Log(d.config.SlowRatio), d.config.StdDevFactor*n.spread)
 	return t.latency > n.latency+margin
 }
 
@@ -229,16 +229,16 @@
 	*strikes++
 	if m.ejected {
 		// It still reports, and is still bad: no return yet.
-		m.until = max(m.until, now+d.config.Ejection)
+		m.until = max(m.until, now+d.config.BaseEjectionTime)
 		return
 	}
-	if *strikes < d.config.Strikes && !m.returning(now, d.config.SlowStart) {
+	if *strikes < d.config.ConsecutiveBad && !m.returning(now, d.config.SlowStart) {
 		return
 	}
 	if !set.mayEject(d.config.MaxEjected) {
 		return
 	}
-	m.eject(now, d.config.Ejection, d.config.MaxEjection)
+	m.eject(now, d.config.BaseEjectionTime, d.config.MaxEjectionTime)
 }
 
 // mayEject reports whether one more ejection keeps the stated share.
--- a/endpoint/outlier/detector_test.go
+++ b/endpoint/outlier/detector_test.go
@@ -41,7 +41,7 @@
 func TestStalledRankLeavesAndReturns(t *testing.T) {
 	is := is.New(t)
 	// An ejection that ends between two verdicts.
-	d := New(Config{Ejection: 9 * time.Second})
+	d := New(Config{BaseEjectionTime: 9 * time.Second})
 	now := drive(d, 0, 10*time.Second, 16, func(int) time.Duration { return usual })
 	now = drive(d, now, 10*time.Second, 16, func(int) time.Duration { return 6 * usual })
 	is.Equal(out(d, now, 16), 0) // all are slow: no outlier
@@ -104,7 +104,7 @@
 				step = 6 * usual
 			}
 			for range 5 {
-				d.Observe(now, "group", id(r), Sample{Latency: step, Report: true})
+				d.Observe(now, "group", id(r), Sample{Latency: step, FromReport: true})
 			}
 			paced := Sample{Failed: r == 2}
 			if r > 5 {
--- a/endpoint/outlier/outlier.go
+++ b/endpoint/outlier/outlier.go
@@ -22,5 +22,5 @@
 	// Report is true when the sample comes from the endpoint's report and not
 	// from a call. Reports and calls are judged apart: reports keep coming while
 	// calls fail, and their times are not comparable with those of calls.
-	Report bool
+	FromReport bool
 }
--- a/endpoint/outlier/track.go
+++ b/endpoint/outlier/track.go
@@ -13,7 +13,7 @@
 )
 
 func sourceOf(s Sample) source {
-	if s.Report {
+	if s.FromReport {
 		return fromReports
 	}
 	return fromCalls
--- a/endpoint/pick/capacity.go
+++ b/endpoint/pick/capacity.go
@@ -4,7 +4,7 @@
 type Capacity struct {
 	// Queue is the number of calls that may wait at an endpoint, as a share of
 	// its slots.
-	Queue float64
+	QueueRatio float64
 }
 
 // Keep implements Filter.
@@ -13,5 +13,5 @@
 	if slots <= 0 {
 		return true
 	}
-	return c.Load.Running < slots*(1+f.Queue)
+	return c.Load.Running < slots*(1+f.QueueRatio)
 }
--- a/endpoint/pick/config.go
+++ b/endpoint/pick/config.go
@@ -11,23 +11,23 @@
 	// DefaultCandidates is the default of Config.Candidates.
 	DefaultCandidates = 8
 	// DefaultHolders is the default of Config.Holders.
-	DefaultHolders = 3
+	DefaultPrefixHolders = 3
 	// DefaultShard is the default of Config.Shard.
-	DefaultShard = 2
+	DefaultShardSize = 2
 	// DefaultQueue is the default of Config.Queue.
-	DefaultQueue = 1.0
+	DefaultQueueRatio = 1.0
 	// DefaultOtherZone is the default of Config.OtherZone: a round trip.
-	DefaultOtherZone = 2 * time.Millisecond
+	DefaultCrossZoneRTT = 2 * time.Millisecond
 	// DefaultAdapterLoad is the default of Config.AdapterLoad.
-	DefaultAdapterLoad = 200 * time.Millisecond
+	DefaultAdapterLoadTime = 200 * time.Millisecond
 	// DefaultOutside is the default of Config.Outside.
-	DefaultOutside = 5 * time.Millisecond
+	DefaultOutsideShardCost = 5 * time.Millisecond
 	// DefaultStepPerRequest is the default of Config.StepPerRequest.
 	DefaultStepPerRequest = 50 * time.Microsecond
 	// DefaultSkewWeight is the default of Config.SkewWeight.
 	DefaultSkewWeight = 0.1
 	// DefaultSpread is the default of Config.Spread.
-	DefaultSpread = 1.0
+	DefaultStdDevScale = 1.0
 )
 
 // Config sets the picker up; the zero value takes the defaults, and a negative
@@ -36,22 +36,22 @@
 	// Candidates is the number of endpoints that are weighed for a call, of
 	// them Holders that hold the prompt's prefix and Shard that are the
 	// workspace's shard; the rest is random.
-	Candidates, Holders, Shard int
+	Candidates, PrefixHolders, ShardSize int
 	// Queue is the number of calls that may wait at an endpoint, as a share of
 	// its slots; beyond it the endpoint is full.
-	Queue float64
+	QueueRatio float64
 	// OtherZone is the added round trip to another availability zone.
-	OtherZone time.Duration
+	CrossZoneRTT time.Duration
 	// AdapterLoad is the time to load an adapter that is not resident.
-	AdapterLoad time.Duration
+	AdapterLoadTime time.Duration
 	// Outside is the cost of an endpoint outside the workspace's shard.
-	Outside time.Duration
+	OutsideShardCost time.Duration
 	// StepPerRequest is Skew.StepPerRequest.
 	StepPerRequest time.Duration
 	// SkewWeight is Skew.Weight, without a unit.
 	SkewWeight float64
 	// Spread is the Spread of Wait and Pace, in standard deviations.
-	Spread float64
+	StdDevScale float64
 	// PerCall is Even.PerCall; zero leaves it out.
 	PerCall time.Duration
 	// Import is the cost of moving cached prefixes between engines; nil when
@@ -63,13 +63,13 @@
 
 func (c Config) withDefaults() Config {
 	setDefault(&c.Candidates, DefaultCandidates)
-	setDefault(&c.Holders, DefaultHolders)
-	setDefault(&c.Shard, DefaultShard)
-	setDefault(&c.Queue, DefaultQueue)
-	setDefault(&c.OtherZone, DefaultOtherZone)
-	setDefault(&c.AdapterLoad, DefaultAdapterLoad)
-	setDefault(&c.Outside, DefaultOutside)
-	setDefault(&c.Spread, DefaultSpread)
+	setDefault(&c.PrefixHolders, DefaultPrefixHolders)
+	setDefault(&c.ShardSize, DefaultShardSize)
+	setDefault(&c.QueueRatio, DefaultQueueRatio)
+	setDefault(&c.CrossZoneRTT, DefaultCrossZoneRTT)
+	setDefault(&c.AdapterLoadTime, DefaultAdapterLoadTime)
+	setDefault(&c.OutsideShardCost, DefaultOutsideShardCost)
+	setDefault(&c.StdDevScale, DefaultStdDevScale)
 	setDefault(&c.StepPerRequest, DefaultStepPerRequest)
 	setDefault(&c.SkewWeight, DefaultSkewWeight)
 	c.Candidates = max(c.Candidates, 1)
@@ -89,13 +89,13 @@
 func (c Config) scorers(loads *load.Tracker) []Scorer {
 	return []Scorer{
 		Prefill{Import: c.Import},
-		Wait{Spread: c.Spread},
-		Pace{Spread: c.Spread},
-		Zone{OtherZone: c.OtherZone},
-		Adapter{Loads: loads, LoadTime: c.AdapterLoad},
-		Isolation{Outside: c.Outside},
+		Wait{StdDevScale: c.StdDevScale},
+		Decode{StdDevScale: c.StdDevScale},
+		Zone{CrossZoneRTT: c.CrossZoneRTT},
+		Adapter{Loads: loads, LoadTime: c.AdapterLoadTime},
+		Isolation{OutsideShardCost: c.OutsideShardCost},
 		Skew{StepPerRequest: c.StepPerRequest, Weight: c.SkewWeight},
-		Even{PerCall: c.PerCall},
+		CallCount{PerCall: c.PerCall},
 	}
 }
 
@@ -109,6 +109,6 @@
 // ForDirect returns the configuration for endpoints that are called directly. They keep no
 // prompts and no adapters of a workspace, so that it has no shard there: with two of 192
 // engines each, the engines of large workspaces had 10 calls in 6 slots while the mean was 2.6.
-func ForDirect() Config {
-	return Config{Shard: -1, Holders: -1, Outside: -1, PerCall: directPerCall}
+func DirectConfig() Config {
+	return Config{ShardSize: -1, PrefixHolders: -1, OutsideShardCost: -1, PerCall: directPerCall}
 }
--- a/endpoint/pick/direct_test.go
+++ b/endpoint/pick/direct_test.go
@@ -137,7 +137,7 @@
 	} {
 		for seed := range uint64(3) {
 			before, peak := pool.over(t, Config{}, seed)
-			after, level := pool.over(t, ForDirect(), seed)
+			after, level := pool.over(t, DirectConfig(), seed)
 			t.Logf("%d entries, %d engines, seed %d: over their slots %.3f by shards, %.3f evenly; busiest over mean %.2f and %.2f",
 				pool.entries, pool.engines, seed, before, after, peak, level)
 			is.True(after < 0.005)
--- a/endpoint/pick/isolation.go
+++ b/endpoint/pick/isolation.go
@@ -15,7 +15,7 @@
 // and adapters of a workspace stay together.
 type Isolation struct {
 	// Outside is the cost of an endpoint outside the shard.
-	Outside time.Duration
+	OutsideShardCost time.Duration
 }
 
 // Phase implements Scorer.
@@ -26,7 +26,7 @@
 	if q.Workspace == "" || c.InShard {
 		return 0
 	}
-	return s.Outside
+	return s.OutsideShardCost
 }
 
 // shardEndpoint returns the i-th endpoint of the workspace's shard. The place
--- a/endpoint/pick/pace.go
+++ b/endpoint/pick/pace.go
@@ -4,19 +4,19 @@
 
 // Pace weighs the time that the endpoint's steps take for the whole answer. It
 // draws the time of a step from its distribution, as Wait does.
-type Pace struct {
+type Decode struct {
 	// Spread scales the standard deviation of the draw; 0 takes the mean.
-	Spread float64
+	StdDevScale float64
 }
 
 // Phase implements Scorer.
-func (Pace) Phase() Phase { return AfterFirstToken }
+func (Decode) Phase() Phase { return AfterFirstToken }
 
 // Cost implements Scorer.
-func (s Pace) Cost(q *Query, c *Candidate) time.Duration {
+func (s Decode) Cost(q *Query, c *Candidate) time.Duration {
 	step := float64(c.Load.StepTime)
-	if s.Spread != 0 {
-		step = max(0, step+q.Rand.NormFloat64()*s.Spread*float64(c.Load.StepSpread))
+	if s.StdDevScale != 0 {
+		step = max(0, step+q.Rand.NormFloat64()*s.StdDevScale*float64(c.Load.StepTimeStdDev))
 	}
-	return time.Duration(q.AnswerTokens(c) * step)
+	return time.Duration(q.OutputTokens(c) * step)
 }
--- a/endpoint/pick/pick.go
+++ b/endpoint/pick/pick.go
@@ -88,7 +88,7 @@
 	// BestMatch is the greatest Matched among the candidates, in blocks.
 	BestMatch int
 	// Holder is the candidate that has BestMatch; nil when none has any block.
-	Holder *Candidate
+	BestHolder *Candidate
 }
 
 // BlockTokens is the number of prompt tokens in a block.
@@ -100,11 +100,11 @@
 }
 
 // AnswerTokens is the number of tokens that the call is expected to produce.
-func (q *Query) AnswerTokens(c *Candidate) float64 {
+func (q *Query) OutputTokens(c *Candidate) float64 {
 	if q.MaxTokens <= 0 {
-		return c.Load.AnswerTokens
+		return c.Load.OutputTokens
 	}
-	return min(float64(q.MaxTokens), c.Load.AnswerTokens)
+	return min(float64(q.MaxTokens), c.Load.OutputTokens)
 }
 
 // Filter drops candidates that must not be picked.
--- a/endpoint/pick/picker.go
+++ b/endpoint/pick/picker.go
@@ -37,9 +37,9 @@
 func New(cfg Config, table *endpoint.Table, loads *load.Tracker, index *prefix.Index, outliers *outlier.Detector) *Picker {
 	cfg = cfg.withDefaults()
 	p := &Picker{config: cfg, table: table, loads: loads, index: index}
-	p.sampler = sampler{candidates: cfg.Candidates, shard: cfg.Shard}
+	p.sampler = sampler{candidates: cfg.Candidates, shard: cfg.ShardSize}
 	p.rotation = Rotation{Outliers: outliers}
-	p.filters = []Filter{Excluded{}, Capacity{Queue: cfg.Queue}}
+	p.filters = []Filter{Excluded{}, Capacity{QueueRatio: cfg.QueueRatio}}
 	p.scorers = cfg.Scorers
 	if p.scorers == nil {
 		p.scorers = cfg.scorers(loads)
@@ -66,7 +66,7 @@
 	s := p.pool.Get().(*scratch)
 	defer p.release(s)
 	s.query = Query{Request: r, Now: now, Rand: rng}
-	s.holders = p.index.Holders(now, r.Prompt, p.config.Holders, s.holders)
+	s.holders = p.index.Holders(now, r.Prompt, p.config.PrefixHolders, s.holders)
 	p.sampler.sample(s, list, view, key)
 	explain := Explain{Considered: len(s.candidates)}
 	p.filter(s)
@@ -166,7 +166,7 @@
 		c := &s.candidates[i]
 		c.Matched = p.index.Match(q.Now, c.Endpoint.ID, q.Prompt)
 		if c.Matched > q.BestMatch {
-			q.BestMatch, q.Holder = c.Matched, c
+			q.BestMatch, q.BestHolder = c.Matched, c
 		}
 	}
 	for i := range s.candidates {
@@ -198,8 +198,8 @@
 		explain.RunnerUp = s.candidates[next]
 	}
 	q := &s.query
-	if p.config.Import != nil && q.Holder != nil && p.config.Import.worthwhile(q, &explain.Chosen) {
-		explain.ImportFrom = q.Holder.Endpoint.ID
+	if p.config.Import != nil && q.BestHolder != nil && p.config.Import.worthwhile(q, &explain.Chosen) {
+		explain.ImportFrom = q.BestHolder.Endpoint.ID
 		explain.ImportBlocks = q.BestMatch
 	}
 }
--- a/endpoint/pick/skew.go
+++ b/endpoint/pick/skew.go
@@ -29,5 +29,5 @@
 	}
 	chance := min(1, above/reach)
 	slower := chance * chance * float64(s.StepPerRequest)
-	return time.Duration(s.Weight * slower * c.Load.GroupRunning * q.AnswerTokens(c))
+	return time.Duration(s.Weight * slower * c.Load.GroupRunning * q.OutputTokens(c))
 }
--- a/endpoint/pick/wait.go
+++ b/endpoint/pick/wait.go
@@ -9,7 +9,7 @@
 // the reports still tell.
 type Wait struct {
 	// Spread scales the standard deviation of the draw; 0 takes the mean.
-	Spread float64
+	StdDevScale float64
 }
 
 // Phase implements Scorer.
@@ -17,9 +17,9 @@
 
 // Cost implements Scorer.
 func (s Wait) Cost(q *Query, c *Candidate) time.Duration {
-	if s.Spread == 0 {
+	if s.StdDevScale == 0 {
 		return c.Load.Wait
 	}
-	drawn := q.Rand.NormFloat64() * s.Spread * float64(c.Load.Spread)
+	drawn := q.Rand.NormFloat64() * s.StdDevScale * float64(c.Load.WaitStdDev)
 	return max(0, c.Load.Wait+time.Duration(drawn))
 }
--- a/endpoint/pick/zone.go
+++ b/endpoint/pick/zone.go
@@ -5,7 +5,7 @@
 // Zone weighs the way from the entry to the endpoint.
 type Zone struct {
 	// OtherZone is the added round trip to another availability zone.
-	OtherZone time.Duration
+	CrossZoneRTT time.Duration
 }
 
 // Phase implements Scorer.
@@ -17,5 +17,5 @@
 	if q.Zone == "" || q.Zone == c.Endpoint.Zone {
 		return delay
 	}
-	return s.OtherZone + delay
+	return s.CrossZoneRTT + delay
 }
--- a/endpoint/reach/reach.go
+++ b/endpoint/reach/reach.go
@@ -45,14 +45,14 @@
 }
 
 // Heard notes that something has come from an endpoint.
-func (t *Tracker) Heard(now time.Duration, id string) {
+func (t *Tracker) Received(now time.Duration, id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.heard[id] = now
 }
 
 // HeardSince reports whether anything has come from an endpoint after a time.
-func (t *Tracker) HeardSince(id string, since time.Duration) bool {
+func (t *Tracker) ReceivedSince(id string, since time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at, known := t.heard[id]
@@ -75,14 +75,14 @@
 
 // Gone notes that another endpoint has answered at an endpoint's address: it has
 // ended. Should its id come back, Forget makes it known.
-func (t *Tracker) Gone(id string) {
+func (t *Tracker) Replaced(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.records[id] = &record{gone: true}
 }
 
 // Worked notes that an endpoint has answered.
-func (t *Tracker) Worked(id string) {
+func (t *Tracker) Succeeded(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.records, id)
@@ -90,7 +90,7 @@
 
 // Forget drops what is known of an endpoint that has left.
 func (t *Tracker) Forget(id string) {
-	t.Worked(id)
+	t.Succeeded(id)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.heard, id)
@@ -98,7 +98,7 @@
 
 // Out returns the endpoints to leave out now, in no order. silent reports
 // whether an endpoint has stopped announcing itself.
-func (t *Tracker) Out(now time.Duration, silent func(id string) bool) []string {
+func (t *Tracker) Excluded(now time.Duration, silent func(id string) bool) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
--- a/endpoint/reach/reach_test.go
+++ b/endpoint/reach/reach_test.go
@@ -18,7 +18,7 @@
 	for range 7 {
 		tracker.Failed(now, "e")
 		began := now
-		for len(tracker.Out(now, announces)) > 0 {
+		for len(tracker.Excluded(now, announces)) > 0 {
 			now += 10 * time.Millisecond
 		}
 		pauses = append(pauses, now-began)
@@ -26,24 +26,24 @@
 	is.Equal(pauses[0], firstPause)
 	is.Equal(pauses[1], 2*firstPause)
 	is.Equal(pauses[6], lastPause)
-	tracker.Worked("e")
-	is.Equal(len(tracker.Out(now, announces)), 0)
+	tracker.Succeeded("e")
+	is.Equal(len(tracker.Excluded(now, announces)), 0)
 }
 
 func TestAnEndpointThatIsGoneStaysOut(t *testing.T) {
 	is := is.New(t)
 	tracker := New()
-	tracker.Gone("e")
-	is.Equal(tracker.Out(time.Hour, announces), []string{"e"})
+	tracker.Replaced("e")
+	is.Equal(tracker.Excluded(time.Hour, announces), []string{"e"})
 	tracker.Forget("e")
-	is.Equal(len(tracker.Out(time.Hour, announces)), 0)
+	is.Equal(len(tracker.Excluded(time.Hour, announces)), 0)
 }
 
 func TestASilentEndpointIsOutOnlyAfterAFailure(t *testing.T) {
 	is := is.New(t)
 	tracker := New()
-	is.Equal(len(tracker.Out(0, silent)), 0) // missed heartbeats alone take nothing out
+	is.Equal(len(tracker.Excluded(0, silent)), 0) // missed heartbeats alone take nothing out
 	tracker.Failed(0, "e")
-	is.Equal(len(tracker.Out(time.Hour, announces)), 0)
-	is.Equal(tracker.Out(time.Hour, silent), []string{"e"})
+	is.Equal(len(tracker.Excluded(time.Hour, announces)), 0)
+	is.Equal(tracker.Excluded(time.Hour, silent), []string{"e"})
 }
--- a/endpoint/suspicion/bench_test.go
+++ b/endpoint/suspicion/bench_test.go
@@ -17,7 +17,7 @@
 			}
 			all := func(string) bool { return true }
 			for b.Loop() {
-				t.Out(time.Millisecond, all, 2500)
+				t.Excluded(time.Millisecond, all, 2500)
 			}
 		})
 	}
--- a/endpoint/suspicion/codec.go
+++ b/endpoint/suspicion/codec.go
@@ -11,7 +11,7 @@
 	messages := make([]*agentv1.Suspicion, 0, len(reports))
 	for _, r := range reports {
 		messages = append(messages, &agentv1.Suspicion{
-			Endpoint: r.Endpoint, Reporter: r.Reporter, AgeMs: max(now-r.At, 0).Milliseconds(), Answers: r.Answers,
+			Endpoint: r.Endpoint, Reporter: r.Reporter, AgeMs: max(now-r.At, 0).Milliseconds(), Answers: r.Responsive,
 		})
 	}
 	return messages
@@ -25,7 +25,7 @@
 			continue
 		}
 		reports = append(reports, Report{
-			Endpoint: m.GetEndpoint(), Reporter: m.GetReporter(), At: now - time.Duration(m.GetAgeMs())*time.Millisecond, Answers: m.GetAnswers(),
+			Endpoint: m.GetEndpoint(), Reporter: m.GetReporter(), At: now - time.Duration(m.GetAgeMs())*time.Millisecond, Responsive: m.GetAnswers(),
 		})
 	}
 	return reports
--- a/endpoint/suspicion/suspicion.go
+++ b/endpoint/suspicion/suspicion.go
@@ -48,7 +48,7 @@
 	// At is when it was found out.
 	At time.Duration
 	// Answers is true if the endpoint has answered, after it was suspected.
-	Answers bool
+	Responsive bool
 }
 
 // Tracker is what one entry knows of suspected endpoints. It is safe for concurrent use; its lock
@@ -96,14 +96,14 @@
 
 // Answered notes that an endpoint has answered a request of this entry that was sent at a time. It
 // costs next to nothing for an endpoint that nobody suspects.
-func (t *Tracker) Answered(now, sent time.Duration, run string) {
+func (t *Tracker) Succeeded(now, sent time.Duration, run string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known := t.endpoints[run]
 	if known == nil || sent < known.latest {
 		return
 	}
-	r := Report{Endpoint: run, Reporter: t.own, At: now, Answers: true}
+	r := Report{Endpoint: run, Reporter: t.own, At: now, Responsive: true}
 	t.merge(now, r)
 	t.publish(r)
 }
@@ -123,7 +123,7 @@
 // merge takes in one report, and reports whether the endpoint is confirmed by it; the lock is held.
 func (t *Tracker) merge(now time.Duration, report Report) (confirmed bool) {
 	known := t.endpoints[report.Endpoint]
-	if report.Answers {
+	if report.Responsive {
 		if known != nil && report.At >= known.latest {
 			delete(t.endpoints, report.Endpoint)
 		}
@@ -165,7 +165,7 @@
 // Out returns the runs of a pool's endpoints to leave out now on the evidence of several entries, in
 // no order. Where so many are suspected that the fault can
 // hardly be theirs, it returns none and forgets what was reported of them.
-func (t *Tracker) Out(now time.Duration, inPool func(run string) bool, size int) []string {
+func (t *Tracker) Excluded(now time.Duration, inPool func(run string) bool, size int) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
@@ -184,7 +184,7 @@
 }
 
 // Forget evicts what is no longer of use. It is to be called now and then.
-func (t *Tracker) Forget(now time.Duration) {
+func (t *Tracker) Expire(now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.forget(now)
@@ -231,7 +231,7 @@
 }
 
 // Len returns the number of endpoints that several entries suspect.
-func (t *Tracker) Len() int {
+func (t *Tracker) ConfirmedCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	suspected := 0
@@ -244,7 +244,7 @@
 }
 
 // Published returns the reports of this entry since the last call.
-func (t *Tracker) Published() []Report {
+func (t *Tracker) TakeReports() []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	published := t.outbox
@@ -253,4 +253,4 @@
 }
 
 // Changed receives after there are reports to publish. One receiver is notified.
-func (t *Tracker) Changed() <-chan struct{} { return t.changed }
+func (t *Tracker) ReportsReady() <-chan struct{} { return t.changed }
--- a/endpoint/suspicion/world_test.go
+++ b/endpoint/suspicion/world_test.go
@@ -94,11 +94,11 @@
 func (w *world) send(entry int) {
 	e := w.entries[entry]
 	out := map[string]bool{}
-	for _, id := range e.reach.Out(w.now, func(string) bool { return false }) {
+	for _, id := range e.reach.Excluded(w.now, func(string) bool { return false }) {
 		out[id] = true
 	}
 	if w.shared {
-		for _, id := range e.Out(w.now, func(string) bool { return true }, w.size) {
+		for _, id := range e.Excluded(w.now, func(string) bool { return true }, w.size) {
 			out[id] = true
 		}
 	}
@@ -124,15 +124,15 @@
 		return
 	}
 	w.after(answerTime, func() {
-		e.reach.Worked(id)
-		e.Answered(w.now, sent, id)
+		e.reach.Succeeded(id)
+		e.Succeeded(w.now, sent, id)
 		w.passOn(e)
 	})
 }
 
 // passOn passes the reports of an entry on to all others.
 func (w *world) passOn(from *worldEntry) {
-	reports := from.Published()
+	reports := from.TakeReports()
 	if len(reports) == 0 {
 		return
 	}
--- a/endpoint/view.go
+++ b/endpoint/view.go
@@ -51,7 +51,7 @@
 
 // At returns the endpoint that is called directly at an address and takes new
 // work; of several the one whose record changed last.
-func (v *View) At(addr string) (*Endpoint, bool) {
+func (v *View) ByAddr(addr string) (*Endpoint, bool) {
 	e, ok := v.byAddr[addr]
 	return e, ok
 }
@@ -150,8 +150,8 @@
 // laterThan reports whether e has come to its address after other. The end of a
 // lease changes a record, too: one that is silent is the earlier of two.
 func (e *Endpoint) laterThan(other *Endpoint) bool {
-	if e.Silent != other.Silent {
-		return other.Silent
+	if e.AnnouncementExpired != other.AnnouncementExpired {
+		return other.AnnouncementExpired
 	}
 	return e.Revision > other.Revision
 }
--- a/entry/configure.go
+++ b/entry/configure.go
@@ -106,7 +106,7 @@
 		ID: e.GetId(), Host: e.GetHost(), Zone: e.GetZone(), Region: e.GetRegion(), Pool: e.GetPool(),
 		Kind: endpoint.Engine, State: stateOf(e), Model: e.GetModel(), Version: e.GetVersion(), Role: e.GetRole(),
 		Adapters: e.GetAdapters(), AgentAddr: e.GetAgentAddr(), Incarnation: e.GetIncarnation(),
-		Addr: e.GetAddr(), Silent: e.GetAddr() != "" && !e.GetLive(),
+		Addr: e.GetAddr(), AnnouncementExpired: e.GetAddr() != "" && !e.GetLive(),
 		Group: e.GetGroup(), Rank: int(e.GetRank()), Slots: int(e.GetSlots()), Revision: e.GetRevision(),
 	}
 	if e.GetKind() == fleetv1.EndpointKind_ENDPOINT_KIND_SERVICE {
--- a/entry/intake.go
+++ b/entry/intake.go
@@ -26,7 +26,7 @@
 	p.mergeCrashReports(now, r.GetCrashReports())
 	p.limits.learn(now, r.GetRateLimits())
 	for _, run := range p.suspects.Merge(now, suspicion.FromProto(now, r.GetSuspicions())) {
-		p.logger.Info("several entries suspect an endpoint", slog.String("endpoint", endpoint.OfRun(run)))
+		p.logger.Info("several entries suspect an endpoint", slog.String("endpoint", endpoint.IDFromRunID(run)))
 	}
 	view := p.table.Snapshot()
 	for _, l := range r.GetLoads() {
@@ -59,7 +59,7 @@
 	if e, known := view.Get(name); known {
 		return e, true
 	}
-	return view.At(name)
+	return view.ByAddr(name)
 }
 
 // takeLoad feeds the tracker and the detector. The detector gets endpoints
@@ -68,7 +68,7 @@
 func (p *Reports) takeLoad(now time.Duration, e *endpoint.Endpoint, l *agentv1.LoadReport) {
 	report := loadOf(e, l)
 	p.loads.Report(now, e.ID, report)
-	p.outliers.Observe(now, peersOf(e), e.ID, outlier.Sample{Latency: report.OwnStep, Report: true})
+	p.outliers.Observe(now, peersOf(e), e.ID, outlier.Sample{Latency: report.OwnStep, FromReport: true})
 	if p.hasLeft(e.ID) {
 		p.outliers.Forget(e.ID)
 	}
--- a/entry/permits.go
+++ b/entry/permits.go
@@ -64,7 +64,7 @@
 	}
 	limit := ratelimit.Limit{Rate: rate, Since: f.Sent, At: time.Since(processStart)}
 	if p.note(e.ID, limit) {
-		go p.publish(ratelimit.Named{Endpoint: e.Run(), Limit: limit})
+		go p.publish(ratelimit.Named{Endpoint: e.RunID(), Limit: limit})
 	}
 }
 
@@ -99,7 +99,7 @@
 
 // ask asks for the permit to send one request, the next host if the first choice does not answer.
 func (p *Permits) ask(ctx context.Context, e *endpoint.Endpoint, limit ratelimit.Limit) (granted bool, wait time.Duration) {
-	named := ratelimit.Named{Endpoint: e.Run(), Limit: limit}
+	named := ratelimit.Named{Endpoint: e.RunID(), Limit: limit}
 	choices := p.choices(named.Endpoint)
 	if len(choices) == 0 {
 		return p.askAlone(named)
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -45,7 +45,7 @@
 
 func newPicker(cfg Config, table *endpoint.Table, loads *load.Tracker, index *prefix.Index, outliers *outlier.Detector) *pick.Picker {
 	if cfg.Routed {
-		return pick.New(pick.ForDirect(), table, loads, index, outliers)
+		return pick.New(pick.DirectConfig(), table, loads, index, outliers)
 	}
 	return pick.New(pick.Config{}, table, loads, index, outliers)
 }
@@ -78,7 +78,7 @@
 // newSuspects returns what this entry knows of endpoints that do not answer.
 func newSuspects(cfg Config) *suspicion.Tracker {
 	suspects := suspicion.NewTracker(xxhash.Sum64String(cfg.Name))
-	metrics.GetOrCreateGauge(`lilackeel_entry_suspected_endpoints`, func() float64 { return float64(suspects.Len()) })
+	metrics.GetOrCreateGauge(`lilackeel_entry_suspected_endpoints`, func() float64 { return float64(suspects.ConfirmedCount()) })
 	return suspects
 }
 
--- a/entry/publish.go
+++ b/entry/publish.go
@@ -79,11 +79,11 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			p.suspects.Forget(time.Since(processStart))
+			p.suspects.Expire(time.Since(processStart))
 			continue
-		case <-p.suspects.Changed():
+		case <-p.suspects.ReportsReady():
 		}
-		if published := p.suspects.Published(); len(published) > 0 {
+		if published := p.suspects.TakeReports(); len(published) > 0 {
 			p.atSomeHosts(ctx, func(ctx context.Context, host agentv1.AgentClient) error {
 				_, err := host.PublishSuspicions(ctx, &agentv1.PublishSuspicionsRequest{Suspicions: suspicion.ToProto(time.Since(processStart), published)})
 				return err
--- a/entry/ratelimits.go
+++ b/entry/ratelimits.go
@@ -88,8 +88,8 @@
 		l.note(n.Endpoint, n.Limit)
 		return
 	}
-	id := endpoint.OfRun(n.Endpoint)
-	if e, known := view.Get(id); known && e.Run() == n.Endpoint {
+	id := endpoint.IDFromRunID(n.Endpoint)
+	if e, known := view.Get(id); known && e.RunID() == n.Endpoint {
 		l.note(id, n.Limit)
 	}
 }
@@ -232,7 +232,7 @@
 	for _, id := range l.table.All() {
 		limit, limited := l.table.Limit(id)
 		if e, ok := view.Get(id); ok && limited && e.Addr != "" {
-			known = append(known, ratelimit.ToProto(now, ratelimit.Named{Endpoint: e.Run(), Limit: limit}))
+			known = append(known, ratelimit.ToProto(now, ratelimit.Named{Endpoint: e.RunID(), Limit: limit}))
 		}
 	}
 	return known
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -156,7 +156,7 @@
 	engines := p.engines[addr]
 	p.mu.Unlock()
 	for _, engine := range engines {
-		p.groups.Silent(engine)
+		p.groups.ClearReport(engine)
 	}
 }
 
--- a/entry/suspects_test.go
+++ b/entry/suspects_test.go
@@ -23,7 +23,7 @@
 	third := f.startEntry(0.01)
 	suspects := third.configurer.reports.suspects
 	all := func(string) bool { return true }
-	for end := time.Now().Add(10 * time.Second); len(suspects.Out(time.Since(processStart), all, 8)) == 0; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); len(suspects.Excluded(time.Since(processStart), all, 8)) == 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the third entry has not heard of it")
 		}
--- a/measure/picking/ejection.go
+++ b/measure/picking/ejection.go
@@ -71,8 +71,8 @@
 	}
 	return []ejectionRule{
 		{"as it stands", detector(outlier.Config{})},
-		{"one strike", detector(outlier.Config{Strikes: 1})},
-		{"2 deviations, no ratio", detector(outlier.Config{Noise: 2, SlowRatio: 1.01})},
+		{"one strike", detector(outlier.Config{ConsecutiveBad: 1})},
+		{"2 deviations, no ratio", detector(outlier.Config{StdDevFactor: 2, SlowRatio: 1.01})},
 		{"fixed limit of twice the usual", func() judge { return &fixedLimit{limit: 2 * usualLatency, ends: map[string]*fixedState{}} }},
 	}
 }
@@ -194,7 +194,7 @@
 	mean := state.sum / time.Duration(state.count)
 	state.sum, state.count = 0, 0
 	if mean > f.limit && now >= state.until {
-		state.until = now + outlier.DefaultEjection
+		state.until = now + outlier.DefaultBaseEjectionTime
 		state.ejections++
 	}
 }
--- a/measure/picking/policy.go
+++ b/measure/picking/policy.go
@@ -38,10 +38,10 @@
 		{name: "least requests", choose: leastRequests},
 		{name: "least requests of two", choose: leastOfTwo},
 		{name: "prefix only", choose: byPicker, usesIndex: true,
-			pick: pick.Config{Scorers: []pick.Scorer{pick.Prefill{}}, Shard: -1}},
+			pick: pick.Config{Scorers: []pick.Scorer{pick.Prefill{}}, ShardSize: -1}},
 		{name: "load only, lowest report", choose: lowestReport, usesReports: true},
 		{name: "load only, sampled and aged", choose: byPicker, usesReports: true,
-			pick: pick.Config{Scorers: []pick.Scorer{pick.Wait{Spread: 1}, pick.Pace{Spread: 1}}, Shard: -1, Holders: -1}},
+			pick: pick.Config{Scorers: []pick.Scorer{pick.Wait{StdDevScale: 1}, pick.Decode{StdDevScale: 1}}, ShardSize: -1, PrefixHolders: -1}},
 		lilackeel(),
 	}
 }
--- a/measure/picking/variants.go
+++ b/measure/picking/variants.go
@@ -20,7 +20,7 @@
 func faultVariants() []*job {
 	noSurprise := lilackeel()
 	noSurprise.name = "no surprise at first tokens"
-	noSurprise.load.SurpriseTTL = -1
+	noSurprise.load.PredictionErrorTTL = -1
 	keepAll := lilackeel()
 	keepAll.name = "no ejection"
 	keepAll.outlier.MaxEjected = noEjection
@@ -48,15 +48,15 @@
 		all = append(all, p)
 	}
 	add("as it stands", func(*policy) {})
-	add("means in place of draws", func(p *policy) { p.pick.Spread = -1 })
-	add("reports believed as they are", func(p *policy) { p.load.Memory = -1 })
-	add("memory fixed at 2 s", func(p *policy) { p.load.Memory = 2 * time.Second })
-	add("memory fixed at 0.3 s", func(p *policy) { p.load.Memory = 300 * time.Millisecond })
-	add("no surprise at first tokens", func(p *policy) { p.load.SurpriseTTL = -1 })
+	add("means in place of draws", func(p *policy) { p.pick.StdDevScale = -1 })
+	add("reports believed as they are", func(p *policy) { p.load.DecayTime = -1 })
+	add("memory fixed at 2 s", func(p *policy) { p.load.DecayTime = 2 * time.Second })
+	add("memory fixed at 0.3 s", func(p *policy) { p.load.DecayTime = 300 * time.Millisecond })
+	add("no surprise at first tokens", func(p *policy) { p.load.PredictionErrorTTL = -1 })
 	add("no prefix expected before events", func(p *policy) { p.prefix.SentTTL = -1 })
 	add("no skew score", func(p *policy) { p.pick.SkewWeight = -1 })
 	add("skew score times 5", func(p *policy) { p.pick.SkewWeight = 5 * pick.DefaultSkewWeight })
-	add("no shard", func(p *policy) { p.pick.Shard = -1 })
+	add("no shard", func(p *policy) { p.pick.ShardSize = -1 })
 	add("4 candidates", func(p *policy) { p.pick.Candidates = 4 })
 	add("16 candidates", func(p *policy) { p.pick.Candidates = 16 })
 	add("all 64 as candidates", func(p *policy) { p.pick.Candidates = 64 })
--- a/routed/attempt.go
+++ b/routed/attempt.go
@@ -51,7 +51,7 @@
 // noteSilent notes that the endpoint has not answered.
 func (a *attempt) noteSilent(now time.Duration) {
 	a.server.Reach.Failed(now, a.target.ID)
-	a.server.Suspects.Failed(now, a.target.Run())
+	a.server.Suspects.Failed(now, a.target.RunID())
 }
 
 // cut is how an attempt ends that may have run and has brought no whole answer.
@@ -70,7 +70,7 @@
 		return
 	}
 	s.metrics.endedUnder.Inc()
-	change := s.Quarantine.Ended(s.clock(), a.request.fingerprint, a.target.Run())
+	change := s.Quarantine.Ended(s.clock(), a.request.fingerprint, a.target.RunID())
 	s.Logger.LogAttrs(a.caller, slog.LevelInfo, "an endpoint ended under a request",
 		slog.String("request_id", a.request.id), slog.Any("fingerprint", a.request.fingerprint), slog.String("endpoint", a.target.ID),
 		slog.Duration("ran", s.clock()-a.started), slog.Int("ends", change.Ends), slog.Duration("hold", change.Hold))
@@ -79,7 +79,7 @@
 // noteCompleted notes that the endpoint has run the request to its end.
 func (a *attempt) noteCompleted() {
 	s := a.server
-	if cleared := s.Quarantine.Completed(s.clock(), a.started, a.request.fingerprint, a.target.Run()); cleared > 0 {
+	if cleared := s.Quarantine.Completed(s.clock(), a.started, a.request.fingerprint, a.target.RunID()); cleared > 0 {
 		s.Logger.LogAttrs(a.caller, slog.LevelInfo, "cleared a request",
 			slog.String("request_id", a.request.id), slog.Any("fingerprint", a.request.fingerprint), slog.Int("ends", cleared))
 	}
--- a/routed/choose.go
+++ b/routed/choose.go
@@ -54,9 +54,9 @@
 	s, q := x.server, x.request
 	now := s.clock()
 	view := s.Endpoints.Snapshot()
-	out := s.Reach.Out(now, func(id string) bool {
+	out := s.Reach.Excluded(now, func(id string) bool {
 		e, known := view.Get(id)
-		return !known || e.Silent
+		return !known || e.AnnouncementExpired
 	})
 	out = append(out, s.suspects(now, view, q.pool)...)
 	wanted := pick.Request{
--- a/routed/deliver.go
+++ b/routed/deliver.go
@@ -29,9 +29,9 @@
 	s, q := a.server, a.request
 	names := s.config.Headers
 	if r.Status != http.StatusMisdirectedRequest {
-		s.Reach.Worked(a.target.ID)
-		s.Reach.Heard(s.clock(), a.target.ID)
-		s.Suspects.Answered(s.clock(), a.started, a.target.Run())
+		s.Reach.Succeeded(a.target.ID)
+		s.Reach.Received(s.clock(), a.target.ID)
+		s.Suspects.Succeeded(s.clock(), a.started, a.target.RunID())
 		s.RateLimits.Answered(&a.target, a.feedback(r))
 	}
 	if r.Status == http.StatusMisdirectedRequest || names.NotRun != "" && r.Header.Get(names.NotRun) != "" {
@@ -93,7 +93,7 @@
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxRefusalBytes))
 	a.done(false)
 	if r.Status == http.StatusMisdirectedRequest {
-		s.Reach.Gone(a.target.ID)
+		s.Reach.Replaced(a.target.ID)
 	}
 	f := fault.Newf(fault.Overloaded, "ask again after the time given", "the endpoint ran nothing and answered %d", r.Status)
 	if refusal := a.poolRefusal(); refusal != nil {
@@ -244,7 +244,7 @@
 		a.server.throttle.observe(poolGroup{a.target.Pool, a.group}, now, pause)
 	}
 	a.begun.Store(true)
-	a.server.Reach.Heard(now, a.target.ID)
+	a.server.Reach.Received(now, a.target.ID)
 	a.hear(now, pause)
 	if a.first == 0 {
 		a.first = now - a.request.arrived
@@ -267,7 +267,7 @@
 		pause = 0
 	}
 	longest := time.Duration(a.request.route.GetGapMs()) * time.Millisecond
-	a.server.Groups.Part(now, a.group, pause, longest)
+	a.server.Groups.Chunk(now, a.group, pause, longest)
 }
 
 // broken ends an attempt whose stream broke off. What cannot be gone on with is
--- a/routed/filling.go
+++ b/routed/filling.go
@@ -22,11 +22,11 @@
 func firstCalls(engine *fleetv1.EngineModel, cfg concurrency.Config, engines int) float64 {
 	stride := float64(max(engine.GetStride(), 1))
 	each := engine.GetPerRequestMs() * stride * (1 - engine.GetExpertShare() + engine.GetExpertShare()*firstSkew)
-	if cfg.Pause <= 0 || each <= 0 || engine.GetSets() == 0 || engine.GetPrefillRate() <= 0 {
+	if cfg.MaxGap <= 0 || each <= 0 || engine.GetSets() == 0 || engine.GetPrefillRate() <= 0 {
 		return 0
 	}
 	prompts := float64(engine.GetChunk()) * stride / engine.GetPrefillRate() * 1000
-	left := firstPause*float64(cfg.Pause.Milliseconds()) - engine.GetStepMs()*stride - prompts
+	left := firstPause*float64(cfg.MaxGap.Milliseconds()) - engine.GetStepMs()*stride - prompts
 	return max(left/each, 1) * float64(engines)
 }
 
--- a/routed/move.go
+++ b/routed/move.go
@@ -69,13 +69,13 @@
 	if a.begun.Load() || now-a.started < s.firsts.silence(a.request.pool) {
 		return false
 	}
-	return !s.Reach.HeardSince(a.target.ID, a.started) && s.Groups.Silence(now, a.group) < leastSilence
+	return !s.Reach.ReceivedSince(a.target.ID, a.started) && s.Groups.TimeSinceProgress(now, a.group) < leastSilence
 }
 
 // stalled reports whether the endpoint's group has stopped and another runs.
 func (a *attempt) stalled() bool {
 	s := a.server
-	if s.Groups.Silence(s.clock(), a.group) < moveAfter {
+	if s.Groups.TimeSinceProgress(s.clock(), a.group) < moveAfter {
 		return false
 	}
 	return best(s.placement.Load().pools[a.request.pool]) < lockstep.Stalled
@@ -94,7 +94,7 @@
 func (a *attempt) cannotEnd() bool {
 	s, q := a.server, a.request
 	gap := time.Duration(q.route.GetGapMs()) * time.Millisecond
-	pass := s.Groups.LatestPasses(a.group)
+	pass := s.Groups.RecentStepTime(a.group)
 	if gap <= 0 || pass <= gap {
 		return false
 	}
--- a/routed/move_test.go
+++ b/routed/move_test.go
@@ -112,7 +112,7 @@
 			case <-stop:
 				return
 			case <-time.After(50 * time.Millisecond):
-				b.server.Groups.Part(b.server.clock(), "g", 50*time.Millisecond, 120*time.Millisecond)
+				b.server.Groups.Chunk(b.server.clock(), "g", 50*time.Millisecond, 120*time.Millisecond)
 			}
 		}
 	}()
@@ -190,7 +190,7 @@
 	b.server.lengths.observe("pool", 20)
 	b.server.Groups.Report("10.0.0.1:80", "g1", false)
 	for now := time.Duration(0); now < 2*time.Second; now += 500 * time.Millisecond {
-		b.server.Groups.Part(now, "g1", 500*time.Millisecond, 50*time.Millisecond)
+		b.server.Groups.Chunk(now, "g1", 500*time.Millisecond, 50*time.Millisecond)
 	}
 	ended := false
 	w := &watcher{attempt: &attempt{exchange: &exchange{server: b.server, request: request}, group: "g1"}, cancel: func() { ended = true }}
--- a/routed/paths.go
+++ b/routed/paths.go
@@ -74,6 +74,6 @@
 	if promised <= 0 || isLoose(a.group) {
 		return
 	}
-	usual := max(promised, a.server.Groups.LatestPasses(a.group))
+	usual := max(promised, a.server.Groups.RecentStepTime(a.group))
 	a.server.paths.observe(a.target.Zone, now, max(pause-usual, 0))
 }
--- a/routed/paths_test.go
+++ b/routed/paths_test.go
@@ -42,7 +42,7 @@
 	loads := load.New(load.Config{}, table)
 	return &pathWorld{
 		rng: rand.New(rand.NewPCG(1, 1)), learns: learns, loads: loads, byZone: map[string]int{},
-		picker: pick.New(pick.ForDirect(), table, loads, prefix.New(prefix.Config{}), outlier.New(outlier.Config{})),
+		picker: pick.New(pick.DirectConfig(), table, loads, prefix.New(prefix.Config{}), outlier.New(outlier.Config{})),
 	}
 }
 
--- a/routed/placement.go
+++ b/routed/placement.go
@@ -15,7 +15,7 @@
 // groupOf returns the lock-step group of an endpoint or, for one of none, a name for all
 // such endpoints of its pool.
 func groupOf(groups *lockstep.Tracker, e *endpoint.Endpoint) string {
-	if name := groups.Of(e.Addr); name != "" {
+	if name := groups.GroupOf(e.Addr); name != "" {
 		return name
 	}
 	return looseGroup + e.Pool
@@ -134,7 +134,7 @@
 		if r.state != state || r.places <= 0 {
 			continue
 		}
-		if left := 1 - float64(groups.Calls(r.group))/float64(r.places); left > most {
+		if left := 1 - float64(groups.InFlight(r.group))/float64(r.places); left > most {
 			group, most, ok = r.group, left, true
 		}
 	}
--- a/routed/placement_test.go
+++ b/routed/placement_test.go
@@ -36,7 +36,7 @@
 	is.Equal(r.state, lockstep.Stalled)
 	is.Equal(total([]room{r}), Room{InTime: 1, Stuck: 1, Opening: 5}) // a second call may go
 	groups.Sent(now, "g")
-	groups.Part(now+150*time.Millisecond, "g", 0, longest)
+	groups.Chunk(now+150*time.Millisecond, "g", 0, longest)
 	is.Equal(groups.State(now+200*time.Millisecond, "g", longest), lockstep.Paced)
 }
 
--- a/routed/throttle.go
+++ b/routed/throttle.go
@@ -77,7 +77,7 @@
 	g := t.group(name)
 	g.config = cfg
 	if state == lockstep.Closed {
-		g.limiter.Closed(now, cfg)
+		g.limiter.Reset(now, cfg)
 	}
 	limit = g.limiter.Update(now, cfg, running)
 	return limit, g.notable(now, limit)
@@ -161,8 +161,8 @@
 		if _, published := next.pools[name.pool]; !published {
 			continue
 		}
-		cfg := concurrency.Config{Pause: pauses[name.pool], Slots: load.slots, Fixed: fixedPause(engine)}
-		cfg.First = firstCalls(engine, cfg, load.engines)
+		cfg := concurrency.Config{MaxGap: pauses[name.pool], Slots: load.slots, FixedGap: fixedPause(engine)}
+		cfg.InitialLimit = firstCalls(engine, cfg, load.engines)
 		room := s.room(now, name, cfg, load, entries)
 		if young && isLoose(name.group) && engine.GetSets() > 0 {
 			room.state = lockstep.Closed
@@ -201,14 +201,14 @@
 func (s *Server) room(now time.Duration, name poolGroup, cfg concurrency.Config, load poolLoad, entries int) room {
 	state := lockstep.Paced
 	if !isLoose(name.group) {
-		state = s.Groups.State(now, name.group, cfg.Pause)
+		state = s.Groups.State(now, name.group, cfg.MaxGap)
 	}
 	limit, notable := s.throttle.update(name, now, cfg, load.running, state)
 	if load.open == 0 {
 		state = lockstep.Closed
 	}
 	r := room{group: name.group, state: state, places: load.places(limit, entries), own: load.own}
-	r.held = max(r.places-load.own-load.growth(cfg.Pause, entries), 0)
+	r.held = max(r.places-load.own-load.growth(cfg.MaxGap, entries), 0)
 	if notable {
 		s.Logger.Info("limited the calls of a pool", slog.String("pool", name.pool), slog.String("group", strings.TrimPrefix(name.group, looseGroup)), slog.String("state", r.state.String()),
 			slog.Float64("limit", limit), slog.Float64("running", load.running), slog.Int("slots", load.slots), slog.Int("own", load.own), slog.Int("places", r.places))
@@ -292,10 +292,10 @@
 	reserves := s.RateLimits.Reserves()
 	for _, e := range view.All() {
 		reserve, paused := reserves[e.ID]
-		if e.Addr == "" || e.State != endpoint.Serving || e.Silent || reserve.Leaving {
+		if e.Addr == "" || e.State != endpoint.Serving || e.AnnouncementExpired || reserve.Leaving {
 			continue
 		}
-		if present, ok := view.At(e.Addr); ok && present.ID != e.ID {
+		if present, ok := view.ByAddr(e.Addr); ok && present.ID != e.ID {
 			continue
 		}
 		name := poolGroup{e.Pool, groupOf(s.Groups, e)}
