--- a/endpoint/direct_test.go
+++ b/endpoint/direct_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// Of two endpoints announced at one address the later one is there; the earlier
-// takes no work, also while its lease lasts.
-func TestAnAddressBelongsToTheLatestEndpoint(t *testing.T) {
+// If two endpoints have announced the same address, only the one announced last
+// takes calls, even while the lease of the earlier one is still valid.
+func TestAddressBelongsToLatestEndpoint(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	old := Endpoint{ID: "old", Pool: "p", Addr: "10.0.0.1:80", Revision: 1}
@@ -26,10 +26,10 @@
 	is.Equal(at.ID, "new")
 	table.Apply([]Endpoint{{ID: "old", Pool: "p", Addr: "10.0.0.1:80", AnnouncementExpired: true, Revision: 3}}, nil)
 	at, _ = table.Snapshot().ByAddr("10.0.0.1:80")
-	is.Equal(at.ID, "new") // the end of the old one's lease does not bring it back
+	is.Equal(at.ID, "new") // the record change at lease expiry does not restore the old endpoint
 	is.Equal(len(table.Snapshot().Serving(Key{Pool: "p"})), 2)
 	table.Apply(nil, []string{"new"})
 	at, ok = table.Snapshot().ByAddr("10.0.0.1:80")
 	is.True(ok)
-	is.Equal(at.ID, "old") // nobody else is there any more
+	is.Equal(at.ID, "old") // no other endpoint is announced at the address
 }
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -1,10 +1,10 @@
-// Package endpoint holds the back ends that lilackeel routes to and the table
-// in which every process keeps them.
+// Package endpoint defines the backends that lilackeel routes to and the
+// per-process table that stores them.
 //
-// An Endpoint is one back end: a model engine (one rank of a lock-step group,
+// An Endpoint is one backend: a model engine (one rank of a lock-step group,
 // or a stand-alone engine) or a plain service. The Table is a copy-on-write
-// store: readers take an immutable View without locking, writers build the
-// next one.
+// store: readers load an immutable View without locking, and writers replace
+// it with a modified copy.
 package endpoint
 
 import (
@@ -14,10 +14,9 @@
 	"strings"
 )
 
-// Kind says what runs at an endpoint.
+// Kind is the kind of software that runs at an endpoint.
 type Kind int
 
-// The kinds of endpoint.
 const (
 	// Engine is a model engine.
 	Engine Kind = iota
@@ -25,7 +24,7 @@
 	Service
 )
 
-// String returns the name of the kind.
+// String implements fmt.Stringer.
 func (k Kind) String() string {
 	switch k {
 	case Engine:
@@ -36,20 +35,20 @@
 	return fmt.Sprintf("Kind(%d)", int(k))
 }
 
-// State is the position of an endpoint in its life.
+// State is the lifecycle state of an endpoint.
 type State int
 
-// The states of an endpoint, in the order in which they are passed.
+// The states of an endpoint, in lifecycle order.
 const (
-	// Serving endpoints take new work.
+	// Serving endpoints accept new calls.
 	Serving State = iota
-	// Leaving endpoints finish what they have and take no new work.
+	// Leaving endpoints finish their calls in flight and accept no new ones.
 	Leaving
-	// Stopped endpoints run nothing.
+	// Stopped endpoints run no calls.
 	Stopped
 )
 
-// String returns the name of the state.
+// String implements fmt.Stringer.
 func (s State) String() string {
 	switch s {
 	case Serving:
@@ -62,21 +61,21 @@
 	return fmt.Sprintf("State(%d)", int(s))
 }
 
-// RoleRank is the role of a record that says where a rank's expert maps are looked
-// after. It takes no calls; its engine has a record of its own.
+// RoleRank is the role of a record that locates the manager of a rank's expert
+// maps. Such an endpoint takes no calls; the rank's engine has its own record.
 const RoleRank = "rank"
 
-// Endpoint is one back end as the configuration and its announcement describe it.
+// Endpoint describes one backend, from the configuration and the backend's own
+// announcement.
 type Endpoint struct {
 	// ID is unique in the fleet.
 	ID string
-	// Host, Zone and Region say where the endpoint runs.
+	// Host, Zone and Region are the location of the endpoint.
 	Host, Zone, Region string
 	// Pool is the set of endpoints that requests are addressed to.
 	Pool string
-	// Kind says what runs here.
 	Kind Kind
-	// State says whether the endpoint takes new work.
+	// State determines whether the endpoint accepts new calls.
 	State State
 
 	// Model, Version and Role are what an engine has been ordered to serve;
@@ -88,19 +87,20 @@
 	// Addr is the endpoint's own address, host:port, if it is called directly;
 	// empty for one behind an agent.
 	Addr string
-	// Silent is true for an endpoint that is called directly and has stopped
-	// announcing itself: the reason may lie between it and the control replicas.
+	// AnnouncementExpired is true for an endpoint that is called directly and
+	// has stopped announcing itself. It may still be working: the cause can be
+	// the connection between it and the control replicas.
 	AnnouncementExpired bool
-	// AgentAddr is the address of the agent that is the gate of this endpoint.
+	// AgentAddr is the address of the agent through which this endpoint is called.
 	AgentAddr string
-	// Incarnation is that agent's incarnation; it grows with each restart.
+	// Incarnation is that agent's incarnation; it increases with each restart.
 	Incarnation uint64
 
 	// Group is the lock-step group of ranks, empty for a stand-alone endpoint.
 	Group string
-	// Rank is the position in Group.
+	// Rank is the endpoint's rank in Group.
 	Rank int
-	// Slots is the number of requests that the endpoint runs at once.
+	// Slots is the number of requests that the endpoint runs concurrently.
 	Slots int
 
 	// Revision is the configuration revision of this record.
@@ -108,22 +108,22 @@
 }
 
 // Serves reports whether the endpoint has been ordered to serve the adapter.
-// The empty adapter is the bare model, which every engine serves.
+// The empty adapter stands for the base model, which every engine serves.
 func (e *Endpoint) Serves(adapter string) bool {
 	return adapter == "" || slices.Contains(e.Adapters, adapter)
 }
 
-// Run names the present run of the endpoint's process, for an endpoint that is called directly.
+// RunID identifies the current run of the endpoint's process, for an endpoint that is called directly.
 func (e *Endpoint) RunID() string { return e.ID + runSeparator + strconv.FormatUint(e.Incarnation, 10) }
 
-// OfRun returns the id in the name of a run.
+// IDFromRunID returns the endpoint id contained in a run id.
 func IDFromRunID(run string) string { return run[:max(strings.LastIndex(run, runSeparator), 0)] }
 
-// runSeparator stands between id and incarnation in the name of a run.
+// runSeparator separates the endpoint id from the incarnation in a run id.
 const runSeparator = "/"
 
-// supersedes reports whether the record e replaces the record old: records
-// are ordered by configuration revision, then by incarnation of the agent.
+// supersedes reports whether the record e replaces the record old. Records
+// are ordered by configuration revision, then by the agent's incarnation.
 func (e *Endpoint) supersedes(old *Endpoint) bool {
 	if e.Revision != old.Revision {
 		return e.Revision > old.Revision
--- a/endpoint/reach/reach.go
+++ b/endpoint/reach/reach.go
@@ -1,11 +1,12 @@
-// Package reach keeps away from endpoints that cannot be reached, and tries them
-// again with care.
+// Package reach excludes unreachable endpoints from selection, with exponential
+// backoff.
 //
-// An endpoint that fails to take a request is left out for a time that doubles
-// with each failure in a row. One that works is back at once. An endpoint that
-// has also stopped announcing itself is not tried again until it announces
-// itself or works: so neither missed heartbeats alone nor one lost packet takes
-// an endpoint out for long, and a dead one costs few attempts.
+// An endpoint that fails to accept a request is excluded for a period that
+// doubles with each consecutive failure. A success ends the exclusion at once. An
+// endpoint that has also stopped announcing itself is not retried until it
+// announces itself again or answers. Neither missed heartbeats alone nor a single
+// lost packet therefore excludes an endpoint for long, and a dead endpoint costs
+// few attempts.
 package reach
 
 import (
@@ -14,52 +15,53 @@
 )
 
 const (
-	// firstPause is the time without requests after one failure, a few times what
-	// a lost packet costs.
-	firstPause = 250 * time.Millisecond
-	// lastPause bounds it, so that a returned endpoint is found soon.
-	lastPause = 4 * time.Second
-	// maxDoublings keeps the shift from overflowing.
+	// initialBackoff is the exclusion after one failure: several times the delay
+	// caused by a lost packet.
+	initialBackoff = 250 * time.Millisecond
+	// maxBackoff limits the exclusion, so that a recovered endpoint is detected soon.
+	maxBackoff = 4 * time.Second
+	// maxDoublings prevents overflow of the shift.
 	maxDoublings = 8
 )
 
-// Tracker knows which endpoints are out of reach. It is safe for concurrent use;
-// its lock is a leaf. Times are durations since an arbitrary start, monotonic.
+// Tracker tracks which endpoints are unreachable. It is safe for concurrent use;
+// no other lock is acquired while its lock is held. Times are monotonic durations
+// since an arbitrary start.
 type Tracker struct {
 	mu      sync.Mutex
 	records map[string]*record
-	// heard is when something last came from each endpoint.
-	heard map[string]time.Duration
+	// received is when data last arrived from each endpoint.
+	received map[string]time.Duration
 }
 
 type record struct {
 	failures int
-	until    time.Duration
-	// gone is true for an endpoint that is not there any more.
-	gone bool
+	retryAt  time.Duration
+	// replaced is true if another endpoint has answered at this endpoint's address.
+	replaced bool
 }
 
-// New returns a tracker that believes all endpoints to be in reach.
+// New returns a tracker in which all endpoints are reachable.
 func New() *Tracker {
-	return &Tracker{records: map[string]*record{}, heard: map[string]time.Duration{}}
+	return &Tracker{records: map[string]*record{}, received: map[string]time.Duration{}}
 }
 
-// Heard notes that something has come from an endpoint.
+// Received records that data has arrived from an endpoint.
 func (t *Tracker) Received(now time.Duration, id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.heard[id] = now
+	t.received[id] = now
 }
 
-// HeardSince reports whether anything has come from an endpoint after a time.
+// ReceivedSince reports whether data has arrived from an endpoint after since.
 func (t *Tracker) ReceivedSince(id string, since time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at, known := t.heard[id]
+	at, known := t.received[id]
 	return known && at > since
 }
 
-// Failed notes that an endpoint did not take a request.
+// Failed records that an endpoint did not accept a request.
 func (t *Tracker) Failed(now time.Duration, id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,44 +70,45 @@
 		r = &record{}
 		t.records[id] = r
 	}
-	pause := min(firstPause<<min(r.failures, maxDoublings), lastPause)
+	backoff := min(initialBackoff<<min(r.failures, maxDoublings), maxBackoff)
 	r.failures++
-	r.until = now + pause
+	r.retryAt = now + backoff
 }
 
-// Gone notes that another endpoint has answered at an endpoint's address: it has
-// ended. Should its id come back, Forget makes it known.
+// Replaced records that another endpoint has answered at the address of endpoint
+// id, whose process has therefore ended. If the id is announced again, Forget
+// clears the record.
 func (t *Tracker) Replaced(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.records[id] = &record{gone: true}
+	t.records[id] = &record{replaced: true}
 }
 
-// Worked notes that an endpoint has answered.
+// Succeeded records that an endpoint has answered.
 func (t *Tracker) Succeeded(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.records, id)
 }
 
-// Forget drops what is known of an endpoint that has left.
+// Forget discards the state of an endpoint that has left.
 func (t *Tracker) Forget(id string) {
 	t.Succeeded(id)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.heard, id)
+	delete(t.received, id)
 }
 
-// Out returns the endpoints to leave out now, in no order. silent reports
-// whether an endpoint has stopped announcing itself.
-func (t *Tracker) Excluded(now time.Duration, silent func(id string) bool) []string {
+// Excluded returns the endpoints to exclude at now, in no particular order.
+// expired reports whether an endpoint's announcement has expired.
+func (t *Tracker) Excluded(now time.Duration, expired func(id string) bool) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []string
+	var excluded []string
 	for id, r := range t.records {
-		if r.gone || now < r.until || silent(id) {
-			out = append(out, id)
+		if r.replaced || now < r.retryAt || expired(id) {
+			excluded = append(excluded, id)
 		}
 	}
-	return out
+	return excluded
 }
--- a/endpoint/reach/reach_test.go
+++ b/endpoint/reach/reach_test.go
@@ -7,43 +7,43 @@
 	"github.com/matryer/is"
 )
 
-func announces(string) bool { return false }
-func silent(string) bool    { return true }
+func announced(string) bool { return false }
+func expired(string) bool   { return true }
 
-func TestAnEndpointIsTriedAgainLaterAndLater(t *testing.T) {
+func TestBackoffGrowsWithEachFailure(t *testing.T) {
 	is := is.New(t)
 	tracker := New()
 	now := time.Duration(0)
-	pauses := []time.Duration{}
+	backoffs := []time.Duration{}
 	for range 7 {
 		tracker.Failed(now, "e")
 		began := now
-		for len(tracker.Excluded(now, announces)) > 0 {
+		for len(tracker.Excluded(now, announced)) > 0 {
 			now += 10 * time.Millisecond
 		}
-		pauses = append(pauses, now-began)
+		backoffs = append(backoffs, now-began)
 	}
-	is.Equal(pauses[0], firstPause)
-	is.Equal(pauses[1], 2*firstPause)
-	is.Equal(pauses[6], lastPause)
+	is.Equal(backoffs[0], initialBackoff)
+	is.Equal(backoffs[1], 2*initialBackoff)
+	is.Equal(backoffs[6], maxBackoff)
 	tracker.Succeeded("e")
-	is.Equal(len(tracker.Excluded(now, announces)), 0)
+	is.Equal(len(tracker.Excluded(now, announced)), 0)
 }
 
-func TestAnEndpointThatIsGoneStaysOut(t *testing.T) {
+func TestReplacedEndpointStaysExcluded(t *testing.T) {
 	is := is.New(t)
 	tracker := New()
 	tracker.Replaced("e")
-	is.Equal(tracker.Excluded(time.Hour, announces), []string{"e"})
+	is.Equal(tracker.Excluded(time.Hour, announced), []string{"e"})
 	tracker.Forget("e")
-	is.Equal(len(tracker.Excluded(time.Hour, announces)), 0)
+	is.Equal(len(tracker.Excluded(time.Hour, announced)), 0)
 }
 
-func TestASilentEndpointIsOutOnlyAfterAFailure(t *testing.T) {
+func TestExpiredAnnouncementExcludesOnlyAfterFailure(t *testing.T) {
 	is := is.New(t)
 	tracker := New()
-	is.Equal(len(tracker.Excluded(0, silent)), 0) // missed heartbeats alone take nothing out
+	is.Equal(len(tracker.Excluded(0, expired)), 0) // missed heartbeats alone exclude no endpoint
 	tracker.Failed(0, "e")
-	is.Equal(len(tracker.Excluded(time.Hour, announces)), 0)
-	is.Equal(tracker.Excluded(time.Hour, silent), []string{"e"})
+	is.Equal(len(tracker.Excluded(time.Hour, announced)), 0)
+	is.Equal(tracker.Excluded(time.Hour, expired), []string{"e"})
 }
--- a/endpoint/table.go
+++ b/endpoint/table.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 )
 
-// Table is the store of endpoints of one process. Readers never block: they
-// read the current View. Writers are serialized by a lock that is held while
-// no other lock is taken.
+// Table stores the endpoints known to one process. Readers never block: they
+// load the current View. Writers are serialized by a mutex; no other lock is
+// acquired while it is held.
 type Table struct {
 	write   sync.Mutex
 	current atomic.Pointer[View]
@@ -20,7 +20,7 @@
 	return t
 }
 
-// Snapshot returns the current view. It never changes.
+// Snapshot returns the current view, which is immutable.
 func (t *Table) Snapshot() *View { return t.current.Load() }
 
 // Get returns the endpoint with the given id.
@@ -32,28 +32,28 @@
 	return *e, true
 }
 
-// Apply takes a delta into the table: it inserts or updates the upserts and
-// drops the removed ids. An upsert that is older than the record held (by
-// Revision, then Incarnation) is ignored, so that a late or repeated message
-// cannot bring a leaving endpoint back. An id that is both upserted and
-// removed is removed. It returns the number of records that changed.
+// Apply applies a delta: it inserts or updates the upserts and deletes the
+// removed ids. An upsert older than the stored record (by Revision, then
+// Incarnation) is ignored, so that a delayed or duplicated message cannot
+// return a leaving endpoint to service. An id that is both upserted and
+// removed is removed. Apply returns the number of records that changed.
 func (t *Table) Apply(upserts []Endpoint, removed []string) int {
 	t.write.Lock()
 	defer t.write.Unlock()
 	view := t.current.Load()
-	change := view.accept(upserts, removed)
+	change := view.diff(upserts, removed)
 	if len(change) == 0 {
 		return 0
 	}
-	t.current.Store(view.with(change))
+	t.current.Store(view.apply(change))
 	return len(change)
 }
 
-// Replace makes all the whole content of the table, whatever was held before.
-// The caller has established that all is at least as new as the table.
+// Replace replaces the entire content of the table with all. The caller must
+// ensure that all is at least as new as the current content.
 func (t *Table) Replace(all []Endpoint) {
 	t.write.Lock()
 	defer t.write.Unlock()
 	empty := newView()
-	t.current.Store(empty.with(empty.accept(all, nil)))
+	t.current.Store(empty.apply(empty.diff(all, nil)))
 }
--- a/endpoint/table_test.go
+++ b/endpoint/table_test.go
@@ -8,8 +8,9 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// TestLateMessageBringsNothingBack holds that a leaving endpoint is in no list
-// for picking, and that an older record, come late, does not put it back.
+// TestLateMessageBringsNothingBack guards against routing new calls to a leaving
+// endpoint: it must not be listed as serving, and a delayed or duplicated older
+// record must not restore it.
 func TestLateMessageBringsNothingBack(t *testing.T) {
 	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Late, proof.Doubled}, Step: "older record of an endpoint at an entry",
 		Guard: "the comparison of revisions, and the state in the lists, each alone"}.Log(t)
@@ -30,7 +31,7 @@
 	is.Equal(table.Snapshot().Serving(key)[0].ID, "b")
 	is.True(table.Snapshot().HasModel(key))
 
-	is.Equal(len(before.Serving(key)), 2) // an earlier view stays as it was
+	is.Equal(len(before.Serving(key)), 2) // earlier views are immutable
 	table.Apply(nil, []string{"a", "b", "unknown"})
 	is.True(!table.Snapshot().HasPool("p"))
 }
--- a/endpoint/view.go
+++ b/endpoint/view.go
@@ -6,29 +6,29 @@
 	"strings"
 )
 
-// Key names a set of endpoints that can serve one kind of request.
+// Key identifies the set of endpoints that can serve one kind of request.
 type Key struct {
 	// Pool and Model are the names of the pool and of the model; Model is empty
 	// for a service.
 	Pool, Model string
-	// Version is the version of the model; empty stands for any.
+	// Version is the version of the model; empty matches any version.
 	Version string
-	// Adapter is the name of the adapter; empty stands for the bare model.
+	// Adapter is the name of the adapter; empty stands for the base model.
 	Adapter string
 }
 
-// View is an immutable snapshot of the table, indexed for picking. The
-// endpoints it returns are shared: they must not be changed.
+// View is an immutable snapshot of the table, indexed for endpoint selection.
+// The endpoints it returns are shared and must not be modified.
 type View struct {
 	byID    map[string]*Endpoint
 	serving map[Key][]*Endpoint
 	pools   map[string]int
 	models  map[Key]int
-	// byAddr holds the serving endpoints that are called directly.
+	// byAddr indexes the serving endpoints that are called directly.
 	byAddr map[string]*Endpoint
 }
 
-// change maps an id to its next record, or to nil when it is removed.
+// change maps an id to its new record, or to nil if it is removed.
 type change map[string]*Endpoint
 
 func newView() *View {
@@ -49,8 +49,8 @@
 	return e, ok
 }
 
-// At returns the endpoint that is called directly at an address and takes new
-// work; of several the one whose record changed last.
+// ByAddr returns the serving endpoint that is called directly at addr. If several
+// have announced the address, it returns the one announced last.
 func (v *View) ByAddr(addr string) (*Endpoint, bool) {
 	e, ok := v.byAddr[addr]
 	return e, ok
@@ -63,8 +63,8 @@
 	return all
 }
 
-// Serving returns the endpoints that take new work for the key, ordered by id.
-// Endpoints that are leaving or stopped are never among them.
+// Serving returns the endpoints that accept new calls for the key, ordered by
+// id. It never includes endpoints that are leaving or stopped.
 func (v *View) Serving(key Key) []*Endpoint { return v.serving[key] }
 
 // HasPool reports whether any endpoint, in any state, belongs to the pool.
@@ -74,8 +74,8 @@
 // ordered to serve the model, version and adapter of the key.
 func (v *View) HasModel(key Key) bool { return v.models[key] > 0 }
 
-// accept returns the part of a delta that changes the view.
-func (v *View) accept(upserts []Endpoint, removed []string) change {
+// diff returns the part of a delta that changes the view.
+func (v *View) diff(upserts []Endpoint, removed []string) change {
 	accepted := change{}
 	for i := range upserts {
 		next := upserts[i]
@@ -98,9 +98,9 @@
 	return accepted
 }
 
-// with returns the view after the change. Lists whose key is not touched are
-// shared with the old view.
-func (v *View) with(c change) *View {
+// apply returns the view with the change applied. Serving lists of unaffected
+// keys are shared with the old view.
+func (v *View) apply(c change) *View {
 	next := &View{
 		byID:    maps.Clone(v.byID),
 		serving: maps.Clone(v.serving),
@@ -112,22 +112,22 @@
 	touched := map[Key]bool{}
 	for id, e := range c {
 		if old := v.byID[id]; old != nil {
-			next.forget(old, touched)
+			next.unindex(old, touched)
 		}
 		delete(next.byID, id)
 		if e != nil {
-			next.remember(e, touched, added)
+			next.index(e, touched, added)
 		}
 	}
 	next.indexAddrs(c)
 	for key := range touched {
-		next.rebuild(key, c, added[key])
+		next.rebuildServing(key, c, added[key])
 	}
 	return next
 }
 
-// indexAddrs finds the endpoints that are called directly anew if the change
-// touches one. Of two at an address, the one announced last is there now.
+// indexAddrs rebuilds byAddr if the change may affect an endpoint that is called
+// directly. Of several endpoints at an address it keeps the one announced last.
 func (v *View) indexAddrs(c change) {
 	touched := false
 	for id, e := range c {
@@ -141,35 +141,36 @@
 		if e.Addr == "" || e.State != Serving {
 			continue
 		}
-		if held := v.byAddr[e.Addr]; held == nil || e.laterThan(held) {
+		if held := v.byAddr[e.Addr]; held == nil || e.announcedAfter(held) {
 			v.byAddr[e.Addr] = e
 		}
 	}
 }
 
-// laterThan reports whether e has come to its address after other. The end of a
-// lease changes a record, too: one that is silent is the earlier of two.
-func (e *Endpoint) laterThan(other *Endpoint) bool {
+// announcedAfter reports whether e was announced at its address after other. The
+// expiry of a lease raises a record's revision too, so an endpoint whose
+// announcement has expired counts as the earlier of the two.
+func (e *Endpoint) announcedAfter(other *Endpoint) bool {
 	if e.AnnouncementExpired != other.AnnouncementExpired {
 		return other.AnnouncementExpired
 	}
 	return e.Revision > other.Revision
 }
 
-// forget takes the old record out of the counts and marks its lists.
-func (v *View) forget(old *Endpoint, touched map[Key]bool) {
+// unindex removes the old record from the counts and marks its keys as touched.
+func (v *View) unindex(old *Endpoint, touched map[Key]bool) {
 	decrement(v.pools, old.Pool)
-	for _, key := range old.keys() {
+	for _, key := range old.lookupKeys() {
 		decrement(v.models, key)
 		touched[key] = true
 	}
 }
 
-// remember takes the new record into the counts and marks its lists.
-func (v *View) remember(e *Endpoint, touched map[Key]bool, added map[Key][]*Endpoint) {
+// index adds the new record to the counts and marks its keys as touched.
+func (v *View) index(e *Endpoint, touched map[Key]bool, added map[Key][]*Endpoint) {
 	v.byID[e.ID] = e
 	v.pools[e.Pool]++
-	for _, key := range e.keys() {
+	for _, key := range e.lookupKeys() {
 		v.models[key]++
 		if e.State != Serving {
 			continue
@@ -179,8 +180,8 @@
 	}
 }
 
-// rebuild makes the list of one key anew from the old list and the change.
-func (v *View) rebuild(key Key, c change, added []*Endpoint) {
+// rebuildServing rebuilds the serving list of a key from the old list and the change.
+func (v *View) rebuildServing(key Key, c change, added []*Endpoint) {
 	list := make([]*Endpoint, 0, len(v.serving[key])+len(added))
 	for _, e := range v.serving[key] {
 		if _, changed := c[e.ID]; !changed {
@@ -188,7 +189,7 @@
 		}
 	}
 	list = append(list, added...)
-	list = slices.DeleteFunc(list, v.replaced)
+	list = slices.DeleteFunc(list, v.addrTaken)
 	if len(list) == 0 {
 		delete(v.serving, key)
 		return
@@ -197,9 +198,9 @@
 	v.serving[key] = list
 }
 
-// replaced reports whether another endpoint has been announced at the endpoint's
-// own address since, so that it has ended, whatever its lease says.
-func (v *View) replaced(e *Endpoint) bool {
+// addrTaken reports whether another endpoint has since been announced at the
+// address of e. The process behind e has then ended, even if its lease is valid.
+func (v *View) addrTaken(e *Endpoint) bool {
 	if e.Addr == "" {
 		return false
 	}
@@ -207,8 +208,8 @@
 	return present != nil && present.ID != e.ID
 }
 
-// keys returns the keys under which the endpoint is found.
-func (e *Endpoint) keys() []Key {
+// lookupKeys returns the keys under which the endpoint is indexed.
+func (e *Endpoint) lookupKeys() []Key {
 	adapters := append([]string{""}, e.Adapters...)
 	slices.Sort(adapters)
 	adapters = slices.Compact(adapters)
