--- a/endpoint/load/estimate.go
+++ b/endpoint/load/estimate.go
@@ -7,30 +7,29 @@
 	"github.com/lilackeel/lilackeel/endpoint"
 )
 
-// Defaults of Config and of values that no report has stated yet.
+// Defaults of Config and of values that have not been reported yet.
 const (
-	// DefaultSurpriseTTL is the default of Config.SurpriseTTL.
+	// DefaultPredictionErrorTTL is the default of Config.PredictionErrorTTL.
 	DefaultPredictionErrorTTL = 20 * time.Second
 	// defaultPrefillRate is in tokens per second.
 	defaultPrefillRate = 8000
 	defaultStepTime    = 5 * time.Millisecond
-	// defaultAnswerTokens is the length assumed of an answer.
-	defaultAnswerTokens = 150
+	// defaultOutputTokens is the assumed number of output tokens of a call.
+	defaultOutputTokens = 150
 )
 
-// Config sets the tracker up; the zero value takes the defaults.
+// Config configures a Tracker. The zero value selects the defaults.
 type Config struct {
-	// Peers is the number of entries that send to the same endpoints, this one
-	// included. It is kept for the record and not read: the calls of the others
-	// since a report are allowed for by the decay of the report.
+	// Peers is the number of entries that send to the same endpoints, including
+	// this one. It is informational and does not affect estimates: the calls that
+	// other entries have sent since a report are accounted for by its decay.
 	Peers int
-	// Memory is the time constant by which reports decay: the age at which a
-	// report counts for 1/e of its distance from the mean of all alike endpoints;
-	// the rest is taken to be the mean. Zero: learned from the reports. Negative:
-	// reports are believed whatever their age.
+	// DecayTime is the time constant with which reports decay towards the mean of
+	// all comparable endpoints: at this age, 1/e of a report's deviation from the
+	// mean remains. Zero: learned from the reports. Negative: reports do not decay.
 	DecayTime time.Duration
-	// SurpriseTTL is the time in which a surprise fades that is not
-	// observed again. Negative: surprises are not remembered.
+	// PredictionErrorTTL is the time after which a prediction error that is not
+	// observed again has decayed to zero. Negative: prediction errors are ignored.
 	PredictionErrorTTL time.Duration
 }
 
@@ -42,23 +41,23 @@
 	return c
 }
 
-// estimate computes the estimate of one endpoint.
+// estimate computes the estimate for one endpoint.
 func (t *Tracker) estimate(now time.Duration, r *record) Estimate {
 	e := Estimate{Age: NeverReported}
 	if r.reported {
-		e.Age = now - r.taken
+		e.Age = now - r.reportTime
 	}
-	f := r.fleet
-	e.PrefillRate = known(r.report.PrefillRate, f.rate.or(defaultPrefillRate))
-	e.OutputTokens = f.answer.or(defaultAnswerTokens)
+	stats := r.peers
+	e.PrefillRate = valueOr(r.report.PrefillRate, stats.rate.or(defaultPrefillRate))
+	e.OutputTokens = stats.output.or(defaultOutputTokens)
 	if r.endpoint.Kind == endpoint.Service {
 		e.OutputTokens = 1
 	}
-	e.StepTime, e.StepTimeStdDev = t.stepAt(now, r, e.OutputTokens)
-	e.Running = t.runningAt(now, r)
-	e.Wait, e.WaitStdDev = t.waitAt(now, r, &e)
+	e.StepTime, e.StepTimeStdDev = t.stepTime(now, r, e.OutputTokens)
+	e.Running = t.running(now, r)
+	e.Wait, e.WaitStdDev = t.wait(now, r, &e)
 	if r.group != nil {
-		t.refresh(now, r.group)
+		t.updateGroupSums(now, r.group)
 		e.GroupRunning, e.GroupPeak = r.group.running, r.group.peak
 		e.GroupMean = r.group.running / float64(len(r.group.members))
 	} else {
@@ -67,85 +66,87 @@
 	return e
 }
 
-// memory is the memory in force for a value; negative for one without end.
-func (t *Tracker) memory(p *persistence) time.Duration {
+// decayTime returns the decay time constant for a value; negative if it does not decay.
+func (t *Tracker) decayTime(p *decayModel) time.Duration {
 	if t.config.DecayTime != 0 {
 		return t.config.DecayTime
 	}
-	return p.memory()
+	return p.decayTime()
 }
 
-// trust is the weight of a report of the given age, between 0 and 1.
-func (t *Tracker) trust(now time.Duration, r *record, p *persistence) float64 {
+// reportWeight returns the weight of the last report at its present age, between 0 and 1.
+func (t *Tracker) reportWeight(now time.Duration, r *record, p *decayModel) float64 {
 	if !r.reported {
 		return 0
 	}
-	memory := t.memory(p)
-	if memory < 0 {
+	decay := t.decayTime(p)
+	if decay < 0 {
 		return 1
 	}
-	return math.Exp(-float64(now-r.taken) / float64(memory))
+	return math.Exp(-float64(now-r.reportTime) / float64(decay))
 }
 
-// stepAt is the mean time of a step over the life of a call that starts now,
-// and its standard deviation. What sets the step apart from the usual one
-// fades on, as it did since the report, but for what has lasted and is no
-// noise: a slow endpoint, or a group with a stalled rank.
-func (t *Tracker) stepAt(now time.Duration, r *record, tokens float64) (step, spread time.Duration) {
-	p := &r.fleet.step
+// stepTime returns the mean step time over the duration of a call that starts
+// now, and its standard deviation. The reported deviation from the average keeps
+// decaying during the call. A persistent deviation larger than noise does not
+// decay: it indicates a slow endpoint, or a group with a stalled rank.
+func (t *Tracker) stepTime(now time.Duration, r *record, tokens float64) (step, stdDev time.Duration) {
+	p := &r.peers.step
 	if r.report.StepTime <= 0 {
-		return time.Duration(p.usual.or(float64(defaultStepTime))), 0
+		return time.Duration(p.average.or(float64(defaultStepTime))), 0
 	}
 	reported := float64(r.report.StepTime)
-	trust := t.trust(now, r, p) * remains(time.Duration(tokens*reported), t.memory(p))
-	noise := max(faultSpreads*p.spread(), faultShare*p.usual.value)
-	lasting := r.step.value - p.usual.value
-	lasting -= clip(lasting, noise)
-	momentary := clip(reported-p.usual.value, noise)
-	expected, deviation := p.expect(p.usual.value+momentary, trust)
-	return time.Duration(expected + lasting), time.Duration(deviation)
+	weight := t.reportWeight(now, r, p) * meanRemaining(time.Duration(tokens*reported), t.decayTime(p))
+	noise := max(faultStdDevs*p.stdDev(), faultShare*p.average.value)
+	persistent := r.step.value - p.average.value
+	persistent -= clip(persistent, noise)
+	transient := clip(reported-p.average.value, noise)
+	expected, deviation := p.expect(p.average.value+transient, weight)
+	return time.Duration(expected + persistent), time.Duration(deviation)
 }
 
-// remains is the mean over a life of what fades with the given memory.
-func remains(life, memory time.Duration) float64 {
-	if memory < 0 || life <= 0 {
+// meanRemaining returns the mean over a call's duration of a quantity that starts
+// at 1 and decays exponentially with the given time constant.
+func meanRemaining(duration, decay time.Duration) float64 {
+	if decay < 0 || duration <= 0 {
 		return 1
 	}
-	ratio := float64(life) / float64(memory)
+	ratio := float64(duration) / float64(decay)
 	return -math.Expm1(-ratio) / ratio
 }
 
-// runningAt is the number of requests at the endpoint, the report aged.
-func (t *Tracker) runningAt(now time.Duration, r *record) float64 {
-	aged := r.fleet.running.usual.value
+// running returns the number of requests at the endpoint, with the report
+// discounted by its age.
+func (t *Tracker) running(now time.Duration, r *record) float64 {
+	aged := r.peers.running.average.value
 	if r.reported {
-		aged, _ = r.fleet.running.expect(r.report.calls(), t.trust(now, r, &r.fleet.running))
+		aged, _ = r.peers.running.expect(r.report.calls(), t.reportWeight(now, r, &r.peers.running))
 	}
 	return max(aged+float64(len(r.sent)), float64(r.inFlight))
 }
 
-// waitAt is the time to compute the prompts ahead and to get a slot, and the
-// standard deviation of the former.
-func (t *Tracker) waitAt(now time.Duration, r *record, e *Estimate) (wait, spread time.Duration) {
-	p := &r.fleet.waiting
-	ahead, deviation := p.usual.value, 0.0
+// wait returns the time to compute the queued prompts and to obtain a slot, plus
+// the prediction error, and the standard deviation of the time for the prompts.
+func (t *Tracker) wait(now time.Duration, r *record, e *Estimate) (wait, stdDev time.Duration) {
+	p := &r.peers.waiting
+	ahead, deviation := p.average.value, 0.0
 	if r.reported {
-		ahead, deviation = p.expect(float64(r.report.PrefillTokens), t.trust(now, r, p))
+		ahead, deviation = p.expect(float64(r.report.PrefillTokens), t.reportWeight(now, r, p))
 	}
 	for _, s := range r.sent {
-		ahead += s.left(now, e.PrefillRate)
+		ahead += s.remainingPrompt(now, e.PrefillRate)
 	}
-	wait = perSecond(ahead, e.PrefillRate) + r.slotWait(e) + r.surpriseAt(now, t.config.PredictionErrorTTL)
-	return wait, perSecond(deviation, e.PrefillRate)
+	wait = durationAtRate(ahead, e.PrefillRate) + r.slotWait(e) + r.decayedPredictionError(now, t.config.PredictionErrorTTL)
+	return wait, durationAtRate(deviation, e.PrefillRate)
 }
 
-// left is the part of the call's prompt that is not computed yet if the
-// endpoint began on it at once.
-func (s sentCall) left(now time.Duration, rate float64) float64 {
+// remainingPrompt returns the number of prompt tokens not yet computed, assuming
+// that the endpoint started on the call immediately.
+func (s sentCall) remainingPrompt(now time.Duration, rate float64) float64 {
 	return max(0, float64(s.tokens)-rate*(now-s.at).Seconds())
 }
 
-// slotWait is the time until one of the slots is free.
+// slotWait returns the expected time until a slot is free.
 func (r *record) slotWait(e *Estimate) time.Duration {
 	slots := float64(r.endpoint.Slots)
 	if slots <= 0 {
@@ -159,15 +160,15 @@
 	return time.Duration(over * residence / slots)
 }
 
-// known returns the value if it is set, otherwise the fallback.
-func known(value, fallback float64) float64 {
+// valueOr returns the value if it is positive, otherwise the fallback.
+func valueOr(value, fallback float64) float64 {
 	if value > 0 {
 		return value
 	}
 	return fallback
 }
 
-// perSecond is the time for an amount at a rate per second.
-func perSecond(amount, rate float64) time.Duration {
+// durationAtRate returns the time to process an amount at a rate per second.
+func durationAtRate(amount, rate float64) time.Duration {
 	return time.Duration(amount / rate * float64(time.Second))
 }
--- a/endpoint/load/load.go
+++ b/endpoint/load/load.go
@@ -1,20 +1,22 @@
 // Package load estimates how long a new call would wait at each endpoint.
 //
-// Endpoints report their load with a lag. The Tracker ages each report by the
-// lag, adds what this entry has sent since the report was taken, and never
-// believes that an endpoint runs less than what this entry itself has in
-// flight there. What first tokens show beyond the estimate, the prediction error
-// called surprise here, is remembered per endpoint, so that an endpoint that reports too little load is found out.
+// Load reports arrive with a lag. The Tracker discounts each report by its age,
+// adds the calls that this entry has sent since the report was taken, and never
+// estimates fewer running calls at an endpoint than this entry itself has in
+// flight there. The amount by which first tokens arrive later than estimated (the
+// prediction error) is kept per endpoint and added to later estimates, so that an
+// endpoint that under-reports its load is detected.
 //
-// Times are time.Duration since an arbitrary start, monotonic. All methods are
-// safe for concurrent use; the lock is held while no other lock is taken.
+// Times are monotonic, expressed as time.Duration since an arbitrary start. All
+// methods are safe for concurrent use; no other lock is acquired while the
+// tracker's lock is held.
 package load
 
 import "time"
 
-// Report is what an endpoint says of its load.
+// Report is a load report of an endpoint.
 type Report struct {
-	// Age is the time since the report was taken.
+	// Age is the time since the report was taken at the endpoint.
 	Age time.Duration
 	// Running is the number of requests that produce tokens (or, at a service,
 	// the calls being served).
@@ -22,18 +24,19 @@
 	// Waiting is the number of requests that have not started.
 	Waiting int
 	// PrefillTokens is the number of prompt tokens accepted and not yet computed.
-	// Zero while calls wait: not known, taken to be those of as many usual calls.
+	// If it is zero while calls wait, the value is unknown and is estimated as
+	// the number of waiting calls times the mean prompt size.
 	PrefillTokens int
-	// PrefillRate is the prompt tokens computed per second, zero if not known.
+	// PrefillRate is the number of prompt tokens computed per second; zero if unknown.
 	PrefillRate float64
 	// StepTime is the mean time of a step of the endpoint's group; for a
 	// service, the mean service time.
 	StepTime time.Duration
-	// OwnStep is the rank's own compute time in a step, without the time that it
-	// waits for the other ranks; zero if not known. It is what outlier.Sample
-	// takes as Latency for an engine: of a group, compared within the group,
-	// else within the pool. An engine that reports it is not to be judged by the
-	// time of calls as well, which is not comparable with it.
+	// OwnStep is the rank's own compute time in a step, excluding the time spent
+	// waiting for the other ranks; zero if unknown. It is the Latency of an
+	// engine's outlier.Sample: a rank of a group is compared within the group, any
+	// other engine within the pool. An engine that reports it must not be judged
+	// by call latency as well, since the two are not comparable.
 	OwnStep time.Duration
 	// Adapters are the adapters resident in the engine's memory.
 	Adapters []string
@@ -41,57 +44,59 @@
 
 // Work is the size of one call.
 type Work struct {
-	// PromptTokens is the part of the prompt that has to be computed.
+	// PromptTokens is the number of prompt tokens to compute.
 	PromptTokens int
-	// MaxTokens is the number of tokens that the call may produce.
+	// MaxTokens is the maximum number of tokens that the call may produce.
 	MaxTokens int
 }
 
-// Call is one call in flight. The Tracker hands it out in Sent and takes it
-// back in FirstToken and Done.
+// Call is one call in flight. Tracker.Sent returns it; FirstToken and Done take
+// it as an argument.
 type Call struct {
-	// ID is the endpoint.
+	// ID is the endpoint's id.
 	ID string
 	// SentAt is the time of dispatch.
 	SentAt time.Duration
 	// Work is the size of the call.
 	Work Work
-	// Expected is the time to the first token foreseen at dispatch.
+	// ExpectedFirstToken is the time to first token predicted at dispatch.
 	ExpectedFirstToken time.Duration
-	// surprise is the part of Expected that comes from earlier first tokens.
-	surprise time.Duration
-	// started is true once FirstToken has been called.
+	// predictionError is the part of ExpectedFirstToken that stems from the
+	// prediction error of earlier calls.
+	predictionError time.Duration
+	// started is true once FirstToken or Done has been called.
 	started bool
 }
 
-// Result says how a call ended.
+// Result is the outcome of a call.
 type Result struct {
-	// Failed is true when the endpoint did not give the whole answer.
+	// Failed is true if the endpoint did not return a complete response.
 	Failed bool
 	// Tokens is the number of tokens produced.
 	Tokens int
 }
 
-// Estimate is what the Tracker believes of one endpoint at one moment.
+// Estimate is the Tracker's estimate of an endpoint's load at one moment.
 type Estimate struct {
-	// Wait is the time before the endpoint would start on a new call.
+	// Wait is the time before the endpoint would start a new call.
 	Wait time.Duration
-	// Spread is the standard deviation of Wait: how little a lagged report tells.
+	// WaitStdDev is the standard deviation of Wait: the uncertainty due to the
+	// lag of reports.
 	WaitStdDev time.Duration
-	// PrefillRate is the prompt tokens computed per second.
+	// PrefillRate is the number of prompt tokens computed per second.
 	PrefillRate float64
-	// StepTime is the time of one step, and StepSpread its standard deviation.
+	// StepTime is the time of one step, and StepTimeStdDev its standard deviation.
 	StepTime, StepTimeStdDev time.Duration
 	// Running is the number of requests running and waiting.
 	Running float64
 	// GroupRunning, GroupMean and GroupPeak are the sum, the mean and the
 	// highest of Running among the ranks of the endpoint's group.
 	GroupRunning, GroupMean, GroupPeak float64
-	// AnswerTokens is the mean number of tokens of an answer.
+	// OutputTokens is the mean number of output tokens of a call.
 	OutputTokens float64
-	// Age is the time since the last report was taken; Silent if there is none.
+	// Age is the time since the last report was taken; NeverReported if there is none.
 	Age time.Duration
 }
 
-// Silent is the Age of an endpoint that has not reported.
+// NeverReported is the Age of an endpoint that has sent no report.
 const NeverReported = time.Duration(1<<63 - 1)
--- a/endpoint/load/peers.go
+++ b/endpoint/load/peers.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// fleet keeps what is usual among endpoints that are alike.
-type fleet struct {
-	// members is the number of the endpoints.
+// peerStats holds statistics over endpoints with the same pool, model and version.
+type peerStats struct {
+	// members is the number of endpoints.
 	members int
 	// Prompt tokens waiting, calls running or waiting, and step times.
-	waiting, running, step persistence
-	rate, answer           mean
-	// prompt is the size of the prompts that this entry sent.
+	waiting, running, step decayModel
+	rate, output           mean
+	// prompt is the size in tokens of the prompts that this entry sent.
 	prompt mean
 }
 
 const (
-	// windowRounds is the number of reports of each endpoint that a mean spans.
-	// Ranks of a group report together and alike, so that a mean over less than
-	// a whole round would follow the group that reported last.
+	// windowRounds is the number of reports per endpoint that a mean spans. The
+	// ranks of a group report at the same time and with similar values, so a mean
+	// over less than one round of reports would follow the last group to report.
 	windowRounds = 12
-	// minWindow is the least number of values that a mean spans.
+	// minWindow is the minimum number of values that a mean spans.
 	minWindow = 100
 )
 
-// window is the number of values that the means of the fleet span.
-func (f *fleet) window() int { return max(minWindow, windowRounds*f.members) }
+// window returns the number of values that the means span.
+func (s *peerStats) window() int { return max(minWindow, windowRounds*s.members) }
 
 // mean is a moving average: the plain mean of the first window values, then an
 // exponentially weighted moving average (EWMA) with a gain of one over window.
@@ -35,13 +35,13 @@
 	count int
 }
 
-// add takes in a value.
+// add adds a value.
 func (m *mean) add(v float64, window int) {
 	m.count = min(m.count+1, window)
 	m.value += (v - m.value) / float64(m.count)
 }
 
-// or returns the mean, or the default when nothing has been added.
+// or returns the mean, or the fallback if no value has been added.
 func (m *mean) or(fallback float64) float64 {
 	if m.count == 0 {
 		return fallback
@@ -50,87 +50,87 @@
 }
 
 const (
-	// minMemory and maxMemory bound what is learned of a value's memory.
-	minMemory = 20 * time.Millisecond
-	maxMemory = 20 * time.Second
+	// minDecayTime and maxDecayTime bound the decay time learned for a value.
+	minDecayTime = 20 * time.Millisecond
+	maxDecayTime = 20 * time.Second
 )
 
 const (
-	// clipSpreads is the number of standard deviations, and clipShare the least
-	// share of the usual, at which step times are clipped before they are
-	// learned, so that a few endpoints with a fault do not change what is usual
-	// among the others.
-	clipSpreads = 1.5
+	// Deviations of step times are clipped at clipStdDevs standard deviations,
+	// but at no less than clipShare of the average, before they are learned.
+	// Otherwise a few faulty endpoints would shift the average of the others.
+	clipStdDevs = 1.5
 	clipShare   = 0.25
-	// faultSpreads is the number of standard deviations, and faultShare the
-	// share of the usual, beyond which a lasting deviation of the step time is
-	// no longer taken for noise.
-	faultSpreads = 3
+	// A persistent deviation of the step time beyond faultStdDevs standard
+	// deviations, and beyond faultShare of the average, is not treated as noise.
+	faultStdDevs = 3
 	faultShare   = 1
 )
 
-// persistence learns what value is usual among alike endpoints, and how fast a
-// deviation from it goes stale. It is a first-order autoregressive model: the
-// autocorrelation of the deviations is taken from how much the newest report at hand at
-// some moment told about the value at that moment. A herd that follows the
-// reports makes them tell less, and so they are believed less.
-type persistence struct {
-	// clipped is true when values are clipped before they are learned.
-	clipped                      bool
-	usual, square, product, span mean
+// decayModel learns the average of a value over comparable endpoints, and how
+// fast a deviation from it decays. It is a first-order autoregressive model: the
+// autocorrelation of the deviations is estimated by comparing each value with the
+// newest report that was available when the value was measured. When entries
+// herd to the endpoints that reported low load, reports predict less, and so they
+// are given less weight.
+type decayModel struct {
+	// clipped is true if deviations are clipped before they are learned.
+	clipped                            bool
+	average, variance, covariance, lag mean
 }
 
-// spread is the standard deviation of the values.
-func (p *persistence) spread() float64 { return math.Sqrt(p.square.value) }
+// stdDev returns the standard deviation of the values.
+func (m *decayModel) stdDev() float64 { return math.Sqrt(m.variance.value) }
 
-// deviation is the distance from the usual as it is learned.
-func (p *persistence) deviation(value float64) float64 {
-	d := value - p.usual.value
-	if !p.clipped || p.square.count < minWindow/2 {
+// deviation returns the deviation from the average, clipped if the model clips.
+func (m *decayModel) deviation(value float64) float64 {
+	d := value - m.average.value
+	if !m.clipped || m.variance.count < minWindow/2 {
 		return d
 	}
-	return clip(d, max(clipSpreads*p.spread(), clipShare*p.usual.value))
+	return clip(d, max(clipStdDevs*m.stdDev(), clipShare*m.average.value))
 }
 
-// add takes in a value of one endpoint.
-func (p *persistence) add(value float64, window int) {
-	p.usual.add(p.usual.value+p.deviation(value), window)
-	d := p.deviation(value)
-	p.square.add(d*d, window)
+// add adds a value reported by one endpoint.
+func (m *decayModel) add(value float64, window int) {
+	m.average.add(m.average.value+m.deviation(value), window)
+	d := m.deviation(value)
+	m.variance.add(d*d, window)
 }
 
-// compare takes in a value, and the older value that was believed at its time.
-func (p *persistence) compare(value, believed float64, span time.Duration, window int) {
-	p.product.add(p.deviation(value)*p.deviation(believed), window)
-	p.span.add(float64(span), window)
+// addPair adds a value and the older value that was available when it was
+// measured, lag earlier.
+func (m *decayModel) addPair(value, older float64, lag time.Duration, window int) {
+	m.covariance.add(m.deviation(value)*m.deviation(older), window)
+	m.lag.add(float64(lag), window)
 }
 
-// clip bounds a value to the limit on both sides.
+// clip limits a value to the range from -limit to limit.
 func clip(v, limit float64) float64 { return min(max(v, -limit), limit) }
 
-// memory is the time constant of the decay: after it, 1/e of a deviation from
-// the usual is left.
-func (p *persistence) memory() time.Duration {
-	if p.span.count == 0 || p.square.value <= 0 {
-		return maxMemory
+// decayTime returns the time constant of the decay: the time after which 1/e of
+// a deviation from the average remains.
+func (m *decayModel) decayTime() time.Duration {
+	if m.lag.count == 0 || m.variance.value <= 0 {
+		return maxDecayTime
 	}
-	correlation := p.product.value / p.square.value
+	correlation := m.covariance.value / m.variance.value
 	if correlation <= 0 {
-		return minMemory
+		return minDecayTime
 	}
 	if correlation >= 1 {
-		return maxMemory
+		return maxDecayTime
 	}
-	memory := time.Duration(-p.span.value / math.Log(correlation))
-	return min(max(memory, minMemory), maxMemory)
+	decay := time.Duration(-m.lag.value / math.Log(correlation))
+	return min(max(decay, minDecayTime), maxDecayTime)
 }
 
-// expect returns the expected value of an endpoint whose report has the given
-// trust, and the standard deviation of a draw around it. The draw spreads
-// entries that read the same report no further than reports set endpoints
-// apart.
-func (p *persistence) expect(value, trust float64) (expected, spread float64) {
-	expected = p.usual.value + trust*(value-p.usual.value)
-	spread = trust * p.spread() * math.Sqrt(1-trust*trust)
-	return expected, spread
+// expect returns the expected value at an endpoint whose report has the given
+// weight, and the standard deviation for random draws around it. Draws make
+// entries that read the same reports choose differently; the factor weight keeps
+// them from scattering more than the reports distinguish endpoints.
+func (m *decayModel) expect(value, weight float64) (expected, stdDev float64) {
+	expected = m.average.value + weight*(value-m.average.value)
+	stdDev = weight * m.stdDev() * math.Sqrt(1-weight*weight)
+	return expected, stdDev
 }
--- a/endpoint/load/record.go
+++ b/endpoint/load/record.go
@@ -7,21 +7,21 @@
 	"github.com/lilackeel/lilackeel/endpoint"
 )
 
-// record is what one entry knows of one endpoint.
+// record is the state that this entry keeps for one endpoint.
 type record struct {
-	// endpoint is the record in the table that fleet and group come from.
+	// endpoint is the table record from which peers and group were derived.
 	endpoint *endpoint.Endpoint
-	fleet    *fleet
+	peers    *peerStats
 	group    *group
 
 	reported bool
 	report   Report
-	// taken is when the last report was taken at the endpoint.
-	taken time.Duration
-	past  past
-	// step is the endpoint's own mean step time.
+	// reportTime is when the last report was taken at the endpoint.
+	reportTime time.Duration
+	history    reportHistory
+	// step is the mean of the step times that the endpoint reported.
 	step mean
-	// ownStep is true once a report has held the own step time.
+	// ownStep is true once a report has included Report.OwnStep.
 	ownStep bool
 
 	// inFlight is the number of this entry's calls that have not ended.
@@ -29,10 +29,10 @@
 	// sent are this entry's calls since the last report was taken.
 	sent []sentCall
 
-	// surprise is the mean prediction error of first tokens: the time by which
-	// they came later than foreseen.
-	surprise    time.Duration
-	surprisedAt time.Duration
+	// predictionError is the mean prediction error of first tokens: the time by
+	// which they arrived later than predicted.
+	predictionError      time.Duration
+	predictionErrorSetAt time.Duration
 }
 
 // sentCall is one dispatch.
@@ -41,19 +41,19 @@
 	tokens int
 }
 
-// touch notes that the sums of the group have to be computed again.
-func (r *record) touch() {
+// invalidateGroup marks the cached sums of the group as outdated.
+func (r *record) invalidateGroup() {
 	if r.group != nil {
-		r.group.fresh = false
+		r.group.sumsValid = false
 	}
 }
 
-// take replaces the report and drops the calls that it includes.
-func (r *record) take(now, taken time.Duration, report Report) {
-	r.learnReport(taken, &report)
-	r.report, r.taken, r.reported = report, taken, true
+// applyReport replaces the report and drops the calls that it already includes.
+func (r *record) applyReport(now, taken time.Duration, report Report) {
+	r.updatePeerStats(taken, &report)
+	r.report, r.reportTime, r.reported = report, taken, true
 	r.ownStep = r.ownStep || report.OwnStep > 0
-	r.past.add(pastReport{
+	r.history.add(pastReport{
 		arrived: now, taken: taken, running: report.calls(),
 		prefill: float64(report.PrefillTokens), step: float64(report.StepTime),
 	})
@@ -66,63 +66,63 @@
 	r.sent = kept
 }
 
-// learnReport adds a report to what is usual among alike endpoints.
-func (r *record) learnReport(taken time.Duration, report *Report) {
-	f := r.fleet
-	window := f.window()
+// updatePeerStats adds a report to the statistics of comparable endpoints.
+func (r *record) updatePeerStats(taken time.Duration, report *Report) {
+	stats := r.peers
+	window := stats.window()
 	waiting, step := float64(report.PrefillTokens), float64(report.StepTime)
-	f.waiting.add(waiting, window)
-	f.running.add(report.calls(), window)
+	stats.waiting.add(waiting, window)
+	stats.running.add(report.calls(), window)
 	if report.PrefillRate > 0 {
-		f.rate.add(report.PrefillRate, window)
+		stats.rate.add(report.PrefillRate, window)
 	}
 	if step > 0 {
-		f.step.add(step, window)
+		stats.step.add(step, window)
 		r.step.add(step, stepWindow)
 	}
-	old := r.past.believedAt(taken)
+	old := r.history.latestAt(taken)
 	if old == nil {
 		return
 	}
 	span := taken - old.taken
-	f.waiting.compare(waiting, old.prefill, span, window)
-	f.running.compare(report.calls(), old.running, span, window)
+	stats.waiting.addPair(waiting, old.prefill, span, window)
+	stats.running.addPair(report.calls(), old.running, span, window)
 	if step > 0 && old.step > 0 {
-		f.step.compare(step, old.step, span, window)
+		stats.step.addPair(step, old.step, span, window)
 	}
 }
 
-// stepWindow is the number of reports that an endpoint's own mean step time
+// stepWindow is the number of reports that the mean step time of one endpoint
 // spans.
 const stepWindow = 12
 
-// calls is the number of calls at the endpoint.
+// calls returns the number of calls at the endpoint.
 func (r *Report) calls() float64 { return float64(r.Running + r.Waiting) }
 
-// pastReports is the number of reports of an endpoint that are kept.
-const pastReports = 16
+// historySize is the number of reports of an endpoint that are kept.
+const historySize = 16
 
-// pastReport is what persistence needs of an earlier report.
+// pastReport holds the values of an earlier report that decayModel uses.
 type pastReport struct {
 	arrived, taken         time.Duration
 	running, prefill, step float64
 }
 
-// past keeps the latest reports of an endpoint.
-type past struct {
-	reports [pastReports]pastReport
+// reportHistory is a ring buffer of the latest reports of an endpoint.
+type reportHistory struct {
+	reports [historySize]pastReport
 	count   int
 }
 
-func (p *past) add(r pastReport) {
-	p.reports[p.count%pastReports] = r
+func (p *reportHistory) add(r pastReport) {
+	p.reports[p.count%historySize] = r
 	p.count++
 }
 
-// believedAt returns the newest report that was at hand at the time, or nil.
-func (p *past) believedAt(at time.Duration) *pastReport {
-	for back := 1; back <= min(p.count, pastReports); back++ {
-		r := &p.reports[(p.count-back)%pastReports]
+// latestAt returns the newest report that had arrived by the given time, or nil.
+func (p *reportHistory) latestAt(at time.Duration) *pastReport {
+	for back := 1; back <= min(p.count, historySize); back++ {
+		r := &p.reports[(p.count-back)%historySize]
 		if r.arrived <= at {
 			return r
 		}
@@ -130,12 +130,12 @@
 	return nil
 }
 
-// maxSentCalls bounds the memory for calls since the last report, in case no
-// report comes any more.
+// maxSentCalls bounds the memory for calls since the last report, in case
+// reports cease.
 const maxSentCalls = 256
 
-// send notes a dispatch.
-func (r *record) send(now time.Duration, w Work) {
+// addCall records a dispatched call.
+func (r *record) addCall(now time.Duration, w Work) {
 	r.inFlight++
 	if len(r.sent) == maxSentCalls {
 		r.sent = append(r.sent[:0], r.sent[1:]...)
@@ -143,42 +143,44 @@
 	r.sent = append(r.sent, sentCall{at: now, tokens: w.PromptTokens})
 }
 
-// started notes that a call's prompt has been computed.
-func (r *record) started(c *Call) {
+// markPrefilled records that a call's prompt has been computed.
+func (r *record) markPrefilled(c *Call) {
 	if i := r.sentIndex(c.SentAt); i >= 0 {
 		r.sent[i].tokens = 0
 	}
 }
 
-// ended notes that a call is over.
-func (r *record) ended(c *Call) {
+// removeCall records that a call has ended.
+func (r *record) removeCall(c *Call) {
 	r.inFlight = max(r.inFlight-1, 0)
 	if i := r.sentIndex(c.SentAt); i >= 0 {
 		r.sent = slices.Delete(r.sent, i, i+1)
 	}
 }
 
-// sentIndex finds a call since the last report; -1 when it was sent before.
+// sentIndex returns the index in r.sent of the call sent at the given time; -1
+// if the call was sent before the last report.
 func (r *record) sentIndex(at time.Duration) int {
 	return slices.IndexFunc(r.sent, func(s sentCall) bool { return s.at == at })
 }
 
-// surpriseWeight is the weight of a new observation in the surprise, an
-// exponentially weighted moving average of the prediction error.
-const surpriseWeight = 0.3
+// predictionErrorWeight is the weight of a new observation in the exponentially
+// weighted moving average of the prediction error.
+const predictionErrorWeight = 0.3
 
-// learn compares the time to a first token with what was foreseen without the
-// surprise.
-func (r *record) learn(now, observed, foreseen time.Duration) {
-	r.surprise += time.Duration(surpriseWeight * float64(observed-foreseen-r.surprise))
-	r.surprisedAt = now
+// updatePredictionError adds the difference between the observed time to first
+// token and the one predicted without the prediction error.
+func (r *record) updatePredictionError(now, observed, predicted time.Duration) {
+	r.predictionError += time.Duration(predictionErrorWeight * float64(observed-predicted-r.predictionError))
+	r.predictionErrorSetAt = now
 }
 
-// surpriseAt is the surprise, which fades when it is not observed again.
-func (r *record) surpriseAt(now, ttl time.Duration) time.Duration {
-	if r.surprise <= 0 || ttl <= 0 {
+// decayedPredictionError returns the prediction error, which decays linearly to
+// zero within ttl of its last observation; it is never negative.
+func (r *record) decayedPredictionError(now, ttl time.Duration) time.Duration {
+	if r.predictionError <= 0 || ttl <= 0 {
 		return 0
 	}
-	left := 1 - float64(now-r.surprisedAt)/float64(ttl)
-	return time.Duration(max(0, left) * float64(r.surprise))
+	remaining := 1 - float64(now-r.predictionErrorSetAt)/float64(ttl)
+	return time.Duration(max(0, remaining) * float64(r.predictionError))
 }
--- a/endpoint/load/tracker.go
+++ b/endpoint/load/tracker.go
@@ -8,27 +8,27 @@
 	"github.com/lilackeel/lilackeel/endpoint"
 )
 
-// Tracker keeps the load of all endpoints as one entry sees it.
+// Tracker tracks the load of all endpoints as seen by one entry.
 type Tracker struct {
 	mu      sync.Mutex
 	config  Config
 	table   *endpoint.Table
 	records map[string]*record
 	groups  map[string]*group
-	fleets  map[fleetKey]*fleet
+	peers   map[peerKey]*peerStats
 }
 
-// fleetKey names the endpoints that are alike: one pool, model and version.
-type fleetKey struct {
+// peerKey identifies a set of comparable endpoints: one pool, model and version.
+type peerKey struct {
 	pool, model, version string
 }
 
-// group is a lock-step group as its members' records show it.
+// group is a lock-step group with the records of its members.
 type group struct {
 	members []*record
-	// running and peak are kept until the next change of a member.
+	// running and peak are cached until the next change of a member.
 	running, peak float64
-	fresh         bool
+	sumsValid     bool
 }
 
 // New returns a tracker for the endpoints of the table.
@@ -38,12 +38,12 @@
 		table:   table,
 		records: map[string]*record{},
 		groups:  map[string]*group{},
-		fleets:  map[fleetKey]*fleet{},
+		peers:   map[peerKey]*peerStats{},
 	}
 }
 
-// Report takes in what endpoint id said of its load. A report that is older
-// than the last one, or from an endpoint that is not in the table, is dropped.
+// Report processes a load report of endpoint id. A report that is older than the
+// last one, or from an endpoint that is not in the table, is dropped.
 func (t *Tracker) Report(now time.Duration, id string, r Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,32 +54,32 @@
 	rec := t.record(id)
 	t.bind(rec, e)
 	if r.PrefillTokens == 0 {
-		r.PrefillTokens = r.Waiting * int(rec.fleet.prompt.value)
+		r.PrefillTokens = r.Waiting * int(rec.peers.prompt.value)
 	}
 	taken := now - r.Age
-	if rec.reported && taken < rec.taken {
+	if rec.reported && taken < rec.reportTime {
 		return
 	}
-	rec.take(now, taken, r)
-	rec.touch()
+	rec.applyReport(now, taken, r)
+	rec.invalidateGroup()
 }
 
-// Sent notes that this entry dispatches a call of the given work to id. The
-// caller passes the returned Call to FirstToken at most once and to Done once.
+// Sent records that this entry dispatches a call of the given size to id. The
+// caller must pass the returned Call to FirstToken at most once and to Done once.
 func (t *Tracker) Sent(now time.Duration, id string, w Work) Call {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	rec := t.record(id)
 	e := t.estimate(now, rec)
-	expected := e.Wait + perSecond(float64(w.PromptTokens), e.PrefillRate) + e.StepTime
-	surprise := rec.surpriseAt(now, t.config.PredictionErrorTTL)
-	rec.send(now, w)
-	rec.fleet.prompt.add(float64(w.PromptTokens), minWindow)
-	rec.touch()
-	return Call{ID: id, SentAt: now, Work: w, ExpectedFirstToken: expected, surprise: surprise}
+	expected := e.Wait + durationAtRate(float64(w.PromptTokens), e.PrefillRate) + e.StepTime
+	predictionError := rec.decayedPredictionError(now, t.config.PredictionErrorTTL)
+	rec.addCall(now, w)
+	rec.peers.prompt.add(float64(w.PromptTokens), minWindow)
+	rec.invalidateGroup()
+	return Call{ID: id, SentAt: now, Work: w, ExpectedFirstToken: expected, predictionError: predictionError}
 }
 
-// FirstToken notes that the first token of the call came.
+// FirstToken records that the first token of the call has arrived.
 func (t *Tracker) FirstToken(now time.Duration, c *Call) {
 	if c.started {
 		return
@@ -91,11 +91,11 @@
 	if rec == nil {
 		return
 	}
-	rec.started(c)
-	rec.learn(now, now-c.SentAt, c.ExpectedFirstToken-c.surprise)
+	rec.markPrefilled(c)
+	rec.updatePredictionError(now, now-c.SentAt, c.ExpectedFirstToken-c.predictionError)
 }
 
-// Done notes that the call ended, whatever its result.
+// Done records that the call has ended, whether or not it succeeded.
 func (t *Tracker) Done(now time.Duration, c *Call, r Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -105,21 +105,21 @@
 	}
 	if !c.started {
 		c.started = true
-		rec.started(c)
+		rec.markPrefilled(c)
 	}
-	rec.ended(c)
-	rec.touch()
+	rec.removeCall(c)
+	rec.invalidateGroup()
 	if !r.Failed && r.Tokens > 0 {
-		rec.fleet.answer.add(float64(r.Tokens), minWindow)
+		rec.peers.output.add(float64(r.Tokens), minWindow)
 	}
 }
 
-// Wait estimates the time before id would start on a new call.
+// Wait estimates the time before id would start a new call.
 func (t *Tracker) Wait(now time.Duration, id string) time.Duration {
 	return t.Estimate(now, id).Wait
 }
 
-// Estimate returns what the tracker believes of id.
+// Estimate returns the current estimate for id.
 func (t *Tracker) Estimate(now time.Duration, id string) Estimate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -136,8 +136,8 @@
 	return 0
 }
 
-// Resident reports whether the adapter is in the memory of the engine id, as
-// far as its reports say. The empty adapter always is.
+// Resident reports whether the adapter is resident in the memory of the engine
+// id, according to its last report. The empty adapter always is.
 func (t *Tracker) Resident(id, adapter string) bool {
 	if adapter == "" {
 		return true
@@ -148,8 +148,8 @@
 	return rec != nil && slices.Contains(rec.report.Adapters, adapter)
 }
 
-// ReportsOwnStep reports whether the engine id has reported its own step time, by
-// which it is then judged instead of by the time of its calls.
+// ReportsOwnStep reports whether the engine id has reported its own step time. If
+// so, outlier detection uses that instead of the latency of its calls.
 func (t *Tracker) ReportsOwnStep(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -157,7 +157,7 @@
 	return rec != nil && rec.ownStep
 }
 
-// Forget drops what is known of an endpoint that has left the table. Calls that
+// Forget discards the state of an endpoint that has left the table. Calls that
 // are still in flight there may end later.
 func (t *Tracker) Forget(id string) {
 	t.mu.Lock()
@@ -168,7 +168,7 @@
 	}
 }
 
-// record returns the record of the endpoint, made if need be.
+// record returns the record of the endpoint, creating it if necessary.
 func (t *Tracker) record(id string) *record {
 	if rec := t.records[id]; rec != nil {
 		return rec
@@ -183,44 +183,44 @@
 	return rec
 }
 
-// bind makes the record follow the endpoint as the table has it now.
+// bind updates the record's peer set and group to those of the table record e.
 func (t *Tracker) bind(rec *record, e *endpoint.Endpoint) {
 	if rec.endpoint == e {
 		return
 	}
 	t.unbind(rec)
 	rec.endpoint = e
-	rec.fleet = t.fleet(e)
-	rec.fleet.members++
+	rec.peers = t.peerStats(e)
+	rec.peers.members++
 	if e.Group == "" {
 		return
 	}
 	rec.group = t.group(e.Group)
 	rec.group.members = append(rec.group.members, rec)
-	rec.touch()
+	rec.invalidateGroup()
 }
 
-// unbind takes the record out of its fleet and its group.
+// unbind removes the record from its peer set and its group.
 func (t *Tracker) unbind(rec *record) {
-	if rec.fleet != nil {
-		rec.fleet.members--
+	if rec.peers != nil {
+		rec.peers.members--
 	}
 	if rec.group == nil {
 		return
 	}
 	rec.group.members = slices.DeleteFunc(rec.group.members, func(m *record) bool { return m == rec })
-	rec.touch()
+	rec.invalidateGroup()
 	rec.group = nil
 }
 
-func (t *Tracker) fleet(e *endpoint.Endpoint) *fleet {
-	key := fleetKey{e.Pool, e.Model, e.Version}
-	f := t.fleets[key]
-	if f == nil {
-		f = &fleet{step: persistence{clipped: true}}
-		t.fleets[key] = f
+func (t *Tracker) peerStats(e *endpoint.Endpoint) *peerStats {
+	key := peerKey{e.Pool, e.Model, e.Version}
+	s := t.peers[key]
+	if s == nil {
+		s = &peerStats{step: decayModel{clipped: true}}
+		t.peers[key] = s
 	}
-	return f
+	return s
 }
 
 func (t *Tracker) group(name string) *group {
@@ -232,15 +232,15 @@
 	return g
 }
 
-// refresh recomputes the sums over the members if one has changed.
-func (t *Tracker) refresh(now time.Duration, g *group) {
-	if g.fresh {
+// updateGroupSums recomputes the cached sums if a member has changed.
+func (t *Tracker) updateGroupSums(now time.Duration, g *group) {
+	if g.sumsValid {
 		return
 	}
-	g.fresh = true
+	g.sumsValid = true
 	g.running, g.peak = 0, 0
 	for _, m := range g.members {
-		running := t.runningAt(now, m)
+		running := t.running(now, m)
 		g.running += running
 		g.peak = max(g.peak, running)
 	}
--- a/endpoint/load/tracker_test.go
+++ b/endpoint/load/tracker_test.go
@@ -9,9 +9,9 @@
 	"github.com/lilackeel/lilackeel/endpoint"
 )
 
-// TestCountsOwnCallsOnce holds that a call counts from dispatch until its end,
-// once, whatever reports come in between, and that an endpoint is never
-// thought to run less than this entry's own calls.
+// TestCountsOwnCallsOnce checks that a call is counted exactly once from dispatch
+// until its end, regardless of the reports that arrive in between, and that the
+// estimate of running calls is never below this entry's own calls in flight.
 func TestCountsOwnCallsOnce(t *testing.T) {
 	is := is.New(t)
 	table := endpoint.NewTable()
@@ -28,19 +28,20 @@
 	tracker.Report(3*time.Second, "a", late)
 	is.Equal(running(3*time.Second), 4.0)
 	tracker.Report(3*time.Second, "a", Report{Running: 9, Age: 2900 * time.Millisecond})
-	is.Equal(running(3*time.Second), 4.0) // older than the last one: dropped
+	is.Equal(running(3*time.Second), 4.0) // older than the last report: dropped
 
 	tracker.Done(4*time.Second, &second, Result{Tokens: 5})
 	is.Equal(running(4*time.Second), 3.0)
-	tracker.Report(5*time.Second, "a", Report{Age: 0}) // says that nothing runs
+	tracker.Report(5*time.Second, "a", Report{Age: 0}) // reports no running calls
 	is.Equal(running(5*time.Second), 1.0)
 	tracker.Done(5*time.Second, &first, Result{Tokens: 5})
 	is.Equal(running(5*time.Second), 0.0)
 }
 
-// TestFollowsTheTable holds that an endpoint moved to another group counts
-// there, and that nothing of an endpoint that left comes back with late news.
-func TestFollowsTheTable(t *testing.T) {
+// TestTrackerFollowsTable checks that an endpoint moved to another group counts
+// in the new group, and that a late report or the end of a call does not restore
+// the state of an endpoint that has left.
+func TestTrackerFollowsTable(t *testing.T) {
 	is := is.New(t)
 	table := endpoint.NewTable()
 	table.Replace([]endpoint.Endpoint{{ID: "a", Group: "g"}, {ID: "b", Group: "h"}})
