--- a/endpoint/prefix/index.go
+++ b/endpoint/prefix/index.go
@@ -18,19 +18,20 @@
 	DefaultSentTTL = 2 * time.Second
 )
 
-// Config sets the index up; the zero value takes the defaults.
+// Config configures an Index. The zero value selects the defaults.
 type Config struct {
-	// Entries is the number of (endpoint, block) pairs held, rounded up to a
-	// power of two. Memory is 16 bytes an entry, allocated at the start; when
-	// the index is full, the entries not refreshed for longest go first.
+	// Entries is the capacity in (endpoint, block) pairs, rounded up to a power
+	// of two. Memory is 16 bytes per entry, allocated by New. When the index is
+	// full, the least recently refreshed entries are evicted first.
 	Entries int
-	// HoldTime and HoldEvents say how long, and how many events long, a gap
-	// may stay open for a crossed event to fill it before it voids.
+	// HoldTime and HoldEvents are the maximum time and the maximum number of
+	// held events for which the index waits for an out-of-order event to fill a
+	// gap. After that, the gap invalidates the endpoint's earlier entries.
 	HoldTime   time.Duration
 	HoldEvents int
-	// SentTTL is the least time for which a dispatched prompt is expected
-	// in the cache without an event that says so; it is kept for at most twice
-	// as long. Negative: dispatched prompts are not expected.
+	// SentTTL is the minimum time for which a dispatched prompt is assumed to be
+	// cached without an event that confirms it; the maximum is twice as long.
+	// Negative: dispatched prompts are not assumed to be cached.
 	SentTTL time.Duration
 }
 
@@ -50,24 +51,25 @@
 	return c
 }
 
-// Index maps prompt prefixes to the endpoints that are thought to cache them.
+// Index maps prompt prefixes to the endpoints that are expected to cache them.
 type Index struct {
 	mu      sync.RWMutex
 	config  Config
 	streams map[string]*stream
-	// ids gives the endpoint of a stream number; empty when the number is free.
-	ids     []string
-	free    []uint16
-	salts   uint64
-	present *pairSet
-	holders *holderMap
-	stats   Stats
+	// ids maps a stream number to its endpoint id; empty if the number is free.
+	ids       []string
+	free      []uint16
+	saltCount uint64
+	present   *pairSet
+	holders   *holderMap
+	stats     Stats
 }
 
-// Stats counts what has happened to the index since it was made.
+// Stats holds the counters of an index since its creation.
 type Stats struct {
-	// Events is the number of events taken in, Ignored the number of late or
-	// repeated ones, Gaps the number of gaps that voided an endpoint.
+	// Events is the number of events received, Ignored the number of those that
+	// were late or duplicates, Gaps the number of gaps that invalidated an
+	// endpoint's entries.
 	Events, Ignored, Gaps uint64
 }
 
@@ -82,7 +84,8 @@
 	}
 }
 
-// Apply takes in a cache event. Events may come late, crossed, twice or never.
+// Apply processes a cache event. Events may arrive late, out of order, more than
+// once or not at all.
 func (x *Index) Apply(now time.Duration, e Event) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -98,8 +101,8 @@
 	x.receive(now, s, e)
 }
 
-// Sent notes that a prompt was dispatched to the endpoint, whose cache is
-// expected to hold it before its event arrives.
+// Sent records that a prompt was dispatched to the endpoint, whose cache is
+// assumed to contain it before the corresponding event arrives.
 func (x *Index) Sent(now time.Duration, id string, blocks []uint64) {
 	if x.config.SentTTL < 0 {
 		return
@@ -114,8 +117,8 @@
 	}
 }
 
-// Match returns the number of leading blocks thought cached at the endpoint.
-// Its cost grows with the logarithm of the number of blocks.
+// Match returns the number of leading blocks that are expected to be cached at
+// the endpoint. Its cost is logarithmic in the number of blocks.
 func (x *Index) Match(now time.Duration, id string, blocks []uint64) int {
 	if len(blocks) == 0 {
 		return 0
@@ -129,8 +132,8 @@
 	return x.match(now, s, blocks)
 }
 
-// Holders appends to out the ids of up to limit endpoints that are thought to
-// cache a leading part of blocks, those with the longest part first.
+// Holders appends to out the ids of up to limit endpoints that are expected to
+// cache a prefix of blocks, those with the longest prefix first.
 func (x *Index) Holders(now time.Duration, blocks []uint64, limit int, out []string) []string {
 	if len(blocks) == 0 || limit <= 0 {
 		return out
@@ -157,7 +160,7 @@
 	return out
 }
 
-// Forget drops what is known of an endpoint that has left the table.
+// Forget discards the state of an endpoint that has left the table.
 func (x *Index) Forget(id string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -180,11 +183,11 @@
 	return x.stats
 }
 
-// Bytes is the memory of the entries. It does not change.
+// Bytes returns the memory used by the entries, which is constant.
 func (x *Index) Bytes() int64 { return x.present.bytes() + x.holders.bytes() }
 
-// match is a binary search for the last block that the endpoint has: a cache
-// that holds a block holds the blocks before it.
+// match finds the last block that the endpoint has by binary search, which works
+// because a cache that contains a block contains all blocks before it.
 func (x *Index) match(now time.Duration, s *stream, blocks []uint64) int {
 	low, high := 0, len(blocks)
 	for low < high {
@@ -198,7 +201,7 @@
 	return low
 }
 
-// deepest is a binary search for the last block that any endpoint has.
+// deepest finds the last block that any endpoint has by binary search.
 func (x *Index) deepest(blocks []uint64) int {
 	low, high := 0, len(blocks)
 	for low < high {
@@ -212,7 +215,7 @@
 	return low
 }
 
-// has reports whether the endpoint is thought to cache the block.
+// has reports whether the endpoint is expected to cache the block.
 func (x *Index) has(now time.Duration, s *stream, block uint64) bool {
 	if !s.gapOpen() && x.present.contains(pairKey(s.salt, block)) {
 		return true
@@ -227,7 +230,8 @@
 	return period > 0 && x.present.contains(pairKey(s.sentSalt(period-1), block))
 }
 
-// holderID returns the id of the stream number if it still has the block.
+// holderID returns the endpoint id of the stream number if the endpoint still has
+// the block, otherwise the empty string.
 func (x *Index) holderID(now time.Duration, number uint16, block uint64) string {
 	if int(number) >= len(x.ids) {
 		return ""
@@ -239,12 +243,13 @@
 	return id
 }
 
-// period numbers the spans of time by which dispatched prompts expire.
+// period returns the number of the SentTTL interval that now falls in.
+// Dispatched prompts expire by interval.
 func (x *Index) period(now time.Duration) uint64 {
 	return uint64(max(now, 0) / x.config.SentTTL)
 }
 
-// stream returns the state of the endpoint's events, made if need be.
+// stream returns the state of the endpoint's events, creating it if necessary.
 func (x *Index) stream(id string) *stream {
 	if s := x.streams[id]; s != nil {
 		return s
@@ -256,8 +261,8 @@
 	return s
 }
 
-// number gives the endpoint a small number, by which holders name it. An
-// endpoint beyond the greatest number can be matched but is not proposed.
+// number assigns the endpoint a 16-bit number, by which blockHolders refers to
+// it. An endpoint for which no number is left is found by Match but not by Holders.
 func (x *Index) number(id string) uint16 {
 	if n := len(x.free); n > 0 {
 		number := x.free[n-1]
@@ -272,9 +277,10 @@
 	return uint16(len(x.ids) - 1)
 }
 
-// newSalt returns a salt that no entry carries yet. Entries under an older
-// salt can no longer be found, so that changing the salt voids them at once.
+// newSalt returns a salt that has not been used before. Entries stored under an
+// older salt can no longer be found, so changing the salt invalidates them all
+// at once.
 func (x *Index) newSalt() uint64 {
-	x.salts++
-	return mix(x.salts)
+	x.saltCount++
+	return mix(x.saltCount)
 }
--- a/endpoint/prefix/index_test.go
+++ b/endpoint/prefix/index_test.go
@@ -13,9 +13,10 @@
 	return Event{Endpoint: "a", Incarnation: 1, Seq: seq, Stored: blocks}
 }
 
-// TestGapVoids holds that a lost event voids what was learned before it, that
-// a crossed event does not, and that a restart voids everything.
-func TestGapVoids(t *testing.T) {
+// TestGapInvalidatesEntries checks that a lost event invalidates the entries
+// learned before it, that a reordered event does not, and that a restart
+// invalidates all entries.
+func TestGapInvalidatesEntries(t *testing.T) {
 	is := is.New(t)
 	x := New(Config{})
 	x.Apply(0, stored(1, prompt[:4]...))
@@ -25,7 +26,7 @@
 	x.Apply(0, stored(3, prompt[5]))
 	is.Equal(x.Match(0, "a", prompt), 0) // open gap: the lost event may be an eviction
 	x.Apply(0, stored(2, prompt[4]))
-	is.Equal(x.Match(0, "a", prompt), 6) // it was only crossed
+	is.Equal(x.Match(0, "a", prompt), 6) // it was only reordered
 
 	x.Apply(0, stored(5, 21, 22))
 	x.Apply(DefaultHoldTime+1, stored(6, 23))
@@ -39,10 +40,10 @@
 	is.Equal(x.Match(time.Second, "a", []uint64{21, 22, 23}), 0)
 }
 
-// TestHintIsBounded holds that a dispatched prompt is expected for a while
-// only, that evictions are followed, and that the index forgets rather than
-// grows.
-func TestHintIsBounded(t *testing.T) {
+// TestEntriesAreBounded checks that a dispatched prompt is assumed to be cached
+// for a limited time only, that the index evicts entries instead of growing, and
+// that eviction events are applied.
+func TestEntriesAreBounded(t *testing.T) {
 	is := is.New(t)
 	x := New(Config{Entries: 1024})
 	x.Sent(0, "b", prompt)
--- a/endpoint/prefix/prefix.go
+++ b/endpoint/prefix/prefix.go
@@ -1,30 +1,31 @@
-// Package prefix holds a bounded index of which endpoint caches which prompt
-// prefix.
+// Package prefix provides a bounded index of which endpoints cache which prompt
+// prefixes.
 //
-// The index is fed by cache events that come late, crossed and with gaps. It
-// is a hint and never truth: a wrong entry costs a prefill that was thought
-// cached, a missing entry a cache hit that was not sought. A gap in the events
-// of an endpoint voids every entry learned before the gap, as the lost events
-// may have been evictions of any of them.
+// The index is built from cache events, which may arrive late, out of order or
+// not at all. Its content is only a hint: a wrong entry costs a prefill that was
+// expected to be cached, a missing entry costs a missed cache hit. A gap in the
+// events of an endpoint invalidates every entry learned before the gap, because
+// the lost events may have evicted any of them.
 //
-// Times are time.Duration since an arbitrary start, monotonic. All methods are
-// safe for concurrent use; the lock is held while no other lock is taken.
+// Times are monotonic, expressed as time.Duration since an arbitrary start. All
+// methods are safe for concurrent use; no other lock is acquired while the
+// index's lock is held.
 package prefix
 
-// Event is a change of one endpoint's cache. Block hashes are chained: the
+// Event is a change to one endpoint's cache. Block hashes are chained: the
 // hash of a block covers all blocks before it.
 type Event struct {
 	// Endpoint is the endpoint's id.
 	Endpoint string
-	// Incarnation grows when the endpoint starts again with an empty cache.
+	// Incarnation increases when the endpoint restarts with an empty cache.
 	Incarnation uint64
-	// Seq numbers the events of one incarnation from 1 without holes.
+	// Seq numbers the events of one incarnation consecutively from 1.
 	Seq uint64
-	// Stored are the hashes of the blocks that entered the cache.
+	// Stored lists the hashes of the blocks added to the cache.
 	Stored []uint64
-	// Removed are the hashes of the blocks that left the cache. They leave
-	// before those in Stored enter.
+	// Removed lists the hashes of the blocks evicted from the cache, before those
+	// in Stored were added.
 	Removed []uint64
-	// Cleared is true when the cache was emptied before Stored entered.
+	// Cleared is true if the cache was emptied before Stored was added.
 	Cleared bool
 }
--- a/endpoint/prefix/sets.go
+++ b/endpoint/prefix/sets.go
@@ -10,15 +10,15 @@
 	pairWays = 8
 	// holderWays is the number of blocks in a bucket of a holderMap.
 	holderWays = 4 // with four holders each: one cache line
-	// holdersPerBlock is the number of endpoints remembered for a block.
+	// holdersPerBlock is the number of endpoints stored per block.
 	holdersPerBlock = 4
-	// noHolder marks an empty place among the holders of a block, and is the
-	// number of an endpoint beyond those that holders can name.
+	// noHolder marks an unused slot among the holders of a block. It is also the
+	// number of any endpoint for which no 16-bit number was left.
 	noHolder = ^uint16(0)
 )
 
-// mix is the finalizer of SplitMix64, a bijection that spreads its input over
-// all bits.
+// mix is the finalizer of SplitMix64, a bijection in which every input bit
+// affects all output bits.
 func mix(v uint64) uint64 {
 	v ^= v >> 30
 	v *= 0xbf58476d1ce4e5b9
@@ -27,7 +27,7 @@
 	return v ^ v>>31
 }
 
-// pairKey is the key of the pair of a salt and a block; never zero.
+// pairKey returns the key of the pair of a salt and a block; it is never zero.
 func pairKey(salt, block uint64) uint64 { return mix(salt^block) | 1 }
 
 // powerOfTwo returns the least power of two that is at least n.
@@ -38,8 +38,9 @@
 	return 1 << bits.Len(uint(n-1))
 }
 
-// pairSet is a set of keys of fixed size, organized as a set-associative cache:
-// each key has one bucket of pairWays, which evicts the least recently inserted.
+// pairSet is a fixed-size set of keys, organized as a set-associative cache: each
+// key maps to one bucket of pairWays keys, which evicts the least recently
+// inserted one.
 type pairSet struct {
 	buckets [][pairWays]uint64
 }
@@ -65,7 +66,7 @@
 	return false
 }
 
-// insert puts the key first in its bucket.
+// insert moves the key to the front of its bucket, adding it if necessary.
 func (p *pairSet) insert(key uint64) {
 	b := p.bucket(key)
 	last := pairWays - 1
@@ -90,14 +91,15 @@
 	}
 }
 
-// blockHolders are the endpoints that stored a block last, the latest first.
-// They are proposals: whether an endpoint still has the block, the pairSet says.
+// blockHolders lists the endpoints that most recently stored a block, latest
+// first. The list may be outdated: the pairSet determines whether an endpoint
+// still has the block.
 type blockHolders struct {
-	block uint64
-	who   [holdersPerBlock]uint16
+	block   uint64
+	holders [holdersPerBlock]uint16
 }
 
-// holderMap maps blocks to holders, in fixed size like a pairSet.
+// holderMap maps blocks to holders, with a fixed size like a pairSet.
 type holderMap struct {
 	buckets [][holderWays]blockHolders
 }
@@ -114,28 +116,28 @@
 	return &h.buckets[mix(block)&uint64(len(h.buckets)-1)]
 }
 
-// find returns the holders of the block, the latest first.
+// find returns the holders of the block, latest first.
 func (h *holderMap) find(block uint64) []uint16 {
 	b := h.bucket(block)
 	for i := range b {
 		if b[i].block == block {
-			return b[i].known()
+			return b[i].used()
 		}
 	}
 	return nil
 }
 
-// insert notes that the endpoint stored the block.
+// insert records that the endpoint stored the block.
 func (h *holderMap) insert(block uint64, number uint16) {
 	if number == noHolder {
 		return
 	}
 	b := h.bucket(block)
-	if b[0].block == block && b[0].who[0] == number {
+	if b[0].block == block && b[0].holders[0] == number {
 		return
 	}
 	last := holderWays - 1
-	entry := blockHolders{block: block, who: [holdersPerBlock]uint16{noHolder, noHolder, noHolder, noHolder}}
+	entry := blockHolders{block: block, holders: [holdersPerBlock]uint16{noHolder, noHolder, noHolder, noHolder}}
 	for i := range b {
 		if b[i].block == block {
 			last = i
@@ -148,24 +150,24 @@
 	b[0] = entry
 }
 
-// known returns the places in use.
-func (b *blockHolders) known() []uint16 {
+// used returns the slots in use.
+func (b *blockHolders) used() []uint16 {
 	n := 0
-	for n < holdersPerBlock && b.who[n] != noHolder {
+	for n < holdersPerBlock && b.holders[n] != noHolder {
 		n++
 	}
-	return b.who[:n]
+	return b.holders[:n]
 }
 
-// add puts the endpoint first among the holders.
+// add moves the endpoint to the front of the holders, adding it if necessary.
 func (b *blockHolders) add(number uint16) {
 	last := holdersPerBlock - 1
-	for i, held := range b.who {
+	for i, held := range b.holders {
 		if held == number {
 			last = i
 			break
 		}
 	}
-	copy(b.who[1:last+1], b.who[:last])
-	b.who[0] = number
+	copy(b.holders[1:last+1], b.holders[:last])
+	b.holders[0] = number
 }
--- a/endpoint/prefix/stream.go
+++ b/endpoint/prefix/stream.go
@@ -9,54 +9,54 @@
 // stream is the state of one endpoint's cache events.
 type stream struct {
 	number uint16
-	// base is the salt under which dispatched prompts are kept; salt is the one
-	// under which events are.
+	// base is the salt for dispatched prompts; salt is the one for entries learned
+	// from events.
 	base, salt  uint64
 	incarnation uint64
-	// next is the sequence number that is expected, zero before the first event.
-	next uint64
-	// held are the events after a gap, ordered by Seq. While there are any, the
-	// entries learned from events are not used.
+	// nextSeq is the next expected sequence number, zero before the first event.
+	nextSeq uint64
+	// held contains the events after a gap, ordered by Seq. While it is not empty,
+	// the entries learned from events are not used.
 	held      []Event
 	heldSince time.Duration
 }
 
-// gapOpen reports whether events are missing that may still come.
+// gapOpen reports whether events are missing that may still arrive.
 func (s *stream) gapOpen() bool { return len(s.held) > 0 }
 
-// sentSalt is the salt of the prompts dispatched in the period.
+// sentSalt returns the salt of the prompts dispatched in the period.
 func (s *stream) sentSalt(period uint64) uint64 { return mix(s.base ^ mix(period+1)) }
 
-// restart voids everything known of an endpoint whose cache began anew. The
-// events of the new incarnation are expected from the first one seen.
+// restart invalidates all entries of an endpoint that has restarted with an empty
+// cache. The first event received of the new incarnation is taken as its start.
 func (x *Index) restart(s *stream, e Event) {
 	s.incarnation = e.Incarnation
 	s.base = x.newSalt()
 	s.salt = x.newSalt()
 	s.held = nil
-	s.next = e.Seq
+	s.nextSeq = e.Seq
 }
 
-// receive puts the event in its place in the stream.
+// receive processes the event, or holds it if an earlier one is missing.
 func (x *Index) receive(now time.Duration, s *stream, e Event) {
-	if s.next == 0 {
-		s.next = e.Seq
+	if s.nextSeq == 0 {
+		s.nextSeq = e.Seq
 	}
 	switch {
-	case e.Seq < s.next:
+	case e.Seq < s.nextSeq:
 		x.stats.Ignored++
-	case e.Seq == s.next:
-		x.learn(s, e)
+	case e.Seq == s.nextSeq:
+		x.process(s, e)
 		x.drain(s)
 	default:
 		x.hold(now, s, e)
 	}
 	if s.gapOpen() && x.gapExpired(now, s) {
-		x.void(now, s)
+		x.invalidate(now, s)
 	}
 }
 
-// hold keeps an event that came before its turn.
+// hold buffers an event that arrived out of order.
 func (x *Index) hold(now time.Duration, s *stream, e Event) {
 	if !s.gapOpen() {
 		s.heldSince = now
@@ -71,33 +71,34 @@
 	s.held = slices.Insert(s.held, at, e)
 }
 
-// gapExpired reports whether the missing events have had their time.
+// gapExpired reports whether the limits for waiting for the missing events are
+// exceeded.
 func (x *Index) gapExpired(now time.Duration, s *stream) bool {
 	return len(s.held) > x.config.HoldEvents || now-s.heldSince > x.config.HoldTime
 }
 
-// void drops all that was learned before the gap and goes on after it.
-func (x *Index) void(now time.Duration, s *stream) {
+// invalidate discards the entries learned before the gap and resumes after it.
+func (x *Index) invalidate(now time.Duration, s *stream) {
 	x.stats.Gaps++
 	s.salt = x.newSalt()
-	s.next = s.held[0].Seq
+	s.nextSeq = s.held[0].Seq
 	s.heldSince = now
 	x.drain(s)
 }
 
-// drain learns the held events whose turn it is.
+// drain processes the held events that are next in sequence.
 func (x *Index) drain(s *stream) {
-	taken := 0
-	for taken < len(s.held) && s.held[taken].Seq == s.next {
-		x.learn(s, s.held[taken])
-		taken++
+	processed := 0
+	for processed < len(s.held) && s.held[processed].Seq == s.nextSeq {
+		x.process(s, s.held[processed])
+		processed++
 	}
-	s.held = slices.Delete(s.held, 0, taken)
+	s.held = slices.Delete(s.held, 0, processed)
 }
 
-// learn takes an event in its turn into the index.
-func (x *Index) learn(s *stream, e Event) {
-	s.next = e.Seq + 1
+// process applies an event that is next in sequence to the index.
+func (x *Index) process(s *stream, e Event) {
+	s.nextSeq = e.Seq + 1
 	if e.Cleared {
 		s.salt = x.newSalt()
 	}
