--- a/endpoint/suspicion/codec.go
+++ b/endpoint/suspicion/codec.go
@@ -6,7 +6,7 @@
 	agentv1 "github.com/lilackeel/lilackeel/api/agent/v1"
 )
 
-// ToProto encodes reports with their ages at now.
+// ToProto encodes reports, converting their times to ages at now.
 func ToProto(now time.Duration, reports []Report) []*agentv1.Suspicion {
 	messages := make([]*agentv1.Suspicion, 0, len(reports))
 	for _, r := range reports {
@@ -17,7 +17,8 @@
 	return messages
 }
 
-// FromProto decodes reports by the reader's own clock. What is malformed is left out.
+// FromProto decodes reports, converting their ages to times on the local clock. Malformed reports are
+// omitted.
 func FromProto(now time.Duration, messages []*agentv1.Suspicion) []Report {
 	reports := make([]Report, 0, len(messages))
 	for _, m := range messages {
--- a/endpoint/suspicion/suspicion.go
+++ b/endpoint/suspicion/suspicion.go
@@ -1,16 +1,17 @@
-// Package suspicion lets the entries of a fleet leave out an endpoint that does not answer, on
-// each other's evidence.
+// Package suspicion shares failure reports among the entries of a fleet, so that all of them exclude
+// an endpoint that does not answer.
 //
-// An entry sends an endpoint of a large fleet a request in some seconds only. Alone, each of them
-// finds out anew that it hangs, at the cost of a request. So an entry publishes a report when an
-// endpoint has not answered it. Once two entries have reported an endpoint, all leave it out for a
-// moment; then each tries it again at a time of its own, and the first that is answered publishes
-// that for all.
+// In a large fleet, an entry sends a given endpoint a request only every few seconds. Without shared
+// reports, each entry would detect an unresponsive endpoint on its own, at the cost of a failed
+// request. Therefore an entry publishes a report when an endpoint has not answered it. Once two
+// entries have reported an endpoint, all entries exclude it for a short time. Each then probes it
+// with a request at a random time, and the first entry to get an answer publishes the recovery.
 //
-// What one entry alone reports may be the fault of its own link. What is reported of many endpoints
-// of a pool at once is not theirs either: then no endpoint is left out by the reports of others.
+// A report by a single entry may be due to that entry's own link. Reports about many endpoints of a
+// pool at once are unlikely to be the fault of the endpoints either: in that case no endpoint is
+// excluded because of other entries' reports.
 //
-// Times are durations since an arbitrary start, monotonic. Nothing here blocks.
+// Times are monotonic durations since an arbitrary start. No method blocks.
 package suspicion
 
 import (
@@ -20,194 +21,203 @@
 )
 
 const (
-	// confirmations is how many entries must have reported an endpoint, within confirmWindow.
-	confirmations = 2
+	// minReporters is how many entries must report an endpoint within confirmWindow to confirm it
+	// as suspected.
+	minReporters  = 2
 	confirmWindow = 3 * time.Second
-	// probePause is how long an endpoint is left out at least after a confirmed report, and
-	// probeTime how long a probe takes until all know its outcome: probes are spread so that
-	// about one falls into that time.
-	probePause = time.Second
-	probeTime  = 750 * time.Millisecond
-	// longestSpread bounds the time over which the entries' probes are spread.
-	longestSpread = 8 * time.Second
-	// memory is how long a report is of use.
-	memory = 15 * time.Second
-	// maxEndpoints bounds the endpoints that are remembered, maxReporters the reporters of each.
+	// minExclusion is the minimum time for which an endpoint is excluded after a confirmed report.
+	// probeInterval is how long it takes from a probe until all entries know its outcome: probes
+	// are spread so that about one is sent per interval.
+	minExclusion  = time.Second
+	probeInterval = 750 * time.Millisecond
+	// maxProbeSpread is the maximum time over which the entries' probes are spread.
+	maxProbeSpread = 8 * time.Second
+	// reportTTL is how long a report is valid.
+	reportTTL = 15 * time.Second
+	// maxEndpoints is the maximum number of endpoints tracked, maxReporters that of reporters stored
+	// for each.
 	maxEndpoints = 4096
 	maxReporters = 8
-	// largestPart is the part of a pool that may be left out by the reports of others.
-	largestPart = 0.25
+	// maxExcludedShare is the largest share of a pool that may be excluded because of other entries'
+	// reports.
+	maxExcludedShare = 0.25
 )
 
-// Report is what one entry says of an endpoint.
+// Report is one entry's observation of an endpoint.
 type Report struct {
-	// Endpoint names the endpoint and the run of its process.
+	// Endpoint is the endpoint's run id: its id and incarnation.
 	Endpoint string
-	// Reporter stands for the entry.
+	// Reporter identifies the entry.
 	Reporter uint64
-	// At is when it was found out.
+	// At is the time of the observation.
 	At time.Duration
-	// Answers is true if the endpoint has answered, after it was suspected.
+	// Responsive is true if the endpoint has answered after it was suspected; false if it has failed
+	// to answer.
 	Responsive bool
 }
 
-// Tracker is what one entry knows of suspected endpoints. It is safe for concurrent use; its lock
-// is a leaf.
+// Tracker tracks the suspected endpoints for one entry. It is safe for concurrent use; no other lock
+// is acquired while its lock is held.
 type Tracker struct {
-	own uint64
+	reporter uint64
 
 	mu sync.Mutex
-	// entries is how many entries share their evidence.
+	// entries is the number of entries that share reports.
 	entries   int
 	endpoints map[string]*record
 	outbox    []Report
-	changed   chan struct{}
+	ready     chan struct{}
 }
 
-// record is what is known of one endpoint.
+// record is the state of one suspected endpoint.
 type record struct {
-	// by holds the last report of each reporter.
-	by map[uint64]time.Duration
-	// latest is the last report, and until the time before which this entry does not try.
-	latest, until time.Duration
-	confirmed     bool
+	// reportedAt is the time of the last report of each reporter.
+	reportedAt map[uint64]time.Duration
+	// lastReport is the time of the latest report by any reporter. Before excludedUntil this entry
+	// does not select the endpoint.
+	lastReport, excludedUntil time.Duration
+	confirmed                 bool
 }
 
-// NewTracker returns a tracker of the entry that reporter stands for.
+// NewTracker returns a tracker for the entry identified by reporter.
 func NewTracker(reporter uint64) *Tracker {
-	return &Tracker{own: reporter, entries: 1, endpoints: map[string]*record{}, changed: make(chan struct{}, 1)}
+	return &Tracker{reporter: reporter, entries: 1, endpoints: map[string]*record{}, ready: make(chan struct{}, 1)}
 }
 
-// SetEntries sets how many entries share their evidence.
+// SetEntries sets the number of entries that share reports.
 func (t *Tracker) SetEntries(entries int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.entries = max(entries, 1)
 }
 
-// Failed notes that an endpoint has not answered this entry.
+// Failed records that an endpoint has not answered a request of this entry.
 func (t *Tracker) Failed(now time.Duration, run string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := Report{Endpoint: run, Reporter: t.own, At: now}
+	r := Report{Endpoint: run, Reporter: t.reporter, At: now}
 	t.merge(now, r)
-	t.publish(r)
+	t.enqueue(r)
 }
 
-// Answered notes that an endpoint has answered a request of this entry that was sent at a time. It
-// costs next to nothing for an endpoint that nobody suspects.
+// Succeeded records that an endpoint has answered a request that this entry sent at the given time.
+// The cost is negligible for an endpoint that is not suspected.
 func (t *Tracker) Succeeded(now, sent time.Duration, run string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.endpoints[run]
-	if known == nil || sent < known.latest {
+	rec := t.endpoints[run]
+	if rec == nil || sent < rec.lastReport {
 		return
 	}
-	r := Report{Endpoint: run, Reporter: t.own, At: now, Responsive: true}
+	r := Report{Endpoint: run, Reporter: t.reporter, At: now, Responsive: true}
 	t.merge(now, r)
-	t.publish(r)
+	t.enqueue(r)
 }
 
-// Merge takes in the reports of others. It returns the runs that several entries report since.
+// Merge processes reports of other entries. It returns the run ids of the endpoints that these reports
+// newly confirm as suspected.
 func (t *Tracker) Merge(now time.Duration, reports []Report) (confirmed []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range reports {
-		if r.Reporter != t.own && now-r.At <= memory && t.merge(now, r) {
+		if r.Reporter != t.reporter && now-r.At <= reportTTL && t.merge(now, r) {
 			confirmed = append(confirmed, r.Endpoint)
 		}
 	}
 	return confirmed
 }
 
-// merge takes in one report, and reports whether the endpoint is confirmed by it; the lock is held.
+// merge processes one report, and reports whether it newly confirms the endpoint as suspected. The
+// caller must hold the lock.
 func (t *Tracker) merge(now time.Duration, report Report) (confirmed bool) {
-	known := t.endpoints[report.Endpoint]
+	rec := t.endpoints[report.Endpoint]
 	if report.Responsive {
-		if known != nil && report.At >= known.latest {
+		if rec != nil && report.At >= rec.lastReport {
 			delete(t.endpoints, report.Endpoint)
 		}
 		return false
 	}
-	if known == nil {
-		t.makeRoom(now)
-		known = &record{by: map[uint64]time.Duration{}}
-		t.endpoints[report.Endpoint] = known
+	if rec == nil {
+		t.evictIfFull(now)
+		rec = &record{reportedAt: map[uint64]time.Duration{}}
+		t.endpoints[report.Endpoint] = rec
 	}
-	if len(known.by) < maxReporters || known.by[report.Reporter] > 0 {
-		known.by[report.Reporter] = max(known.by[report.Reporter], report.At)
+	if len(rec.reportedAt) < maxReporters || rec.reportedAt[report.Reporter] > 0 {
+		rec.reportedAt[report.Reporter] = max(rec.reportedAt[report.Reporter], report.At)
 	}
-	known.latest = max(known.latest, report.At)
-	before := known.confirmed
-	known.confirmed = before || known.reporters() >= confirmations
-	if known.confirmed {
-		known.until = max(known.until, report.At+probePause+rand.N(t.spread()))
+	rec.lastReport = max(rec.lastReport, report.At)
+	wasConfirmed := rec.confirmed
+	rec.confirmed = wasConfirmed || rec.recentReporters() >= minReporters
+	if rec.confirmed {
+		rec.excludedUntil = max(rec.excludedUntil, report.At+minExclusion+rand.N(t.probeSpread()))
 	}
-	return known.confirmed && !before
+	return rec.confirmed && !wasConfirmed
 }
 
-// reporters is how many entries have reported the endpoint within a window up to the latest report.
-func (r *record) reporters() int {
+// recentReporters returns how many entries have reported the endpoint within confirmWindow before the
+// latest report.
+func (r *record) recentReporters() int {
 	count := 0
-	for _, at := range r.by {
-		if r.latest-at <= confirmWindow {
+	for _, at := range r.reportedAt {
+		if r.lastReport-at <= confirmWindow {
 			count++
 		}
 	}
 	return count
 }
 
-// spread is the time over which the entries' probes are spread; the lock is held.
-func (t *Tracker) spread() time.Duration {
-	return min(time.Duration(t.entries)*probeTime, longestSpread)
+// probeSpread returns the time over which the entries' probes are spread. The caller must hold the lock.
+func (t *Tracker) probeSpread() time.Duration {
+	return min(time.Duration(t.entries)*probeInterval, maxProbeSpread)
 }
 
-// Out returns the runs of a pool's endpoints to leave out now on the evidence of several entries, in
-// no order. Where so many are suspected that the fault can
-// hardly be theirs, it returns none and forgets what was reported of them.
+// Excluded returns the run ids of a pool's endpoints to exclude at now because several entries have
+// reported them, in no particular order. size is the number of endpoints in the pool. If more than
+// maxExcludedShare of the pool is suspected, the cause is unlikely to be the endpoints: Excluded then
+// returns none and discards the reports about them.
 func (t *Tracker) Excluded(now time.Duration, inPool func(run string) bool, size int) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []string
+	var excluded []string
 	for run, r := range t.endpoints {
-		if r.confirmed && now < r.until && inPool(run) {
-			out = append(out, run)
+		if r.confirmed && now < r.excludedUntil && inPool(run) {
+			excluded = append(excluded, run)
 		}
 	}
-	if float64(len(out)) <= largestPart*float64(size) {
-		return out
+	if float64(len(excluded)) <= maxExcludedShare*float64(size) {
+		return excluded
 	}
-	for _, run := range out {
+	for _, run := range excluded {
 		delete(t.endpoints, run)
 	}
 	return nil
 }
 
-// Forget evicts what is no longer of use. It is to be called now and then.
+// Expire removes endpoints whose last report has expired. It should be called periodically.
 func (t *Tracker) Expire(now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forget(now)
+	t.expire(now)
 }
 
-func (t *Tracker) forget(now time.Duration) {
+func (t *Tracker) expire(now time.Duration) {
 	for run, r := range t.endpoints {
-		if now-r.latest > memory {
+		if now-r.lastReport > reportTTL {
 			delete(t.endpoints, run)
 		}
 	}
 }
 
-// makeRoom drops the endpoint whose last report is the oldest if there is no room for one more; the
-// lock is held.
-func (t *Tracker) makeRoom(now time.Duration) {
+// evictIfFull removes the endpoint with the oldest last report if the tracker is full. The caller must
+// hold the lock.
+func (t *Tracker) evictIfFull(now time.Duration) {
 	if len(t.endpoints) < maxEndpoints {
 		return
 	}
-	t.forget(now)
+	t.expire(now)
 	var oldest string
 	for run, r := range t.endpoints {
-		if oldest == "" || r.latest < t.endpoints[oldest].latest {
+		if oldest == "" || r.lastReport < t.endpoints[oldest].lastReport {
 			oldest = run
 		}
 	}
@@ -216,41 +226,42 @@
 	}
 }
 
-// maxOutbox bounds the reports that wait to be published.
+// maxOutbox is the maximum number of reports waiting to be published.
 const maxOutbox = 256
 
-// publish puts a report into the outbox; the lock is held.
-func (t *Tracker) publish(r Report) {
+// enqueue adds a report to the outbox. The caller must hold the lock.
+func (t *Tracker) enqueue(r Report) {
 	if len(t.outbox) < maxOutbox {
 		t.outbox = append(t.outbox, r)
 	}
 	select {
-	case t.changed <- struct{}{}:
+	case t.ready <- struct{}{}:
 	default:
 	}
 }
 
-// Len returns the number of endpoints that several entries suspect.
+// ConfirmedCount returns the number of endpoints confirmed as suspected by several entries.
 func (t *Tracker) ConfirmedCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	suspected := 0
+	count := 0
 	for _, r := range t.endpoints {
 		if r.confirmed {
-			suspected++
+			count++
 		}
 	}
-	return suspected
+	return count
 }
 
-// Published returns the reports of this entry since the last call.
+// TakeReports returns the reports of this entry since the last call, and clears the outbox.
 func (t *Tracker) TakeReports() []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	published := t.outbox
+	reports := t.outbox
 	t.outbox = nil
-	return published
+	return reports
 }
 
-// Changed receives after there are reports to publish. One receiver is notified.
-func (t *Tracker) ReportsReady() <-chan struct{} { return t.changed }
+// ReportsReady returns a channel that receives a value when there are reports to publish. Only one
+// receiver is notified.
+func (t *Tracker) ReportsReady() <-chan struct{} { return t.ready }
--- a/endpoint/suspicion/world_test.go
+++ b/endpoint/suspicion/world_test.go
@@ -11,20 +11,21 @@
 	"github.com/lilackeel/lilackeel/endpoint/reach"
 )
 
-// world plays entries before the endpoints of a pool in virtual time. Each entry keeps away from
-// endpoints that have not answered it (package reach) and, if shared, from those that others report.
-type world struct {
+// simulation simulates, in virtual time, entries that send requests to the endpoints of a pool. Each
+// entry excludes endpoints that have not answered it (package reach) and, if shared is set, those that
+// other entries report.
+type simulation struct {
 	rng     *rand.Rand
 	now     time.Duration
 	shared  bool
-	entries []*worldEntry
+	entries []*simEntry
 	size    int
-	// fails says whether a request of an entry to an endpoint is not answered now.
+	// fails reports whether a request sent now from an entry to an endpoint stays unanswered.
 	fails func(entry, endpoint int) bool
-	// hurt counts requests that were not answered, leftOut the choices of sound endpoints that
-	// were left out by the reports of others, and sent all requests.
-	hurt, leftOut, sent int
-	events              []event
+	// unanswered counts the requests that were not answered, excludedHealthy how often a healthy
+	// endpoint was passed over because it was excluded, and sent all requests.
+	unanswered, excludedHealthy, sent int
+	events                            []event
 }
 
 type event struct {
@@ -32,52 +33,52 @@
 	run func()
 }
 
-type worldEntry struct {
+type simEntry struct {
 	reach *reach.Tracker
 	*Tracker
 }
 
 const (
 	step = 10 * time.Millisecond
-	// silence is how long an unanswered request takes to be noticed, answerTime how long an
-	// answered one takes, and passOn how long a report is on its way.
-	silence, answerTime, passOn = 550 * time.Millisecond, 200 * time.Millisecond, 200 * time.Millisecond
+	// failureTime is how long it takes to detect that a request is not answered, responseTime how
+	// long an answered request takes, and broadcastDelay how long a report takes to reach all entries.
+	failureTime, responseTime, broadcastDelay = 550 * time.Millisecond, 200 * time.Millisecond, 200 * time.Millisecond
 )
 
-func newWorld(seed uint64, entries, endpoints int, shared bool) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 3)), shared: shared, size: endpoints}
+func newSimulation(seed uint64, entries, endpoints int, shared bool) *simulation {
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 3)), shared: shared, size: endpoints}
 	for i := range entries {
-		e := &worldEntry{reach.New(), NewTracker(uint64(i + 1))}
+		e := &simEntry{reach.New(), NewTracker(uint64(i + 1))}
 		e.SetEntries(entries)
-		w.entries = append(w.entries, e)
+		s.entries = append(s.entries, e)
 	}
-	return w
+	return s
 }
 
-func name(endpoint int) string { return fmt.Sprint("e", endpoint) }
+func endpointID(endpoint int) string { return fmt.Sprint("e", endpoint) }
 
-func (w *world) after(d time.Duration, run func()) {
-	w.events = append(w.events, event{w.now + d, run})
+func (s *simulation) after(d time.Duration, run func()) {
+	s.events = append(s.events, event{s.now + d, run})
 }
 
-// play sends so many requests a second for a time.
-func (w *world) play(length time.Duration, perSecond float64) {
-	for end := w.now + length; w.now < end; w.now += step {
+// run simulates the given time, with perSecond requests per second.
+func (s *simulation) run(length time.Duration, perSecond float64) {
+	for end := s.now + length; s.now < end; s.now += step {
 		var due []event
-		rest := w.events[:0]
-		for _, e := range w.events {
-			if e.at <= w.now {
+		rest := s.events[:0]
+		for _, e := range s.events {
+			if e.at <= s.now {
 				due = append(due, e)
 			} else {
 				rest = append(rest, e)
 			}
 		}
-		w.events = rest
+		s.events = rest
 		for _, e := range due {
 			e.run()
 		}
-		for range poisson(w.rng, perSecond*step.Seconds()) {
-			w.send(w.rng.IntN(len(w.entries)))
+		for range poisson(s.rng, perSecond*step.Seconds()) {
+			s.send(s.rng.IntN(len(s.entries)))
 		}
 	}
 }
@@ -90,114 +91,116 @@
 	return count
 }
 
-// send sends a request to an endpoint that is not left out.
-func (w *world) send(entry int) {
-	e := w.entries[entry]
-	out := map[string]bool{}
-	for _, id := range e.reach.Excluded(w.now, func(string) bool { return false }) {
-		out[id] = true
+// send sends a request from an entry to a random endpoint that is not excluded.
+func (s *simulation) send(entry int) {
+	e := s.entries[entry]
+	excluded := map[string]bool{}
+	for _, id := range e.reach.Excluded(s.now, func(string) bool { return false }) {
+		excluded[id] = true
 	}
-	if w.shared {
-		for _, id := range e.Excluded(w.now, func(string) bool { return true }, w.size) {
-			out[id] = true
+	if s.shared {
+		for _, id := range e.Excluded(s.now, func(string) bool { return true }, s.size) {
+			excluded[id] = true
 		}
 	}
-	chosen := w.rng.IntN(w.size)
+	chosen := s.rng.IntN(s.size)
 	for range 20 {
-		if !out[name(chosen)] {
+		if !excluded[endpointID(chosen)] {
 			break
 		}
-		if !w.fails(entry, chosen) {
-			w.leftOut++
+		if !s.fails(entry, chosen) {
+			s.excludedHealthy++
 		}
-		chosen = w.rng.IntN(w.size)
+		chosen = s.rng.IntN(s.size)
 	}
-	w.sent++
-	sent, id := w.now, name(chosen)
-	if w.fails(entry, chosen) {
-		w.hurt++
-		w.after(silence, func() {
-			e.reach.Failed(w.now, id)
-			e.Failed(w.now, id)
-			w.passOn(e)
+	s.sent++
+	sent, id := s.now, endpointID(chosen)
+	if s.fails(entry, chosen) {
+		s.unanswered++
+		s.after(failureTime, func() {
+			e.reach.Failed(s.now, id)
+			e.Failed(s.now, id)
+			s.broadcast(e)
 		})
 		return
 	}
-	w.after(answerTime, func() {
+	s.after(responseTime, func() {
 		e.reach.Succeeded(id)
-		e.Succeeded(w.now, sent, id)
-		w.passOn(e)
+		e.Succeeded(s.now, sent, id)
+		s.broadcast(e)
 	})
 }
 
-// passOn passes the reports of an entry on to all others.
-func (w *world) passOn(from *worldEntry) {
+// broadcast delivers the reports of an entry to all entries.
+func (s *simulation) broadcast(from *simEntry) {
 	reports := from.TakeReports()
 	if len(reports) == 0 {
 		return
 	}
-	w.after(passOn, func() {
-		for _, e := range w.entries {
-			e.Merge(w.now, reports)
+	s.after(broadcastDelay, func() {
+		for _, e := range s.entries {
+			e.Merge(s.now, reports)
 		}
 	})
 }
 
-// Guards against entries that each find out alone, at the cost of a request, that an endpoint does
-// not answer.
-func TestEntriesLeaveOutWhatOthersFoundSilent(t *testing.T) {
+// Guards against each entry having to detect an unresponsive endpoint on its own, at the cost of a
+// failed request.
+func TestSharedReportsReduceUnansweredRequests(t *testing.T) {
 	for _, c := range []struct {
-		entries, endpoints, silent int
-		perSecond                  float64
+		entries, endpoints, failing int
+		perSecond                   float64
 	}{{3, 16, 1, 60}, {13, 64, 5, 220}, {36, 192, 12, 470}, {41, 2500, 50, 2300}} {
 		t.Run(fmt.Sprint(c.entries, "x", c.endpoints), func(t *testing.T) {
 			is := is.New(t)
-			hurt := map[bool]int{}
+			unanswered := map[bool]int{}
 			for _, shared := range []bool{false, true} {
 				for seed := range uint64(4) {
-					w := newWorld(seed, c.entries, c.endpoints, shared)
-					w.fails = func(_, endpoint int) bool { return endpoint < c.silent && w.now > time.Second && w.now < 8*time.Second }
-					w.play(14*time.Second, c.perSecond)
-					hurt[shared] += w.hurt
-					before := w.leftOut
-					w.play(4*time.Second, c.perSecond)
-					is.True(float64(w.leftOut-before) <= 0.005*4*c.perSecond) // back soon after
+					s := newSimulation(seed, c.entries, c.endpoints, shared)
+					s.fails = func(_, endpoint int) bool {
+						return endpoint < c.failing && s.now > time.Second && s.now < 8*time.Second
+					}
+					s.run(14*time.Second, c.perSecond)
+					unanswered[shared] += s.unanswered
+					before := s.excludedHealthy
+					s.run(4*time.Second, c.perSecond)
+					is.True(float64(s.excludedHealthy-before) <= 0.005*4*c.perSecond) // no longer excluded soon after recovery
 				}
 			}
-			t.Logf("unanswered requests of four plays: %d alone, %d on the evidence of all", hurt[false], hurt[true])
-			is.True(hurt[true] <= hurt[false])
+			t.Logf("unanswered requests in four runs: %d without shared reports, %d with them", unanswered[false], unanswered[true])
+			is.True(unanswered[true] <= unanswered[false])
 			if c.entries > 3 {
-				is.True(float64(hurt[true]) <= 0.6*float64(hurt[false]))
+				is.True(float64(unanswered[true]) <= 0.6*float64(unanswered[false]))
 			}
 		})
 	}
 }
 
-// Guards against sound endpoints that are left out by the reports of others: of an entry whose own link
-// is bad, where a whole pool is silent for a while, and after that.
-func TestSoundEndpointsAreNotLeftOut(t *testing.T) {
+// Guards against healthy endpoints being excluded because of other entries' reports: when the link of
+// the reporting entry is faulty, or while and after a whole pool is unresponsive.
+func TestHealthyEndpointsAreNotExcluded(t *testing.T) {
 	const entries, endpoints, perSecond = 13, 64, 220
-	for what, fails := range map[string]func(w *world, entry, endpoint int) bool{
-		"one entry's link loses a third": func(w *world, entry, _ int) bool { return entry == 0 && w.rng.IntN(3) == 0 },
-		"a pool is silent for 2 s":       func(w *world, _, _ int) bool { return w.now > time.Second && w.now < 3*time.Second },
-		"every link loses one in 300":    func(w *world, _, _ int) bool { return w.rng.IntN(300) == 0 },
-		"all is well":                    func(*world, int, int) bool { return false },
+	for what, fails := range map[string]func(s *simulation, entry, endpoint int) bool{
+		"one entry's link loses a third": func(s *simulation, entry, _ int) bool { return entry == 0 && s.rng.IntN(3) == 0 },
+		"a pool is unresponsive for 2 s": func(s *simulation, _, _ int) bool { return s.now > time.Second && s.now < 3*time.Second },
+		"every link loses one in 300":    func(s *simulation, _, _ int) bool { return s.rng.IntN(300) == 0 },
+		"no failures":                    func(*simulation, int, int) bool { return false },
 	} {
 		t.Run(what, func(t *testing.T) {
 			is := is.New(t)
-			hurt, leftOut := map[bool]int{}, map[bool]int{}
+			unanswered, excludedHealthy := map[bool]int{}, map[bool]int{}
 			for _, shared := range []bool{false, true} {
 				for seed := range uint64(4) {
-					w := newWorld(seed, entries, endpoints, shared)
-					w.fails = func(entry, endpoint int) bool { return fails(w, entry, endpoint) }
-					w.play(10*time.Second, perSecond)
-					hurt[shared] += w.hurt
-					leftOut[shared] += w.leftOut
+					s := newSimulation(seed, entries, endpoints, shared)
+					s.fails = func(entry, endpoint int) bool { return fails(s, entry, endpoint) }
+					s.run(10*time.Second, perSecond)
+					unanswered[shared] += s.unanswered
+					excludedHealthy[shared] += s.excludedHealthy
 				}
 			}
-			t.Logf("unanswered: %d alone, %d shared; sound ones passed over: %d alone, %d shared, of %d requests", hurt[false], hurt[true], leftOut[false], leftOut[true], 4*10*perSecond)
-			is.True(float64(hurt[true]) <= 1.1*float64(hurt[false])+20)
-			is.True(leftOut[true] <= leftOut[false]+4*10*perSecond/40) // one choice in forty more at most
+			t.Logf("unanswered: %d without shared reports, %d with them; healthy endpoints passed over: %d without, %d with, of %d requests", unanswered[false], unanswered[true], excludedHealthy[false], excludedHealthy[true], 4*10*perSecond)
+			is.True(float64(unanswered[true]) <= 1.1*float64(unanswered[false])+20)
+			is.True(excludedHealthy[true] <= excludedHealthy[false]+4*10*perSecond/40) // at most one more selection in forty
 		})
 	}
 }
