--- a/endpoint/concurrency/concurrency.go
+++ b/endpoint/concurrency/concurrency.go
@@ -1,138 +1,142 @@
-// Package concurrency finds how many calls a pool of lock-step engines may run at
-// once so that their streams keep the pace that callers were promised.
+// Package concurrency computes how many calls a pool of lock-step engines may run
+// concurrently while its streams meet the promised inter-chunk gap.
 //
-// The time of a step grows with the calls that run, and all ranks take the same
-// time for it: so the pauses between the parts of any stream show the pace of the
-// whole pool, and a call too many makes every stream late. Up to the limit more
-// calls are served sooner; beyond it all are served late.
+// The step time grows with the number of running calls and is the same for all
+// ranks. The gaps between the chunks of any stream therefore show the step time of
+// the whole pool, and one call too many makes every stream late. Below the limit,
+// admitting more calls serves them sooner; above it, all calls are served late.
 //
-// The package is pure: times are arguments.
+// The package does not read the clock: times are arguments.
 package concurrency
 
 import "time"
 
-// Config says what pace is wanted.
+// Config configures a Limiter.
 type Config struct {
-	// Pause is the longest pause between two parts of a stream that is in time.
+	// MaxGap is the longest gap between two chunks of a stream that is not late.
 	MaxGap time.Duration
-	// Fixed is the part of a pause that does not grow with the calls; zero if it is
-	// not known.
+	// FixedGap is the part of a gap that does not grow with the number of calls; zero
+	// if unknown.
 	FixedGap time.Duration
-	// Slots is the number of calls that the pool can run at once.
+	// Slots is the number of calls that the pool can run concurrently.
 	Slots int
-	// First is the number of calls that the pool may run while it fills up; zero for all
-	// of its slots.
+	// InitialLimit is the number of calls that the pool may run while it fills up;
+	// zero for all of its slots.
 	InitialLimit float64
 }
 
 const (
-	// target is the part of the longest pause that the slowest recent steps are
-	// kept to; the rest is for the scatter.
-	target = 0.92
-	// fixedGuess stands in for an unknown Fixed, as a part of the measured pause.
-	fixedGuess = 0.3
-	// window is the time over which pauses are averaged, less than a step takes: the
-	// streams of a lock-step group get their parts together, so that a window holds the
-	// pauses of one step, and one late packet among them is not taken for the pace. A
-	// longer one mixes slow steps with others and lets the slow ones exceed the pause.
+	// targetRatio is the target for the slowest recent steps, as a fraction of MaxGap;
+	// the rest is a margin for variance.
+	targetRatio = 0.92
+	// defaultFixedRatio replaces an unknown FixedGap, as a fraction of the measured gap.
+	defaultFixedRatio = 0.3
+	// window is the time over which gaps are averaged. It is shorter than a step: the
+	// streams of a lock-step group receive their chunks at the same time, so that a
+	// window contains the gaps of one step, and a single late packet among them has
+	// little effect. A longer window would average slow steps with others, and the slow
+	// ones would then exceed MaxGap.
 	window = 40 * time.Millisecond
-	// memory is how many seconds a slow window counts. One late part makes a whole
-	// stream late, and pools have slow moments every few seconds (demand for experts
-	// jumps, and maps follow): so the limit is for those, not for the mean.
-	memory = 6
-	// stall is how many times the longest pause a pause must last to be taken for a
-	// stall, which no limit helps against.
-	stall = 3
-	// least is the part of the slots that is used whatever the pace: a pool that
-	// is slow for other reasons must not be left idle.
-	least = 0.3
-	// gain is how far the limit moves towards what is asked for, in each update.
+	// retentionSeconds is how many seconds a slow window counts. One late chunk makes a
+	// whole stream late, and pools have slow steps every few seconds, when expert demand
+	// shifts before the expert maps are rebalanced. The limit is therefore based on the
+	// slow steps, not on the mean.
+	retentionSeconds = 6
+	// stallRatio is the multiple of MaxGap above which a gap is treated as a stall, which
+	// no concurrency limit can prevent.
+	stallRatio = 3
+	// minSlotRatio is the fraction of the slots that may always be used: a pool that is
+	// slow for reasons other than load must not be left idle.
+	minSlotRatio = 0.3
+	// gain is the fraction of the distance to the desired limit by which each update
+	// moves the limit.
 	gain = 0.25
-	// filling is how long a pool that has just opened takes to fill up. Callers have waited
-	// for it and begin together: prompts are read in every pass of every engine, and its
-	// first map of experts is replaced within a second and a half. What steps show then says
-	// nothing about the pace after it: learning from them kept a group of 320 slots at 110
-	// calls for the six seconds after a restart, in which callers were refused.
-	filling = 1500 * time.Millisecond
-	// idle is the part of its slots below which a pool seen for the first time has just
-	// opened.
-	idle = 0.1
-	// settle is how long after a window the calls that ran in it are still being
-	// reported. While a pool fills up, what is known to run lags behind what makes its
-	// steps long: dividing by it at once took the pace of 87 calls for that of 32, and
-	// kept a pool at two fifths of its slots for the next six seconds.
-	settle = 300 * time.Millisecond
+	// fillTime is how long a pool that has just opened takes to fill up. The callers that
+	// waited for it start together, so that every step of every engine includes prefill,
+	// and its first expert map is replaced within 1.5 s. Step times in this period do not
+	// predict later ones: learning from them kept a group of 320 slots at 110 calls for
+	// the six seconds after a restart, in which callers were refused.
+	fillTime = 1500 * time.Millisecond
+	// idleRatio is the fraction of its slots below which a pool that is seen for the first
+	// time is assumed to have just opened.
+	idleRatio = 0.1
+	// reportDelay is how long after a window reports of the calls that ran in it may still
+	// arrive. While a pool fills up, the known number of calls lags behind the one that
+	// determines the step time. Dividing by the known number at once attributed the step
+	// time of 87 calls to 32, and kept a pool at two fifths of its slots for six seconds.
+	reportDelay = 300 * time.Millisecond
 )
 
-// Limiter keeps the limit of one pool. The zero Limiter has no limit below the
-// slots. It is not safe for concurrent use.
+// Limiter computes the concurrency limit of one pool. The zero Limiter is ready for
+// use. A Limiter is not safe for concurrent use.
 type Limiter struct {
-	// sum and count are of the pauses in the present window, which began at began.
-	sum   time.Duration
-	count int
-	began time.Duration
-	// closed are the windows whose calls are still being reported.
-	closed []span
-	// slopes are the parts of a pause, in seconds, that one call adds, in the two
-	// slowest windows of each of the last seconds; second is the latest of these. The
-	// lower of the two counts: a jump of demand makes several steps slow, and a step that
-	// was held for a moment is one.
-	slopes [memory][2]float64
-	second int64
-	limit  float64
-	// opened is when the pool was last known to run nothing.
-	opened time.Duration
+	// sum and count are those of the gaps in the current window, which began at
+	// windowStart.
+	sum         time.Duration
+	count       int
+	windowStart time.Duration
+	// pending contains the ended windows whose calls may still be reported.
+	pending []gapWindow
+	// slopes is the increase of the gap per call, in seconds, in the two slowest windows
+	// of each of the last seconds, the latest of which is latestSecond. Only the lower of
+	// the two is used: a shift in demand makes several steps slow, whereas a step that is
+	// delayed for another reason is a single one.
+	slopes       [retentionSeconds][2]float64
+	latestSecond int64
+	limit        float64
+	// openedAt is when the pool was last known to run no calls.
+	openedAt time.Duration
 }
 
-// span is a window that has ended.
-type span struct {
+// gapWindow is a window that has ended.
+type gapWindow struct {
 	mean  time.Duration
-	began time.Duration
-	ended time.Duration
-	// running is the highest number of calls known since it began.
+	start time.Duration
+	end   time.Duration
+	// running is the highest number of running calls known since the window ended.
 	running float64
 }
 
-// Observe notes a pause between two parts of a stream.
-func (l *Limiter) Observe(now, pause time.Duration, cfg Config) {
-	if cfg.MaxGap <= 0 || pause > stall*cfg.MaxGap {
+// Observe adds the gap between two chunks of a stream.
+func (l *Limiter) Observe(now, gap time.Duration, cfg Config) {
+	if cfg.MaxGap <= 0 || gap > stallRatio*cfg.MaxGap {
 		return
 	}
-	if now-l.began > window {
-		l.close(now)
+	if now-l.windowStart > window {
+		l.closeWindow(now)
 	}
-	l.sum += pause
+	l.sum += gap
 	l.count++
 }
 
-// close ends a window and begins the next.
-func (l *Limiter) close(now time.Duration) {
+// closeWindow ends the current window and begins the next one.
+func (l *Limiter) closeWindow(now time.Duration) {
 	if l.count > 0 {
-		l.closed = append(l.closed, span{mean: l.sum / time.Duration(l.count), began: l.began, ended: now})
+		l.pending = append(l.pending, gapWindow{mean: l.sum / time.Duration(l.count), start: l.windowStart, end: now})
 	}
-	l.sum, l.count, l.began = 0, 0, now
+	l.sum, l.count, l.windowStart = 0, 0, now
 }
 
-// take learns from the windows whose calls are known by now.
-func (l *Limiter) take(now time.Duration, cfg Config, running float64) {
-	l.forget(now)
-	waiting := l.closed[:0]
-	for _, w := range l.closed {
+// processWindows adds the slopes of the windows whose calls have been reported by now.
+func (l *Limiter) processWindows(now time.Duration, cfg Config, running float64) {
+	l.expireSlopes(now)
+	remaining := l.pending[:0]
+	for _, w := range l.pending {
 		w.running = max(w.running, running)
-		if now-w.ended < settle {
-			waiting = append(waiting, w)
+		if now-w.end < reportDelay {
+			remaining = append(remaining, w)
 			continue
 		}
-		if w.running >= 1 && w.began >= l.opened+filling {
-			l.note((w.mean - fixedOf(w.mean, cfg)).Seconds() / w.running)
+		if w.running >= 1 && w.start >= l.openedAt+fillTime {
+			l.addSlope((w.mean - fixedGap(w.mean, cfg)).Seconds() / w.running)
 		}
 	}
-	l.closed = waiting
+	l.pending = remaining
 }
 
-// note keeps a slope if it is one of the two highest of the present second.
-func (l *Limiter) note(slope float64) {
-	slot := &l.slopes[l.second%memory]
+// addSlope stores a slope if it is one of the two highest of the current second.
+func (l *Limiter) addSlope(slope float64) {
+	slot := &l.slopes[l.latestSecond%retentionSeconds]
 	switch {
 	case slope > slot[0]:
 		slot[0], slot[1] = slope, slot[0]
@@ -141,71 +145,71 @@
 	}
 }
 
-// steepest is the slope that the limit is for.
-func (l *Limiter) steepest() float64 {
-	steepest := 0.0
+// maxSlope returns the slope that determines the limit.
+func (l *Limiter) maxSlope() float64 {
+	highest := 0.0
 	for _, slot := range l.slopes {
-		steepest = max(steepest, slot[1])
+		highest = max(highest, slot[1])
 	}
-	return steepest
+	return highest
 }
 
-// forget drops the seconds that lie too far back.
-func (l *Limiter) forget(now time.Duration) {
-	present := int64(now / time.Second)
-	for l.second < present {
-		l.second = max(l.second+1, present-memory)
-		l.slopes[l.second%memory] = [2]float64{}
+// expireSlopes clears the slopes older than retentionSeconds.
+func (l *Limiter) expireSlopes(now time.Duration) {
+	current := int64(now / time.Second)
+	for l.latestSecond < current {
+		l.latestSecond = max(l.latestSecond+1, current-retentionSeconds)
+		l.slopes[l.latestSecond%retentionSeconds] = [2]float64{}
 	}
 }
 
-// fixedOf is the part of a pause that does not grow with the calls.
-func fixedOf(pause time.Duration, cfg Config) time.Duration {
-	if cfg.FixedGap > 0 && cfg.FixedGap < pause {
+// fixedGap returns the part of a gap that does not grow with the number of calls.
+func fixedGap(gap time.Duration, cfg Config) time.Duration {
+	if cfg.FixedGap > 0 && cfg.FixedGap < gap {
 		return cfg.FixedGap
 	}
-	return time.Duration(fixedGuess * float64(pause))
+	return time.Duration(defaultFixedRatio * float64(gap))
 }
 
-// Closed notes that the pool runs nothing at now. What it did before says nothing about
-// the pace after it.
+// Reset records that the pool runs no calls at now, and discards earlier observations,
+// which do not predict the step times after the pool reopens.
 func (l *Limiter) Reset(now time.Duration, cfg Config) {
-	l.opened, l.closed = now, l.closed[:0]
-	l.slopes = [memory][2]float64{}
+	l.openedAt, l.pending = now, l.pending[:0]
+	l.slopes = [retentionSeconds][2]float64{}
 	l.limit = float64(cfg.Slots)
 	if cfg.InitialLimit > 0 {
 		l.limit = min(cfg.InitialLimit, l.limit)
 	}
 }
 
-// meet sets up the limit of a pool that is seen for the first time. One that runs next to
-// nothing is taken for one that has just opened; another has been filled by others.
-func (l *Limiter) meet(now time.Duration, cfg Config, running float64) {
-	if running < idle*float64(cfg.Slots) {
+// initialize sets the limit of a pool that is seen for the first time. A nearly idle pool
+// is assumed to have just opened; otherwise other entries have already filled it.
+func (l *Limiter) initialize(now time.Duration, cfg Config, running float64) {
+	if running < idleRatio*float64(cfg.Slots) {
 		l.Reset(now, cfg)
 		return
 	}
-	l.opened = now - filling
+	l.openedAt = now - fillTime
 	l.limit = float64(cfg.Slots)
 }
 
-// Update returns the number of calls that the pool may run, given how many run
+// Update returns the number of calls that the pool may run, given the number running at
 // now.
 func (l *Limiter) Update(now time.Duration, cfg Config, running float64) float64 {
 	slots := float64(cfg.Slots)
 	if l.limit == 0 {
-		l.meet(now, cfg, running)
+		l.initialize(now, cfg, running)
 	}
-	l.take(now, cfg, running)
-	if now < l.opened+filling {
+	l.processWindows(now, cfg, running)
+	if now < l.openedAt+fillTime {
 		return l.limit
 	}
-	asked := slots
-	if slope := l.steepest(); slope > 0 && cfg.MaxGap > 0 {
-		wanted := time.Duration(target * float64(cfg.MaxGap))
-		asked = (wanted - fixedOf(wanted, cfg)).Seconds() / slope
+	desired := slots
+	if slope := l.maxSlope(); slope > 0 && cfg.MaxGap > 0 {
+		target := time.Duration(targetRatio * float64(cfg.MaxGap))
+		desired = (target - fixedGap(target, cfg)).Seconds() / slope
 	}
-	asked = min(max(asked, least*slots), slots)
-	l.limit += gain * (asked - l.limit)
+	desired = min(max(desired, minSlotRatio*slots), slots)
+	l.limit += gain * (desired - l.limit)
 	return l.limit
 }
--- a/endpoint/concurrency/opening_test.go
+++ b/endpoint/concurrency/opening_test.go
@@ -7,11 +7,11 @@
 	"github.com/matryer/is"
 )
 
-// TestAPoolThatOpensIsNotRemembered opens a pool before a crowd: for a second its first map
-// leaves a skew of 3.2 and every pass reads as many prompts as it can, which adds 50 ms; then
-// a good map is in force. The limit of the opening holds until it is filled, and two seconds
-// after it the pool may use most of its slots.
-func TestAPoolThatOpensIsNotRemembered(t *testing.T) {
+// TestOpeningDoesNotAffectLaterLimit opens a pool for which many callers wait. For about a
+// second its first expert map has a skew of 3.2, and prefill adds 50 ms to every step; then a
+// balanced map takes effect. The initial limit must hold until the pool is filled, and two
+// seconds later the pool must be allowed most of its slots.
+func TestOpeningDoesNotAffectLaterLimit(t *testing.T) {
 	is := is.New(t)
 	var l Limiter
 	cfg := config
@@ -19,14 +19,14 @@
 	l.Reset(0, cfg)
 	running, limit, most := 0.0, 0.0, 0.0
 	for now := 100 * time.Millisecond; now < 4*time.Second; now += 50 * time.Millisecond {
-		p := pool{fixed: 18.2, each: 5, skew: 1.1}
-		pause := p.pause(running)
+		p := pool{fixed: 18.2, perCall: 5, skew: 1.1}
+		gap := p.gap(running)
 		if now < 1200*time.Millisecond {
 			p.skew = 3.2
-			pause = p.pause(running) + 50*time.Millisecond
+			gap = p.gap(running) + 50*time.Millisecond
 			most = max(most, limit)
 		}
-		l.Observe(now, pause, cfg)
+		l.Observe(now, gap, cfg)
 		limit = l.Update(now, cfg, running)
 		running += 0.3 * (min(limit, 130) - running)
 	}
@@ -34,9 +34,9 @@
 	is.True(limit > 0.8*float64(cfg.Slots))
 }
 
-// TestAFilledPoolIsNotTakenForOneThatOpens starts an entry beside others that have filled the
-// pool.
-func TestAFilledPoolIsNotTakenForOneThatOpens(t *testing.T) {
+// TestFilledPoolIsNotTreatedAsOpening covers an entry that starts when other entries have
+// already filled the pool.
+func TestFilledPoolIsNotTreatedAsOpening(t *testing.T) {
 	is := is.New(t)
 	cfg := config
 	cfg.InitialLimit = 70
