--- a/endpoint/lockstep/lockstep.go
+++ b/endpoint/lockstep/lockstep.go
@@ -1,13 +1,13 @@
-// Package lockstep knows which endpoints run their steps together, and how each such
-// group does as one entry sees it: whether it runs, whether it has come to a stop, and
-// whether its streams keep the pace that callers were promised.
+// Package lockstep tracks which endpoints run their steps in lock-step, and the health of
+// each such group as seen by one entry: whether it makes progress, whether it has stalled,
+// and whether its streams meet the promised inter-chunk gap.
 //
-// All ranks of a group take the same time for a step, so that one rank that is slow,
-// frozen or gone holds up every call of its group and none of another. Calls are
-// therefore placed by group first and by rank second.
+// All ranks of a group take the same time for a step. A rank that is slow, frozen or gone
+// therefore delays every call of its group, but none of other groups. Calls are placed by
+// group first and by rank second.
 //
-// Times are durations since an arbitrary start, monotonic. The Tracker is safe for
-// concurrent use; its lock is a leaf.
+// Times are monotonic durations since an arbitrary start. The Tracker is safe for
+// concurrent use; no other lock is acquired while its lock is held.
 package lockstep
 
 import (
@@ -15,22 +15,22 @@
 	"time"
 )
 
-// State is how a group does.
+// State is the health of a group.
 type State int
 
-// The states, from the best to the worst.
+// The states, ordered from best to worst.
 const (
-	// Paced groups keep the pace, as far as is known.
+	// Paced groups meet the promised gap, as far as is known.
 	Paced State = iota
-	// Behind groups run, and all their streams are late.
+	// Behind groups run steps, but all their streams are late.
 	Behind
-	// Stalled groups have stopped in the middle of their work.
+	// Stalled groups have calls in flight but make no progress.
 	Stalled
-	// Closed groups say themselves that they run no steps.
+	// Closed groups report that they run no steps.
 	Closed
 )
 
-// String returns the name of the state.
+// String implements fmt.Stringer.
 func (s State) String() string {
 	names := [...]string{"paced", "behind", "stalled", "closed"}
 	if s < 0 || int(s) >= len(names) {
@@ -40,62 +40,63 @@
 }
 
 const (
-	// stallPauses is how many of the longest pauses that callers were promised a group
-	// with calls in flight is silent before it counts as stalled: a step that is held
-	// for a moment is no stall, and a second silence of the same call is.
-	stallPauses = 2.5
-	// leastStall is the shortest such silence; it leaves a prompt the time to be read.
-	leastStall = 300 * time.Millisecond
-	// paceMemory is the time constant of the mean pause: some ten steps, so that one
-	// long step is not taken for the pace of the group.
-	paceMemory = 500 * time.Millisecond
-	// paceTTL is how long a mean pause counts that nothing has been added to. A group
-	// without calls is tried again after it.
-	paceTTL = 2 * time.Second
-	// recovered is the part of the longest pause below which a group that was behind
-	// keeps the pace again.
-	recovered = 0.8
+	// stallGaps is the time without progress after which a group with calls in flight
+	// counts as stalled, as a multiple of the longest promised gap. One delayed step is
+	// not a stall; a second such delay of the same call is.
+	stallGaps = 2.5
+	// minStallTime is the minimum of that time; it allows for the prefill of a prompt.
+	minStallTime = 300 * time.Millisecond
+	// gapTimeConstant is the time constant of the mean gap: about ten steps, so that one
+	// long step does not determine it.
+	gapTimeConstant = 500 * time.Millisecond
+	// gapTTL is how long the mean gap is valid after its last update. After that, a group
+	// that was behind and has no calls is tried again.
+	gapTTL = 2 * time.Second
+	// recoveryRatio is the fraction of the longest promised gap below which a group that
+	// was behind counts as paced again.
+	recoveryRatio = 0.8
 )
 
-// Tracker keeps the groups of all endpoints.
+// Tracker tracks the groups of all endpoints.
 type Tracker struct {
 	mu sync.Mutex
-	// members holds the group of each address.
+	// members maps each address to its group.
 	members map[string]string
 	groups  map[string]*group
 }
 
-// group is one group.
+// group is the state of one lock-step group.
 type group struct {
 	// size is the number of addresses that belong to the group.
 	size int
-	// ranks are the members that say anything, and whether they say that the group runs
-	// no steps.
-	ranks map[string]bool
-	// calls is the number of this entry's calls in flight.
-	calls int
-	// heard is when one of them last showed that the group runs, or when the first of
+	// closedReports contains, for each member with a current report, whether it reports
+	// that the group runs no steps.
+	closedReports map[string]bool
+	// inFlight is the number of this entry's calls in flight.
+	inFlight int
+	// lastProgress is when a chunk of one of these calls last arrived, or when the first of
 	// them was sent.
-	heard time.Duration
-	// pause is the mean pause, and paused when it was last added to.
-	pause  time.Duration
-	paused time.Duration
-	behind bool
-	// latest and before are the pauses of the two latest passes, seen at passed.
-	latest, before, passed time.Duration
+	lastProgress time.Duration
+	// meanGap is the mean gap between chunks, and meanGapAt the time of its last update.
+	meanGap   time.Duration
+	meanGapAt time.Duration
+	behind    bool
+	// lastStep and previousStep are the gaps of the two latest steps; lastStepAt is when
+	// the first chunk of the latest one arrived.
+	lastStep, previousStep, lastStepAt time.Duration
 }
 
-// New returns a tracker that knows of no group.
+// New returns an empty tracker.
 func New() *Tracker { return &Tracker{members: map[string]string{}, groups: map[string]*group{}} }
 
-// Report notes of which group the engine at an address says it is a rank, and whether
-// it says that the group is closed. An empty group is none. The address is that of the
-// engine's place; its id is another one after each start.
+// Report records the group that the engine at an address reports to belong to, and whether
+// it reports that the group is closed. An empty name means that it belongs to no group.
+// Engines are identified by address because their id changes with each restart.
 func (t *Tracker) Report(addr, name string, closed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.members[addr] != name {
-		t.leave(addr)
+		t.removeMember(addr)
 	}
 	if name == "" {
 		return
@@ -105,29 +106,29 @@
 		t.members[addr] = name
 		g.size++
 	}
-	g.ranks[addr] = closed
+	g.closedReports[addr] = closed
 }
 
-// Silent notes that nobody speaks for the engine at an address any more. What it has said
-// of its group's being closed is dropped, so that calls may find out; where it belongs
-// is kept.
+// ClearReport records that reports about the engine at an address have ceased. Its last
+// report of whether the group is closed is discarded, so that calls can probe the group; its
+// membership is kept.
 func (t *Tracker) ClearReport(addr string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if g := t.groups[t.members[addr]]; g != nil {
-		delete(g.ranks, addr)
+		delete(g.closedReports, addr)
 	}
 }
 
-// Forget drops what is known of an address.
+// Forget discards the state of an address.
 func (t *Tracker) Forget(addr string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.leave(addr)
+	t.removeMember(addr)
 }
 
-// leave takes an address out of its group; the lock is held.
-func (t *Tracker) leave(addr string) {
+// removeMember removes an address from its group. The caller must hold the lock.
+func (t *Tracker) removeMember(addr string) {
 	name, known := t.members[addr]
 	if !known {
 		return
@@ -135,36 +136,35 @@
 	delete(t.members, addr)
 	g := t.groups[name]
 	g.size--
-	delete(g.ranks, addr)
-	t.drop(name, g)
+	delete(g.closedReports, addr)
+	t.dropIfUnused(name, g)
 }
 
-// drop forgets a group that nobody belongs to and that has no calls; the lock is held.
-func (t *Tracker) drop(name string, g *group) {
-	if g.size == 0 && g.calls == 0 {
+// dropIfUnused discards a group that has no members and no calls. The caller must hold the lock.
+func (t *Tracker) dropIfUnused(name string, g *group) {
+	if g.size == 0 && g.inFlight == 0 {
 		delete(t.groups, name)
 	}
 }
 
-// group returns the record of a group, made at its first use; the lock is held.
+// group returns the state of a group, creating it if necessary. The caller must hold the lock.
 func (t *Tracker) group(name string) *group {
 	g := t.groups[name]
 	if g == nil {
-		g = &group{ranks: map[string]bool{}}
+		g = &group{closedReports: map[string]bool{}}
 		t.groups[name] = g
 	}
 	return g
 }
 
-// Of returns the group of the engine at an address, empty if it is not known to have
-// one.
+// GroupOf returns the group of the engine at an address, or an empty string if none is known.
 func (t *Tracker) GroupOf(addr string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.members[addr]
 }
 
-// Sent notes a call to a group.
+// Sent records that a call was sent to a group.
 func (t *Tracker) Sent(now time.Duration, name string) {
 	if name == "" {
 		return
@@ -172,124 +172,126 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := t.group(name)
-	if g.calls == 0 {
-		g.heard = now
+	if g.inFlight == 0 {
+		g.lastProgress = now
 	}
-	g.calls++
+	g.inFlight++
 }
 
-// Done notes the end of a call that was sent.
+// Done records the end of a call for which Sent was called.
 func (t *Tracker) Done(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if g := t.groups[name]; g != nil {
-		g.calls = max(g.calls-1, 0)
-		t.drop(name, g)
+		g.inFlight = max(g.inFlight-1, 0)
+		t.dropIfUnused(name, g)
 	}
 }
 
-// closed reports whether most of the ranks that say anything say that the group runs no
-// steps. All ranks of a group say the same of it: one that does not has been cut off, or
-// its host has, and must not close the group for everybody.
-func (g *group) closed() bool {
+// reportedClosed reports whether a majority of the ranks with a current report say that the
+// group runs no steps. All ranks of a group normally agree on this. A rank that disagrees has
+// been disconnected, or its host has, and must not close the group for all callers.
+func (g *group) reportedClosed() bool {
 	count := 0
-	for _, closed := range g.ranks {
+	for _, closed := range g.closedReports {
 		if closed {
 			count++
 		}
 	}
-	return 2*count > len(g.ranks)
+	return 2*count > len(g.closedReports)
 }
 
-// Calls returns the number of this entry's calls in flight in a group.
+// InFlight returns the number of this entry's calls in flight in a group.
 func (t *Tracker) InFlight(name string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if g := t.groups[name]; g != nil {
-		return g.calls
+		return g.inFlight
 	}
 	return 0
 }
 
-// Part notes a part of an answer. A pause of zero is that of a first part.
-func (t *Tracker) Chunk(now time.Duration, name string, pause, longest time.Duration) {
+// Chunk records the arrival of a chunk of a stream, gap after the previous one. The gap of a
+// first chunk is zero. maxGap is the longest promised gap.
+func (t *Tracker) Chunk(now time.Duration, name string, gap, maxGap time.Duration) {
 	if name == "" {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := t.group(name)
-	g.heard = max(g.heard, now)
-	if pause <= 0 || longest <= 0 {
+	g.lastProgress = max(g.lastProgress, now)
+	if gap <= 0 || maxGap <= 0 {
 		return
 	}
-	g.pass(now, pause)
-	g.take(now, pause)
+	g.addStep(now, gap)
+	g.addGap(now, gap)
 	switch {
-	case g.pause > longest:
+	case g.meanGap > maxGap:
 		g.behind = true
-	case g.pause < time.Duration(recovered*float64(longest)):
+	case g.meanGap < time.Duration(recoveryRatio*float64(maxGap)):
 		g.behind = false
 	}
 }
 
-// pass notes the pause of a pass. The streams of a group get their parts together: of those
-// that come within one pass the shortest counts, which no link has held up.
-func (g *group) pass(now, pause time.Duration) {
-	if now-g.passed > pause/2 {
-		g.before, g.latest, g.passed = g.latest, pause, now
+// addStep records the gap of a step. The streams of a group receive their chunks at the same
+// time; of the gaps observed within one step the shortest is used, which no link has delayed.
+func (g *group) addStep(now, gap time.Duration) {
+	if now-g.lastStepAt > gap/2 {
+		g.previousStep, g.lastStep, g.lastStepAt = g.lastStep, gap, now
 		return
 	}
-	g.latest = min(g.latest, pause)
+	g.lastStep = min(g.lastStep, gap)
 }
 
-// take adds a pause to the mean. All streams of a group pause alike, so the time since
-// the last pause, and not their number, is what the newest one counts for.
-func (g *group) take(now, pause time.Duration) {
-	since := now - g.paused
-	g.paused = now
-	if g.pause == 0 || since > paceTTL {
-		g.pause = pause
+// addGap adds a gap to the mean. All streams of a group have the same gaps, so each is weighted
+// by the time since the last update; otherwise the weight would depend on the number of streams.
+func (g *group) addGap(now, gap time.Duration) {
+	since := now - g.meanGapAt
+	g.meanGapAt = now
+	if g.meanGap == 0 || since > gapTTL {
+		g.meanGap = gap
 		return
 	}
-	weight := min(float64(since)/float64(paceMemory), 1)
-	g.pause += time.Duration(weight * float64(pause-g.pause))
+	weight := min(float64(since)/float64(gapTimeConstant), 1)
+	g.meanGap += time.Duration(weight * float64(gap-g.meanGap))
 }
 
-// State returns how a group does, longest being the pause that callers were promised.
-func (t *Tracker) State(now time.Duration, name string, longest time.Duration) State {
+// State returns the state of a group, where maxGap is the longest promised gap.
+func (t *Tracker) State(now time.Duration, name string, maxGap time.Duration) State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := t.groups[name]
 	if name == "" || g == nil {
 		return Paced
 	}
-	silence := max(time.Duration(stallPauses*float64(longest)), leastStall)
+	stallTime := max(time.Duration(stallGaps*float64(maxGap)), minStallTime)
 	switch {
-	case g.closed():
+	case g.reportedClosed():
 		return Closed
-	case g.calls > 0 && now-g.heard > silence:
+	case g.inFlight > 0 && now-g.lastProgress > stallTime:
 		return Stalled
-	case g.behind && now-g.paused <= paceTTL:
+	case g.behind && now-g.meanGapAt <= gapTTL:
 		return Behind
 	}
 	return Paced
 }
 
-// Silence returns how long a group with calls in flight has been silent.
+// TimeSinceProgress returns the time since a group with calls in flight last made progress; zero if
+// it has no calls in flight.
 func (t *Tracker) TimeSinceProgress(now time.Duration, name string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := t.groups[name]
-	if name == "" || g == nil || g.calls == 0 {
+	if name == "" || g == nil || g.inFlight == 0 {
 		return 0
 	}
-	return now - g.heard
+	return now - g.lastProgress
 }
 
-// LatestPasses is how long each of the two latest passes of a group took at least, as this entry's
-// calls show it; zero if there are none. A single long pass, as at a switch of maps, does
-// not show in it.
+// RecentStepTime returns the shorter of the two latest step times of a group, as observed by this
+// entry's calls; zero if there are none. A single long step, as when the expert map is switched,
+// does not affect it.
 func (t *Tracker) RecentStepTime(name string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -297,5 +299,5 @@
 	if g == nil {
 		return 0
 	}
-	return min(g.latest, g.before)
+	return min(g.lastStep, g.previousStep)
 }
