--- a/endpoint/outlier/baseline.go
+++ b/endpoint/outlier/baseline.go
@@ -6,46 +6,46 @@
 )
 
 const (
-	// minPeers is the least number of members with a measured latency for a
-	// verdict on latency.
+	// minPeers is the minimum number of members with a measured latency that is
+	// required for a verdict on latency.
 	minPeers = 3
-	// deviationScale makes a median absolute deviation (MAD) into the standard
+	// deviationScale converts a median absolute deviation (MAD) to the standard
 	// deviation of a normal distribution.
 	deviationScale = 1.4826
 )
 
-// norm is what is usual in a peer set for the samples of a source.
-type norm struct {
-	// latency is the median of the members' log latency, spread its standard
-	// deviation, timed the number of members that have one.
-	latency, spread float64
-	timed           int
-	// failures is the median share of failures.
-	failures float64
+// baseline describes the typical member of a peer set, for samples of one source.
+type baseline struct {
+	// latency is the median of the members' log latencies, stdDev their standard
+	// deviation, timedMembers the number of members with a measured latency.
+	latency, stdDev float64
+	timedMembers    int
+	// failureShare is the median share of failures.
+	failureShare float64
 }
 
-// norm computes the norm over the last windows of all members.
-func (s *peerSet) norm(from source) norm {
+// baseline computes the baseline from the last windows of all members.
+func (s *peerSet) baseline(from source) baseline {
 	var latencies, failures []float64
 	for _, m := range s.members {
-		t := &m.tracks[from]
-		if !t.judged {
+		t := &m.stats[from]
+		if !t.hasWindow {
 			continue
 		}
-		failures = append(failures, t.failures)
-		if t.timed {
+		failures = append(failures, t.failureShare)
+		if t.hasLatency {
 			latencies = append(latencies, t.latency)
 		}
 	}
-	n := norm{timed: len(latencies), latency: median(latencies), failures: median(failures)}
+	base := baseline{timedMembers: len(latencies), latency: median(latencies), failureShare: median(failures)}
 	for i, v := range latencies {
-		latencies[i] = math.Abs(v - n.latency)
+		latencies[i] = math.Abs(v - base.latency)
 	}
-	n.spread = deviationScale * median(latencies)
-	return n
+	base.stdDev = deviationScale * median(latencies)
+	return base
 }
 
-// median sorts the values and returns their median; 0 for none.
+// median sorts the values and returns their median; 0 if there are none.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/endpoint/outlier/detector.go
+++ b/endpoint/outlier/detector.go
@@ -15,44 +15,44 @@
 	DefaultMinSamples = 8
 	// DefaultSlowRatio is the default of Config.SlowRatio.
 	DefaultSlowRatio = 2.0
-	// DefaultNoise is the default of Config.Noise.
+	// DefaultStdDevFactor is the default of Config.StdDevFactor.
 	DefaultStdDevFactor = 3.0
 	// DefaultFailureExcess is the default of Config.FailureExcess.
 	DefaultFailureExcess = 0.4
-	// DefaultStrikes is the default of Config.Strikes.
+	// DefaultConsecutiveBad is the default of Config.ConsecutiveBad.
 	DefaultConsecutiveBad = 3
-	// DefaultEjection is the default of Config.Ejection.
+	// DefaultBaseEjectionTime is the default of Config.BaseEjectionTime.
 	DefaultBaseEjectionTime = 10 * time.Second
-	// DefaultMaxEjection is the default of Config.MaxEjection.
+	// DefaultMaxEjectionTime is the default of Config.MaxEjectionTime.
 	DefaultMaxEjectionTime = 5 * time.Minute
 	// DefaultSlowStart is the default of Config.SlowStart.
 	DefaultSlowStart = 15 * time.Second
 )
 
-// Config sets the detector up; the zero value takes the defaults.
+// Config configures a Detector. The zero value selects the defaults.
 type Config struct {
-	// MaxEjected is the largest share of a peer set that may be out of rotation,
-	// between 0 and 1; the number of endpoints is rounded down.
+	// MaxEjected is the largest share of a peer set that may be ejected, between
+	// 0 and 1; the number of endpoints is rounded down.
 	MaxEjected float64
-	// MinSamples is the number of samples for one verdict.
+	// MinSamples is the number of samples required for a verdict.
 	MinSamples int
-	// SlowRatio is how many times the peers' median an endpoint has to take to
-	// be slow.
+	// SlowRatio is the multiple of the peers' median latency above which an
+	// endpoint is slow. It must also exceed the limit set by StdDevFactor.
 	SlowRatio float64
-	// Noise is how many of the peers' standard deviations (of the logarithm of
-	// the latency, estimated from the median absolute deviation) an endpoint has to be
-	// above the median to be slow.
+	// StdDevFactor is the number of standard deviations above the peers' median
+	// at which an endpoint is slow. It applies to the logarithm of the latency;
+	// the standard deviation is estimated from the median absolute deviation.
 	StdDevFactor float64
-	// FailureExcess is by how much the share of failed samples has to exceed
-	// the peers' median share.
+	// FailureExcess is the amount by which an endpoint's share of failed samples
+	// must exceed the peers' median share for a bad verdict.
 	FailureExcess float64
-	// Strikes is the number of bad verdicts in a row that eject an endpoint;
-	// one is enough during its slow start.
+	// ConsecutiveBad is the number of consecutive bad verdicts after which an
+	// endpoint is ejected; during slow start one is enough.
 	ConsecutiveBad int
-	// Ejection is how long the first ejection lasts. Each further one lasts
-	// twice as long, up to MaxEjection.
+	// BaseEjectionTime is the duration of the first ejection. Each consecutive
+	// ejection lasts twice as long as the one before, up to MaxEjectionTime.
 	BaseEjectionTime, MaxEjectionTime time.Duration
-	// SlowStart is how long an endpoint takes back to its full share.
+	// SlowStart is the time over which a returning endpoint regains its full share.
 	SlowStart time.Duration
 }
 
@@ -75,21 +75,21 @@
 	}
 }
 
-// Detector judges endpoints against their peers.
+// Detector detects endpoints that are outliers among their peers.
 type Detector struct {
-	mu      sync.RWMutex
-	config  Config
-	members map[string]*member
-	sets    map[string]*peerSet
-	names   []string
+	mu       sync.RWMutex
+	config   Config
+	members  map[string]*member
+	sets     map[string]*peerSet
+	setNames []string
 }
 
-// peerSet are endpoints that are comparable.
+// peerSet is a set of comparable endpoints.
 type peerSet struct {
 	members []*member
 }
 
-// New returns a detector.
+// New returns an empty detector.
 func New(cfg Config) *Detector {
 	return &Detector{
 		config:  cfg.withDefaults(),
@@ -98,26 +98,26 @@
 	}
 }
 
-// Observe takes in a sample of endpoint id of the given peer set. The peer set
-// of a rank is its group; of a stand-alone endpoint its pool and model.
+// Observe adds a sample of endpoint id in the given peer set. The peer set of a
+// rank is its group; that of a stand-alone endpoint is its pool and model.
 func (d *Detector) Observe(_ time.Duration, peers, id string, s Sample) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.member(peers, id).add(s)
 }
 
-// Tick judges the endpoints that have enough samples and ends ejections whose
-// time is up. Call it about once a second.
+// Tick evaluates the endpoints that have enough samples and ends ejections whose
+// time has passed. It should be called about once per second.
 func (d *Detector) Tick(now time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, name := range d.names {
-		d.judge(now, d.sets[name])
+	for _, name := range d.setNames {
+		d.evaluate(now, d.sets[name])
 	}
 }
 
-// Share returns the share of its normal traffic that the endpoint may take: 0
-// while it is ejected, growing to 1 during its slow start, otherwise 1.
+// Share returns the share of its normal traffic that the endpoint may receive: 0
+// while it is ejected, rising to 1 during slow start, otherwise 1.
 func (d *Detector) Share(now time.Duration, id string) float64 {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -128,34 +128,35 @@
 	return m.share(now, d.config.SlowStart)
 }
 
-// Ejections returns how often the endpoint has been ejected since it was last
-// forgotten.
+// Ejections returns how often the endpoint has been ejected since the last call
+// of Forget for it.
 func (d *Detector) Ejections(id string) int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	if m := d.members[id]; m != nil {
-		return m.total
+		return m.totalEjections
 	}
 	return 0
 }
 
-// Forget drops what is known of an endpoint that has left the table.
+// Forget discards the state of an endpoint that has left the table.
 func (d *Detector) Forget(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if m := d.members[id]; m != nil {
-		d.leave(m)
+		d.removeMember(m)
 	}
 }
 
-// member returns the member, moved to the peer set if it was in another one.
+// member returns the member for the endpoint in the peer set, creating it if
+// necessary. A member of another peer set is replaced by a new one.
 func (d *Detector) member(peers, id string) *member {
 	m := d.members[id]
 	if m != nil && m.peers == peers {
 		return m
 	}
 	if m != nil {
-		d.leave(m)
+		d.removeMember(m)
 	}
 	m = &member{id: id, peers: peers}
 	d.members[id] = m
@@ -163,14 +164,15 @@
 	if set == nil {
 		set = &peerSet{}
 		d.sets[peers] = set
-		d.names = append(d.names, peers)
+		d.setNames = append(d.setNames, peers)
 	}
 	set.members = append(set.members, m)
 	return m
 }
 
-// leave takes a member out of its peer set, and an empty set out of the map.
-func (d *Detector) leave(m *member) {
+// removeMember removes a member from its peer set, and deletes the set if it is
+// then empty.
+func (d *Detector) removeMember(m *member) {
 	delete(d.members, m.id)
 	set := d.sets[m.peers]
 	set.members = slices.DeleteFunc(set.members, func(o *member) bool { return o == m })
@@ -178,61 +180,61 @@
 		return
 	}
 	delete(d.sets, m.peers)
-	d.names = slices.DeleteFunc(d.names, func(name string) bool { return name == m.peers })
+	d.setNames = slices.DeleteFunc(d.setNames, func(name string) bool { return name == m.peers })
 }
 
-// judge gives a verdict on each member of the set that has enough samples.
-func (d *Detector) judge(now time.Duration, set *peerSet) {
+// evaluate gives a verdict on each member of the set that has enough samples.
+func (d *Detector) evaluate(now time.Duration, set *peerSet) {
 	for _, m := range set.members {
-		for i := range m.tracks {
-			m.tracks[i].closeWindow(d.config.MinSamples)
+		for i := range m.stats {
+			m.stats[i].closeWindow(d.config.MinSamples)
 		}
 		m.expire(now)
 	}
 	for from := range sources {
-		d.judgeSource(now, set, from)
+		d.evaluateSource(now, set, from)
 	}
 }
 
-// judgeSource gives the verdicts on the samples of one source.
-func (d *Detector) judgeSource(now time.Duration, set *peerSet, from source) {
-	norm := set.norm(from)
+// evaluateSource gives the verdicts on the samples of one source.
+func (d *Detector) evaluateSource(now time.Duration, set *peerSet, from source) {
+	base := set.baseline(from)
 	for _, m := range set.members {
-		t := &m.tracks[from]
+		t := &m.stats[from]
 		if !t.pending {
 			continue
 		}
 		t.pending = false
-		d.apply(now, set, m, from, d.bad(t, norm))
+		d.applyVerdict(now, set, m, from, d.isOutlier(t, base))
 	}
 }
 
-// bad reports whether the last window is out of line with the peers.
-func (d *Detector) bad(t *track, n norm) bool {
-	if t.failures > n.failures+d.config.FailureExcess {
+// isOutlier reports whether the last window deviates from the baseline.
+func (d *Detector) isOutlier(t *sampleStats, base baseline) bool {
+	if t.failureShare > base.failureShare+d.config.FailureExcess {
 		return true
 	}
-	if !t.timed || n.timed < minPeers {
+	if !t.hasLatency || base.timedMembers < minPeers {
 		return false
 	}
-	margin := max(math.Log(d.config.SlowRatio), d.config.StdDevFactor*n.spread)
-	return t.latency > n.latency+margin
+	margin := max(math.Log(d.config.SlowRatio), d.config.StdDevFactor*base.stdDev)
+	return t.latency > base.latency+margin
 }
 
-// apply acts on a verdict.
-func (d *Detector) apply(now time.Duration, set *peerSet, m *member, from source, bad bool) {
+// applyVerdict applies a verdict to the member, which may eject it.
+func (d *Detector) applyVerdict(now time.Duration, set *peerSet, m *member, from source, bad bool) {
 	if !bad {
 		m.recordGood(now, d.config.SlowStart, from)
 		return
 	}
-	strikes := &m.tracks[from].strikes
-	*strikes++
+	consecutiveBad := &m.stats[from].consecutiveBad
+	*consecutiveBad++
 	if m.ejected {
-		// It still reports, and is still bad: no return yet.
-		m.until = max(m.until, now+d.config.BaseEjectionTime)
+		// Still bad according to its reports: extend the ejection.
+		m.ejectedUntil = max(m.ejectedUntil, now+d.config.BaseEjectionTime)
 		return
 	}
-	if *strikes < d.config.ConsecutiveBad && !m.returning(now, d.config.SlowStart) {
+	if *consecutiveBad < d.config.ConsecutiveBad && !m.returning(now, d.config.SlowStart) {
 		return
 	}
 	if !set.mayEject(d.config.MaxEjected) {
@@ -241,14 +243,14 @@
 	m.eject(now, d.config.BaseEjectionTime, d.config.MaxEjectionTime)
 }
 
-// mayEject reports whether one more ejection keeps the stated share.
+// mayEject reports whether one more ejection keeps the ejected share within share.
 func (s *peerSet) mayEject(share float64) bool {
-	out := 0
+	ejected := 0
 	for _, m := range s.members {
 		if m.ejected {
-			out++
+			ejected++
 		}
 	}
 	const rounding = 1e-9
-	return float64(out+1) <= share*float64(len(s.members))+rounding
+	return float64(ejected+1) <= share*float64(len(s.members))+rounding
 }
--- a/endpoint/outlier/detector_test.go
+++ b/endpoint/outlier/detector_test.go
@@ -8,10 +8,11 @@
 	"github.com/matryer/is"
 )
 
-const usual = 5 * time.Millisecond
+const normalLatency = 5 * time.Millisecond
 
-// drive gives ranks samples for a span; latency says what each one takes.
-func drive(d *Detector, start, span time.Duration, ranks int, latency func(rank int) time.Duration) time.Duration {
+// observe adds samples for the given span and number of ranks, with the latency that
+// the function returns for each rank. It returns the end of the span.
+func observe(d *Detector, start, span time.Duration, ranks int, latency func(rank int) time.Duration) time.Duration {
 	end := start + span
 	for now := start; now < end; now += 250 * time.Millisecond {
 		for r := range ranks {
@@ -24,8 +25,8 @@
 
 func id(rank int) string { return fmt.Sprint("rank-", rank) }
 
-// out is the number of ranks out of rotation.
-func out(d *Detector, now time.Duration, ranks int) int {
+// ejected returns the number of ranks out of rotation.
+func ejected(d *Detector, now time.Duration, ranks int) int {
 	n := 0
 	for r := range ranks {
 		if d.Share(now, id(r)) == 0 {
@@ -35,41 +36,41 @@
 	return n
 }
 
-// TestStalledRankLeavesAndReturns holds that a rank much slower than its peers
-// leaves rotation, stays out while it is slow, and returns by slow start; and
-// that a peak that slows all of them ejects none.
-func TestStalledRankLeavesAndReturns(t *testing.T) {
+// TestSlowRankIsEjectedAndReturns checks that a rank much slower than its peers is
+// ejected, stays ejected while it is slow, and returns with a slow start, and that a
+// load peak that slows all ranks ejects none.
+func TestSlowRankIsEjectedAndReturns(t *testing.T) {
 	is := is.New(t)
-	// An ejection that ends between two verdicts.
+	// The ejection time is chosen to end between two verdicts.
 	d := New(Config{BaseEjectionTime: 9 * time.Second})
-	now := drive(d, 0, 10*time.Second, 16, func(int) time.Duration { return usual })
-	now = drive(d, now, 10*time.Second, 16, func(int) time.Duration { return 6 * usual })
-	is.Equal(out(d, now, 16), 0) // all are slow: no outlier
+	now := observe(d, 0, 10*time.Second, 16, func(int) time.Duration { return normalLatency })
+	now = observe(d, now, 10*time.Second, 16, func(int) time.Duration { return 6 * normalLatency })
+	is.Equal(ejected(d, now, 16), 0) // all are slow: no outlier
 
-	stalled := func(r int) time.Duration {
+	slowRank := func(r int) time.Duration {
 		if r == 3 {
-			return 6 * usual
+			return 6 * normalLatency
 		}
-		return usual
+		return normalLatency
 	}
-	now = drive(d, now, 10*time.Second, 16, stalled)
+	now = observe(d, now, 10*time.Second, 16, slowRank)
 	for range 60 {
 		is.Equal(d.Share(now, id(3)), 0.0) // no return while it still reports slow steps
-		now = drive(d, now, time.Second, 16, stalled)
+		now = observe(d, now, time.Second, 16, slowRank)
 	}
-	is.Equal(out(d, now, 16), 1)
+	is.Equal(ejected(d, now, 16), 1)
 
 	for d.Share(now, id(3)) == 0 {
-		now = drive(d, now, time.Second, 16, func(int) time.Duration { return usual })
+		now = observe(d, now, time.Second, 16, func(int) time.Duration { return normalLatency })
 	}
 	is.True(d.Share(now, id(3)) < 0.3) // slow start
-	now = drive(d, now, DefaultSlowStart, 16, func(int) time.Duration { return usual })
+	now = observe(d, now, DefaultSlowStart, 16, func(int) time.Duration { return normalLatency })
 	is.Equal(d.Share(now, id(3)), 1.0)
 }
 
-// TestNeverMoreThanTheStatedShare holds the floor: however many fail, at most
-// a third of the peers is out of rotation.
-func TestNeverMoreThanTheStatedShare(t *testing.T) {
+// TestEjectedShareIsLimited checks that at most a third of the peers is ejected,
+// however many fail.
+func TestEjectedShareIsLimited(t *testing.T) {
 	is := is.New(t)
 	for _, ranks := range []int{2, 3, 16} {
 		d := New(Config{})
@@ -78,20 +79,20 @@
 		for range 120 {
 			for r := range ranks {
 				for range DefaultMinSamples {
-					d.Observe(now, "group", id(r), Sample{Failed: r < (ranks-1)/2, Latency: usual})
+					d.Observe(now, "group", id(r), Sample{Failed: r < (ranks-1)/2, Latency: normalLatency})
 				}
 			}
 			now += time.Second
 			d.Tick(now)
-			most = max(most, out(d, now, ranks))
+			most = max(most, ejected(d, now, ranks))
 		}
 		is.Equal(most, ranks/3)
 	}
 }
 
-// TestReportsDoNotHideFailures holds that an endpoint is ejected for calls that
-// fail though its reports are good and many, and for slow steps though its calls
-// go well; and that the times of calls are not compared with those of reports.
+// TestReportsDoNotHideFailures checks that an endpoint is ejected for failing calls
+// despite many good reports, and for slow steps despite successful calls, and that
+// the latencies of calls are not compared with those of reports.
 func TestReportsDoNotHideFailures(t *testing.T) {
 	is := is.New(t)
 	d := New(Config{})
@@ -99,18 +100,18 @@
 	for range 60 {
 		now += 500 * time.Millisecond
 		for r := range 9 {
-			step := usual
+			step := normalLatency
 			if r == 1 {
-				step = 6 * usual
+				step = 6 * normalLatency
 			}
 			for range 5 {
 				d.Observe(now, "group", id(r), Sample{Latency: step, FromReport: true})
 			}
-			paced := Sample{Failed: r == 2}
+			call := Sample{Failed: r == 2}
 			if r > 5 {
-				paced.Latency = 100 * usual // these are not known to report steps yet
+				call.Latency = 100 * normalLatency // not yet known to report their step time
 			}
-			d.Observe(now, "group", id(r), paced)
+			d.Observe(now, "group", id(r), call)
 		}
 		d.Tick(now)
 	}
--- a/endpoint/outlier/member.go
+++ b/endpoint/outlier/member.go
@@ -3,77 +3,77 @@
 import "time"
 
 const (
-	// firstShare is the share of its traffic that an endpoint starts with when
-	// it returns.
-	firstShare = 0.05
-	// resetAfter is for how many slow starts an endpoint has to stay good
-	// before its next ejection counts as its first.
-	resetAfter = 8
+	// initialShare is the share of its normal traffic that an endpoint receives
+	// at the beginning of its slow start.
+	initialShare = 0.05
+	// resetSlowStarts is the time without ejection, in multiples of the slow
+	// start, after which the next ejection counts as the first again.
+	resetSlowStarts = 8
 )
 
 // member is one endpoint in a peer set.
 type member struct {
 	id, peers string
-	// tracks are the samples by their source.
-	tracks [sources]track
+	// stats holds the aggregated samples by source.
+	stats [sources]sampleStats
 
 	ejected bool
-	// consecutive is the number of ejections without a long good time between
-	// them, by which the ejection time backs off; total counts all ejections.
-	consecutive, total int
-	// until is when the present ejection ends; valid if ejected.
-	until time.Duration
+	// consecutiveEjections determines the backoff of the ejection time. It is reset
+	// after a long time without ejection. totalEjections counts all ejections.
+	consecutiveEjections, totalEjections int
+	// ejectedUntil is when the current ejection ends; valid if ejected.
+	ejectedUntil time.Duration
 	// returnedAt is when the last ejection ended; valid if returned.
 	returnedAt time.Duration
 	returned   bool
 }
 
-// add takes a sample into the open window of its source.
-func (m *member) add(s Sample) { m.tracks[sourceOf(s)].add(s) }
+// add adds a sample to the open window of its source.
+func (m *member) add(s Sample) { m.stats[sourceOf(s)].add(s) }
 
-// expire ends an ejection whose time is up and starts the slow start.
+// expire ends an ejection whose time has passed and begins the slow start.
 func (m *member) expire(now time.Duration) {
-	if !m.ejected || now < m.until {
+	if !m.ejected || now < m.ejectedUntil {
 		return
 	}
 	m.ejected = false
 	m.returned = true
 	m.returnedAt = now
-	m.clearStrikes()
+	m.resetConsecutiveBad()
 }
 
-// eject takes the member out of rotation, with exponential backoff: the time
-// doubles with each consecutive ejection, from first up to longest.
-func (m *member) eject(now, first, longest time.Duration) {
+// eject removes the member from rotation with exponential backoff: the time
+// doubles with each consecutive ejection, from base up to limit.
+func (m *member) eject(now, base, limit time.Duration) {
 	const maxDoublings = 20
 	m.ejected = true
-	m.clearStrikes()
-	m.total++
-	span := first << min(m.consecutive, maxDoublings)
-	m.consecutive++
-	m.until = now + min(span, longest)
+	m.resetConsecutiveBad()
+	m.totalEjections++
+	span := base << min(m.consecutiveEjections, maxDoublings)
+	m.consecutiveEjections++
+	m.ejectedUntil = now + min(span, limit)
 }
 
-func (m *member) clearStrikes() {
-	for i := range m.tracks {
-		m.tracks[i].strikes = 0
+func (m *member) resetConsecutiveBad() {
+	for i := range m.stats {
+		m.stats[i].consecutiveBad = 0
 	}
 }
 
-// recordGood notes a good verdict on the samples of a source.
+// recordGood records a good verdict on the samples of a source.
 func (m *member) recordGood(now, slowStart time.Duration, from source) {
-	m.tracks[from].strikes = 0
-	if m.returned && !m.ejected && now-m.returnedAt > resetAfter*slowStart {
-		m.consecutive = 0
+	m.stats[from].consecutiveBad = 0
+	if m.returned && !m.ejected && now-m.returnedAt > resetSlowStarts*slowStart {
+		m.consecutiveEjections = 0
 	}
 }
 
-// returning reports whether the member is in its slow start.
+// returning reports whether the member is in slow start.
 func (m *member) returning(now, slowStart time.Duration) bool {
 	return m.returned && !m.ejected && now-m.returnedAt < slowStart
 }
 
-// share is the share of its normal traffic that the member may take.
+// share returns the share of its normal traffic that the member may receive.
 func (m *member) share(now, slowStart time.Duration) float64 {
 	if m.ejected {
 		return 0
@@ -82,5 +82,5 @@
 		return 1
 	}
 	grown := float64(now-m.returnedAt) / float64(slowStart)
-	return firstShare + (1-firstShare)*max(grown, 0)
+	return initialShare + (1-initialShare)*max(grown, 0)
 }
--- a/endpoint/outlier/stats.go
+++ b/endpoint/outlier/stats.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// source is where samples come from.
+// source is the origin of a sample.
 type source int
 
 const (
 	fromCalls source = iota
 	fromReports
-	// sources is the number of sources.
+	// sources is the number of source values.
 	sources
 )
 
@@ -19,47 +19,48 @@
 	return fromCalls
 }
 
-// track holds the samples of one member from one source.
-type track struct {
+// sampleStats aggregates the samples of one member from one source.
+type sampleStats struct {
 	// The open window.
 	samples, failed, measured int
 	logSum                    float64
 
-	// The last closed window: the mean of the logarithm of the latency (of
-	// nanoseconds), whether one was measured, and the share of failures.
-	latency  float64
-	timed    bool
-	failures float64
-	judged   bool
-	// pending is true between the close of a window and its verdict.
+	// The last closed window: the mean logarithm of the latency in nanoseconds,
+	// whether the latency was measured, the share of failures, and whether any
+	// window has been closed.
+	latency      float64
+	hasLatency   bool
+	failureShare float64
+	hasWindow    bool
+	// pending is true from the close of a window until its evaluation.
 	pending bool
-	// strikes is the number of bad verdicts in a row.
-	strikes int
+	// consecutiveBad is the number of consecutive bad verdicts.
+	consecutiveBad int
 }
 
-// add takes a sample into the open window.
-func (t *track) add(s Sample) {
-	t.samples++
-	if s.Failed {
-		t.failed++
+// add adds a sample to the open window.
+func (s *sampleStats) add(sample Sample) {
+	s.samples++
+	if sample.Failed {
+		s.failed++
 	}
-	if s.Latency > 0 {
-		t.measured++
-		t.logSum += math.Log(float64(s.Latency))
+	if sample.Latency > 0 {
+		s.measured++
+		s.logSum += math.Log(float64(sample.Latency))
 	}
 }
 
-// closeWindow ends the window if it has enough samples. The mean is taken of
-// logarithms, so that a few very long calls do not make an endpoint slow.
-func (t *track) closeWindow(minSamples int) {
-	if t.samples < minSamples {
+// closeWindow closes the open window if it has enough samples. The mean is over
+// logarithms, so that a few very long calls do not make an endpoint appear slow.
+func (s *sampleStats) closeWindow(minSamples int) {
+	if s.samples < minSamples {
 		return
 	}
-	t.failures = float64(t.failed) / float64(t.samples)
-	t.timed = t.measured*2 >= minSamples
-	if t.timed {
-		t.latency = t.logSum / float64(t.measured)
+	s.failureShare = float64(s.failed) / float64(s.samples)
+	s.hasLatency = s.measured*2 >= minSamples
+	if s.hasLatency {
+		s.latency = s.logSum / float64(s.measured)
 	}
-	t.samples, t.failed, t.measured, t.logSum = 0, 0, 0, 0
-	t.judged, t.pending = true, true
+	s.samples, s.failed, s.measured, s.logSum = 0, 0, 0, 0
+	s.hasWindow, s.pending = true, true
 }
