--- a/endpoint/pick/adapter.go
+++ b/endpoint/pick/adapter.go
@@ -6,11 +6,12 @@
 	"github.com/lilackeel/lilackeel/endpoint/load"
 )
 
-// Adapter weighs the loading of an adapter that is not in the engine's memory.
+// Adapter scores the time to load an adapter that is not resident in the engine's
+// memory.
 type Adapter struct {
-	// Loads knows the resident adapters.
+	// Loads provides the resident adapters of each engine.
 	Loads *load.Tracker
-	// LoadTime is the time to load one.
+	// LoadTime is the time to load an adapter.
 	LoadTime time.Duration
 }
 
--- a/endpoint/pick/bench_test.go
+++ b/endpoint/pick/bench_test.go
@@ -40,7 +40,7 @@
 
 var workspaceNames = []string{"crew", "roster", "legality", "guests", "owners", "cleaners"}
 
-// fleet is a picker with its tables over alike endpoints.
+// fleet is a picker and its tables, filled with identical endpoints.
 type fleet struct {
 	ids      []string
 	table    *endpoint.Table
@@ -64,7 +64,7 @@
 	return f
 }
 
-// chain returns the hashes of a prompt that no other seed shares.
+// chain returns n block hashes of a prompt; prompts of different seeds share no block.
 func chain(seed uint64, n int) []uint64 {
 	blocks := make([]uint64, n)
 	for i := range blocks {
--- a/endpoint/pick/callcount.go
+++ b/endpoint/pick/callcount.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// Even weighs the calls that an endpoint has already. All of its answers become slower with
-// each, and in a lock-step group those of all ranks, since the fullest rank sets the pace.
+// CallCount scores the number of calls that an endpoint already has. Each further call slows all
+// calls of the endpoint and, in a lock-step group, those of all ranks, since the rank with the
+// most calls determines the step time.
 type CallCount struct {
-	// PerCall is the time that one more call adds to an answer.
+	// PerCall is the time that one more call adds to the duration of a call.
 	PerCall time.Duration
 }
 
--- a/endpoint/pick/capacity.go
+++ b/endpoint/pick/capacity.go
@@ -1,9 +1,9 @@
 package pick
 
-// Capacity drops endpoints that are full: a call would only queue there.
+// Capacity drops endpoints that are full, where another call would only queue.
 type Capacity struct {
-	// Queue is the number of calls that may wait at an endpoint, as a share of
-	// its slots.
+	// QueueRatio is the number of calls that may wait at an endpoint, as a
+	// fraction of its slots.
 	QueueRatio float64
 }
 
--- a/endpoint/pick/config.go
+++ b/endpoint/pick/config.go
@@ -10,54 +10,54 @@
 const (
 	// DefaultCandidates is the default of Config.Candidates.
 	DefaultCandidates = 8
-	// DefaultHolders is the default of Config.Holders.
+	// DefaultPrefixHolders is the default of Config.PrefixHolders.
 	DefaultPrefixHolders = 3
-	// DefaultShard is the default of Config.Shard.
+	// DefaultShardSize is the default of Config.ShardSize.
 	DefaultShardSize = 2
-	// DefaultQueue is the default of Config.Queue.
+	// DefaultQueueRatio is the default of Config.QueueRatio.
 	DefaultQueueRatio = 1.0
-	// DefaultOtherZone is the default of Config.OtherZone: a round trip.
+	// DefaultCrossZoneRTT is the default of Config.CrossZoneRTT.
 	DefaultCrossZoneRTT = 2 * time.Millisecond
-	// DefaultAdapterLoad is the default of Config.AdapterLoad.
+	// DefaultAdapterLoadTime is the default of Config.AdapterLoadTime.
 	DefaultAdapterLoadTime = 200 * time.Millisecond
-	// DefaultOutside is the default of Config.Outside.
+	// DefaultOutsideShardCost is the default of Config.OutsideShardCost.
 	DefaultOutsideShardCost = 5 * time.Millisecond
 	// DefaultStepPerRequest is the default of Config.StepPerRequest.
 	DefaultStepPerRequest = 50 * time.Microsecond
 	// DefaultSkewWeight is the default of Config.SkewWeight.
 	DefaultSkewWeight = 0.1
-	// DefaultSpread is the default of Config.Spread.
+	// DefaultStdDevScale is the default of Config.StdDevScale.
 	DefaultStdDevScale = 1.0
 )
 
-// Config sets the picker up; the zero value takes the defaults, and a negative
+// Config configures a Picker. The zero value selects the defaults; a negative
 // number stands for zero.
 type Config struct {
-	// Candidates is the number of endpoints that are weighed for a call, of
-	// them Holders that hold the prompt's prefix and Shard that are the
-	// workspace's shard; the rest is random.
+	// Candidates is the number of endpoints that are considered for a call. Of
+	// these, up to PrefixHolders are chosen because they cache a prefix of the
+	// prompt, ShardSize are the workspace's shard, and the rest are random.
 	Candidates, PrefixHolders, ShardSize int
-	// Queue is the number of calls that may wait at an endpoint, as a share of
-	// its slots; beyond it the endpoint is full.
+	// QueueRatio is the number of calls that may wait at an endpoint, as a
+	// fraction of its slots; beyond it the endpoint is full.
 	QueueRatio float64
-	// OtherZone is the added round trip to another availability zone.
+	// CrossZoneRTT is the additional round-trip time to another availability zone.
 	CrossZoneRTT time.Duration
-	// AdapterLoad is the time to load an adapter that is not resident.
+	// AdapterLoadTime is the time to load an adapter that is not resident.
 	AdapterLoadTime time.Duration
-	// Outside is the cost of an endpoint outside the workspace's shard.
+	// OutsideShardCost is the cost of an endpoint outside the workspace's shard.
 	OutsideShardCost time.Duration
 	// StepPerRequest is Skew.StepPerRequest.
 	StepPerRequest time.Duration
-	// SkewWeight is Skew.Weight, without a unit.
+	// SkewWeight is Skew.Weight, which has no unit.
 	SkewWeight float64
-	// Spread is the Spread of Wait and Pace, in standard deviations.
+	// StdDevScale is the StdDevScale of Wait and Decode.
 	StdDevScale float64
-	// PerCall is Even.PerCall; zero leaves it out.
+	// PerCall is CallCount.PerCall; zero disables that score.
 	PerCall time.Duration
-	// Import is the cost of moving cached prefixes between engines; nil when
-	// the engines cannot.
+	// Import is the cost of moving cached prefixes between engines; nil if the
+	// engines do not support it.
 	Import *Import
-	// Scorers replaces the default scores; nil for the default.
+	// Scorers replaces the default scorers; nil selects the defaults.
 	Scorers []Scorer
 }
 
@@ -85,8 +85,8 @@
 	}
 }
 
-// scorers returns the default scores.
-func (c Config) scorers(loads *load.Tracker) []Scorer {
+// defaultScorers returns the default scorers.
+func (c Config) defaultScorers(loads *load.Tracker) []Scorer {
 	return []Scorer{
 		Prefill{Import: c.Import},
 		Wait{StdDevScale: c.StdDevScale},
@@ -99,16 +99,17 @@
 	}
 }
 
-// directPerCall weighs one more call at an engine that is called directly as half of a round
-// trip to another zone. Its true cost, by what engines publish, is 8 to 27 ms of an answer;
-// but the more it counts against the zone, the more entries read the same reports of the same
-// engines and choose alike. With 1 ms and the default candidates, of 192 engines before 36
-// entries 0.2 in 100 had more calls than slots, with 4 ms 1; at full load 12.3 and 13.1.
+// directPerCall is CallCount.PerCall for engines that are called directly: half of a round trip
+// to another zone. According to the figures that engines publish, the real cost of one more call
+// is 8 to 27 ms per answer. But the more this cost outweighs the zone, the more entries read the same
+// reports of the same engines and make the same choice. With 192 engines, 36 entries and the
+// default number of candidates, 0.2 % of the engines had more calls than slots at 1 ms, and 1 %
+// at 4 ms; at full load 12.3 % and 13.1 %.
 const directPerCall = time.Millisecond
 
-// ForDirect returns the configuration for endpoints that are called directly. They keep no
-// prompts and no adapters of a workspace, so that it has no shard there: with two of 192
-// engines each, the engines of large workspaces had 10 calls in 6 slots while the mean was 2.6.
+// DirectConfig returns the configuration for endpoints that are called directly. They cache no
+// prompts or adapters per workspace, so workspaces have no shards there. With shards of 2 out of
+// 192 engines, the engines of large workspaces had 10 calls for 6 slots while the mean was 2.6.
 func DirectConfig() Config {
 	return Config{ShardSize: -1, PrefixHolders: -1, OutsideShardCost: -1, PerCall: directPerCall}
 }
--- a/endpoint/pick/decode.go
+++ b/endpoint/pick/decode.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Pace weighs the time that the endpoint's steps take for the whole answer. It
-// draws the time of a step from its distribution, as Wait does.
+// Decode scores the time of the decode steps for all output tokens. Like Wait, it
+// samples the step time from its distribution.
 type Decode struct {
-	// Spread scales the standard deviation of the draw; 0 takes the mean.
+	// StdDevScale scales the standard deviation of the samples; 0 selects the mean.
 	StdDevScale float64
 }
 
--- a/endpoint/pick/direct_test.go
+++ b/endpoint/pick/direct_test.go
@@ -15,43 +15,45 @@
 	"github.com/lilackeel/lilackeel/endpoint/prefix"
 )
 
-// blind is a pool of engines in front of which entries do not see each other's calls: each
-// knows its own and what the engines report.
-type blind struct {
+// blindPool simulates a pool of engines and entries that do not know each other's calls: each
+// knows only its own calls and the engines' reports.
+type blindPool struct {
 	entries, engines, slots int
-	// rate is in calls a second, stay the time of a call, every that between two reports.
-	rate        float64
-	stay, every time.Duration
-	// wins is by how much of the mean the busiest engine has fewer calls than by shards.
-	wins float64
-	// large is the part of the calls of each of the largest workspaces, of which there are
-	// three; the rest is of small ones.
-	large float64
+	// rate is in calls per second, callTime is the duration of a call, and reportInterval the
+	// time between two reports.
+	rate                     float64
+	callTime, reportInterval time.Duration
+	// minGain is the required reduction of the calls at the busiest engine, compared with
+	// workspace shards, as a multiple of the mean.
+	minGain float64
+	// largeShare is the share of the calls that each of the three large workspaces sends; small
+	// workspaces send the rest.
+	largeShare float64
 }
 
-// ending is a call in flight.
-type ending struct {
+// inFlightCall is a call in flight, which ends at the time at.
+type inFlightCall struct {
 	at     time.Duration
 	engine string
 	entry  int
 	call   load.Call
 }
 
-type endings []ending
+type callHeap []inFlightCall
 
-func (e endings) Len() int           { return len(e) }
-func (e endings) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e endings) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *endings) Push(x any)        { *e = append(*e, x.(ending)) }
-func (e *endings) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+func (h callHeap) Len() int           { return len(h) }
+func (h callHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h callHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *callHeap) Push(x any)        { *h = append(*h, x.(inFlightCall)) }
+func (h *callHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// over plays the pool and returns the mean part of the engines with more calls than slots, and
-// the most calls at one engine over the mean.
-func (b blind) over(t *testing.T, cfg Config, seed uint64) (over, busiest float64) {
+// simulate runs the simulation and returns the mean share of engines with more calls than slots,
+// and the calls at the busiest engine divided by the mean.
+func (b blindPool) simulate(t *testing.T, cfg Config, seed uint64) (overCapacity, busiest float64) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 9))
 	table := endpoint.NewTable()
@@ -69,17 +71,17 @@
 		loads[n] = load.New(load.Config{Peers: b.entries}, table)
 		pickers[n] = New(cfg, table, loads[n], prefix.New(prefix.Config{}), outlier.New(outlier.Config{}))
 	}
-	flight := &endings{}
+	inFlight := &callHeap{}
 	samples := 0
 	var calls float64
 	const tick = 5 * time.Millisecond
 	for now := time.Duration(0); now < 6*time.Second; now += tick {
-		for flight.Len() > 0 && (*flight)[0].at <= now {
-			done := heap.Pop(flight).(ending)
+		for inFlight.Len() > 0 && (*inFlight)[0].at <= now {
+			done := heap.Pop(inFlight).(inFlightCall)
 			running[done.engine]--
 			loads[done.entry].Done(now, &done.call, load.Result{Tokens: 15})
 		}
-		if now%b.every == 0 {
+		if now%b.reportInterval == 0 {
 			b.report(now, loads, running)
 		}
 		for calls += b.rate * tick.Seconds(); calls >= 1; calls-- {
@@ -91,7 +93,7 @@
 			}
 			call := loads[entry].Sent(now, chosen.ID, load.Work{PromptTokens: 850, MaxTokens: 90})
 			running[chosen.ID]++
-			heap.Push(flight, ending{at: now + b.stay, engine: chosen.ID, entry: entry, call: call})
+			heap.Push(inFlight, inFlightCall{at: now + b.callTime, engine: chosen.ID, entry: entry, call: call})
 		}
 		if now > 3*time.Second && now%(100*time.Millisecond) == 0 {
 			samples++
@@ -99,17 +101,17 @@
 			for _, n := range running {
 				most = max(most, n)
 				if n > b.slots {
-					over += 1 / float64(b.engines)
+					overCapacity += 1 / float64(b.engines)
 				}
 			}
-			busiest += float64(most*b.engines) / float64(max(flight.Len(), 1))
+			busiest += float64(most*b.engines) / float64(max(inFlight.Len(), 1))
 		}
 	}
-	return over / float64(samples), busiest / float64(samples)
+	return overCapacity / float64(samples), busiest / float64(samples)
 }
 
-// report tells every entry what runs at every engine.
-func (b blind) report(now time.Duration, loads []*load.Tracker, running map[string]int) {
+// report sends the load of every engine to every entry.
+func (b blindPool) report(now time.Duration, loads []*load.Tracker, running map[string]int) {
 	for _, tracker := range loads {
 		for id, n := range running {
 			tracker.Report(now, id, load.Report{Running: min(n, b.slots), Waiting: max(n-b.slots, 0)})
@@ -117,31 +119,31 @@
 	}
 }
 
-func (b blind) workspace(rng *rand.Rand) string {
-	if draw := rng.Float64(); draw < 3*b.large {
-		return fmt.Sprint("large-", int(draw/b.large))
+func (b blindPool) workspace(rng *rand.Rand) string {
+	if draw := rng.Float64(); draw < 3*b.largeShare {
+		return fmt.Sprint("large-", int(draw/b.largeShare))
 	}
 	return fmt.Sprint("small-", rng.IntN(37))
 }
 
-// TestCallsAreSpreadOverEngines plays 36 entries before 192 engines of 6 slots, half of which are
-// taken, with three large workspaces, and 5 entries before 16 engines of 12, as deployments
-// have them; reports come each 225 and 100 ms. By the shards of workspaces, which are for the
-// caches and adapters that engines behind agents keep, a part of the engines has more calls than
-// slots, where some calls wait for a whole answer of another.
+// TestCallsAreSpreadOverEngines simulates typical deployments: 36 entries and 192 engines with 6 slots,
+// half of them in use, and 5 entries and 16 engines with 12 slots, each with three large workspaces.
+// Reports arrive every 225 ms and every 100 ms. Workspace shards, which serve the caches and adapters
+// of engines behind agents, would send some engines more calls than they have slots, so that calls
+// wait until another call has ended.
 func TestCallsAreSpreadOverEngines(t *testing.T) {
 	is := is.New(t)
-	for _, pool := range []blind{
-		{entries: 36, engines: 192, slots: 6, rate: 470, stay: 1200 * time.Millisecond, every: 225 * time.Millisecond, large: 0.12, wins: 1.2},
-		{entries: 5, engines: 16, slots: 12, rate: 80, stay: 1200 * time.Millisecond, every: 100 * time.Millisecond, large: 0.2, wins: 0.1},
+	for _, pool := range []blindPool{
+		{entries: 36, engines: 192, slots: 6, rate: 470, callTime: 1200 * time.Millisecond, reportInterval: 225 * time.Millisecond, largeShare: 0.12, minGain: 1.2},
+		{entries: 5, engines: 16, slots: 12, rate: 80, callTime: 1200 * time.Millisecond, reportInterval: 100 * time.Millisecond, largeShare: 0.2, minGain: 0.1},
 	} {
 		for seed := range uint64(3) {
-			before, peak := pool.over(t, Config{}, seed)
-			after, level := pool.over(t, DirectConfig(), seed)
-			t.Logf("%d entries, %d engines, seed %d: over their slots %.3f by shards, %.3f evenly; busiest over mean %.2f and %.2f",
-				pool.entries, pool.engines, seed, before, after, peak, level)
-			is.True(after < 0.005)
-			is.True(level < peak-pool.wins)
+			sharded, shardedMax := pool.simulate(t, Config{}, seed)
+			spread, spreadMax := pool.simulate(t, DirectConfig(), seed)
+			t.Logf("%d entries, %d engines, seed %d: share of engines over capacity %.3f with shards, %.3f without; busiest engine over mean %.2f and %.2f",
+				pool.entries, pool.engines, seed, sharded, spread, shardedMax, spreadMax)
+			is.True(spread < 0.005)
+			is.True(spreadMax < shardedMax-pool.minGain)
 		}
 	}
 }
--- a/endpoint/pick/example_test.go
+++ b/endpoint/pick/example_test.go
@@ -12,8 +12,8 @@
 	"github.com/lilackeel/lilackeel/endpoint/prefix"
 )
 
-// Two engines serve a model; one of them is about to leave, so the call goes to
-// the other. After dispatch the caller tells the tracker and the index.
+// Two engines serve a model. One of them is leaving, so the call goes to the
+// other. After dispatch the caller notifies the tracker and the index.
 func ExamplePicker_Pick() {
 	table := endpoint.NewTable()
 	table.Replace([]endpoint.Endpoint{
--- a/endpoint/pick/excluded.go
+++ b/endpoint/pick/excluded.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// Excluded drops the endpoints that the call has been tried at or may not go to.
+// Excluded drops endpoints that have already been tried for the call or that the
+// request does not allow.
 type Excluded struct{}
 
 // Keep implements Filter.
--- a/endpoint/pick/isolation.go
+++ b/endpoint/pick/isolation.go
@@ -9,12 +9,12 @@
 	"github.com/lilackeel/lilackeel/endpoint"
 )
 
-// Isolation weighs the spreading of a workspace beyond its shard. Each
-// workspace has a few endpoints of its own, chosen by hash (shuffle sharding), so that a flood
-// from one workspace first meets endpoints that few others use, and the caches
-// and adapters of a workspace stay together.
+// Isolation scores a penalty for endpoints outside the workspace's shard. Each
+// workspace is assigned a few endpoints by hash (shuffle sharding). A surge of
+// calls from one workspace then first affects endpoints that few other workspaces
+// use, and the cached prompts and adapters of a workspace stay together.
 type Isolation struct {
-	// Outside is the cost of an endpoint outside the shard.
+	// OutsideShardCost is the cost of an endpoint outside the shard.
 	OutsideShardCost time.Duration
 }
 
@@ -29,16 +29,16 @@
 	return s.OutsideShardCost
 }
 
-// shardEndpoint returns the i-th endpoint of the workspace's shard. The place
-// scales with the list, so that an endpoint that joins or leaves moves few
-// workspaces.
+// shardEndpoint returns the i-th endpoint of the workspace's shard. The index
+// scales with the length of the list, so that few workspaces move when an endpoint
+// joins or leaves.
 func shardEndpoint(workspace uint64, i int, list []*endpoint.Endpoint) *endpoint.Endpoint {
 	const goldenRatio = 0x9e3779b97f4a7c15 // 2^64 over the golden ratio: Fibonacci hashing
 	hash := (workspace + uint64(i)*goldenRatio) * goldenRatio
 	hash = (hash ^ hash>>29) * goldenRatio
-	place, _ := bits.Mul64(hash, uint64(len(list)))
-	return list[place]
+	index, _ := bits.Mul64(hash, uint64(len(list)))
+	return list[index]
 }
 
-// workspaceHash is the hash that places a workspace.
+// workspaceHash returns the hash that determines a workspace's shard.
 func workspaceHash(workspace string) uint64 { return xxhash.Sum64String(workspace) }
--- a/endpoint/pick/picker.go
+++ b/endpoint/pick/picker.go
@@ -11,9 +11,9 @@
 	"github.com/lilackeel/lilackeel/endpoint/prefix"
 )
 
-// Picker chooses endpoints. It is safe for concurrent use, each caller with
-// its own random source. It reads the table, the detector, the tracker and the
-// index in this order, and holds no two of their locks at once.
+// Picker selects endpoints. It is safe for concurrent use if each caller has its
+// own random source. It reads the table, the detector, the tracker and the index,
+// and never holds two of their locks at the same time.
 type Picker struct {
 	config   Config
 	table    *endpoint.Table
@@ -26,7 +26,7 @@
 	pool     sync.Pool
 }
 
-// scratch is the memory of one choice.
+// scratch is the reusable memory of one selection.
 type scratch struct {
 	query      Query
 	candidates []Candidate
@@ -42,18 +42,18 @@
 	p.filters = []Filter{Excluded{}, Capacity{QueueRatio: cfg.QueueRatio}}
 	p.scorers = cfg.Scorers
 	if p.scorers == nil {
-		p.scorers = cfg.scorers(loads)
+		p.scorers = cfg.defaultScorers(loads)
 	}
 	p.pool.New = func() any { return &scratch{candidates: make([]Candidate, 0, cfg.Candidates)} }
 	return p
 }
 
-// Pick chooses the endpoint of a call. The error is a *fault.Error: NotFound
-// when the pool, model, version or adapter is unknown, Unavailable when no
-// endpoint of it takes work, Overloaded when all candidates are full or none
-// can start within the deadline, DeadlineTooShort when none could even if it
-// had nothing else to do. RetryAfter says when asking again makes sense. In
-// all these cases nothing has been dispatched.
+// Pick selects the endpoint for a call. The error is a *fault.Error: NotFound
+// if the pool, model, version or adapter is unknown, Unavailable if none of its
+// endpoints accepts calls, Overloaded if all endpoints are full or the best one
+// would miss the deadline, DeadlineTooShort if it would miss the deadline even
+// when idle. RetryAfter is the time after which a retry may succeed. In all
+// these cases nothing has been dispatched.
 //
 // After dispatch the caller notifies the tracker and the index (Sent in both).
 func (p *Picker) Pick(now time.Duration, rng *rand.Rand, r *Request) (endpoint.Endpoint, Explain, error) {
@@ -61,7 +61,7 @@
 	key := endpoint.Key{Pool: r.Pool, Model: r.Model, Version: r.Version, Adapter: r.Adapter}
 	list := view.Serving(key)
 	if len(list) == 0 {
-		return endpoint.Endpoint{}, Explain{}, noEndpoint(view, key)
+		return endpoint.Endpoint{}, Explain{}, errNoEndpoint(view, key)
 	}
 	s := p.pool.Get().(*scratch)
 	defer p.release(s)
@@ -71,20 +71,20 @@
 	explain := Explain{Considered: len(s.candidates)}
 	p.filter(s)
 	if len(s.candidates) == 0 {
-		if refused := p.widen(s, list); refused != nil {
+		if refused := p.scanAll(s, list); refused != nil {
 			return endpoint.Endpoint{}, explain, refused
 		}
 	}
 	explain.Dropped = max(0, explain.Considered-len(s.candidates))
 	p.score(s)
 	p.choose(s, &explain)
-	if refused := late(&s.query, &explain.Chosen); refused != nil {
+	if refused := checkDeadline(&s.query, &explain.Chosen); refused != nil {
 		return endpoint.Endpoint{}, explain, refused
 	}
 	return *explain.Chosen.Endpoint, explain, nil
 }
 
-// release gives the memory of a choice back.
+// release clears the memory of a selection and returns it to the pool.
 func (p *Picker) release(s *scratch) {
 	clear(s.candidates)
 	s.candidates = s.candidates[:0]
@@ -93,7 +93,7 @@
 	p.pool.Put(s)
 }
 
-// filter keeps the candidates that are in rotation and that all filters keep.
+// filter removes the candidates that are out of rotation or that a filter drops.
 func (p *Picker) filter(s *scratch) {
 	kept := 0
 	for i := range s.candidates {
@@ -120,9 +120,10 @@
 	return true
 }
 
-// widen looks at the whole list when no sampled candidate is left: first as
-// before, then at ejected endpoints too, as a slow endpoint beats none.
-func (p *Picker) widen(s *scratch, list []*endpoint.Endpoint) error {
+// scanAll scans the whole list when no sampled candidate is left. It applies the
+// same filters, but falls back to an ejected endpoint if there is no other: a slow
+// endpoint is better than none.
+func (p *Picker) scanAll(s *scratch, list []*endpoint.Endpoint) error {
 	start := s.query.Rand.IntN(len(list))
 	var ejected *endpoint.Endpoint
 	untried := 0
@@ -154,12 +155,12 @@
 		s.candidates = append(s.candidates, Candidate{Endpoint: ejected, Load: p.loads.Estimate(s.query.Now, ejected.ID)})
 		return nil
 	case untried == 0:
-		return allTried(len(list))
+		return errAllTried(len(list))
 	}
-	return allFull(untried, soonest)
+	return errAllFull(untried, soonest)
 }
 
-// score fills in the candidates' costs.
+// score computes the candidates' costs.
 func (p *Picker) score(s *scratch) {
 	q := &s.query
 	for i := range s.candidates {
@@ -181,21 +182,21 @@
 	}
 }
 
-// choose takes the cheapest candidate and the next one; equal costs leave the
-// one that was sampled first.
+// choose selects the candidate with the lowest cost and the runner-up. Of equal
+// costs, the candidate that was sampled first wins.
 func (p *Picker) choose(s *scratch, explain *Explain) {
-	best, next := -1, -1
+	best, second := -1, -1
 	for i := range s.candidates {
 		switch {
 		case best < 0 || s.candidates[i].Cost < s.candidates[best].Cost:
-			best, next = i, best
-		case next < 0 || s.candidates[i].Cost < s.candidates[next].Cost:
-			next = i
+			best, second = i, best
+		case second < 0 || s.candidates[i].Cost < s.candidates[second].Cost:
+			second = i
 		}
 	}
 	explain.Chosen = s.candidates[best]
-	if next >= 0 {
-		explain.RunnerUp = s.candidates[next]
+	if second >= 0 {
+		explain.RunnerUp = s.candidates[second]
 	}
 	q := &s.query
 	if p.config.Import != nil && q.BestHolder != nil && p.config.Import.worthwhile(q, &explain.Chosen) {
@@ -210,8 +211,8 @@
 	return &s.candidates[len(s.candidates)-1]
 }
 
-// addNew returns the candidate of the endpoint, appended unless it is one.
-func (s *scratch) addNew(e *endpoint.Endpoint) *Candidate {
+// addUnique returns the candidate for the endpoint, appending it if necessary.
+func (s *scratch) addUnique(e *endpoint.Endpoint) *Candidate {
 	for i := range s.candidates {
 		if s.candidates[i].Endpoint == e {
 			return &s.candidates[i]
--- a/endpoint/pick/picker_test.go
+++ b/endpoint/pick/picker_test.go
@@ -21,7 +21,7 @@
 	return &Request{Pool: "pool", Model: "m", Workspace: "crew", Prompt: chain(1, 40), PromptTokens: 2560, MaxTokens: 100}
 }
 
-// picks counts where n calls go.
+// picks picks endpoints for n calls and returns the number of calls per endpoint.
 func (f *fleet) picks(t *testing.T, seed uint64, n int, r *Request) map[string]int {
 	t.Helper()
 	t.Log("seed", seed)
@@ -37,39 +37,39 @@
 	return counts
 }
 
-// TestLeavingEndpointIsNeverPicked holds it where the temptation is greatest:
-// the leaving endpoint alone holds the prefix, in the list and as its holder.
+// TestLeavingEndpointIsNeverPicked covers the case in which a leaving endpoint
+// would have the lowest cost: it is the only one that caches the prompt's prefix.
 func TestLeavingEndpointIsNeverPicked(t *testing.T) {
 	is := is.New(t)
 	for _, size := range []int{4, 64} {
 		f := newFleet(size)
-		gone := f.ids[size/2]
-		f.index.Apply(0, prefix.Event{Endpoint: gone, Incarnation: 1, Seq: 1, Stored: request().Prompt})
-		is.True(f.picks(t, 1, 200, request())[gone] > 100) // the holder draws the calls
+		leavingID := f.ids[size/2]
+		f.index.Apply(0, prefix.Event{Endpoint: leavingID, Incarnation: 1, Seq: 1, Stored: request().Prompt})
+		is.True(f.picks(t, 1, 200, request())[leavingID] > 100) // the prefix holder is preferred
 
-		leaving, _ := f.table.Get(gone)
+		leaving, _ := f.table.Get(leavingID)
 		leaving.State, leaving.Revision = endpoint.Leaving, 2
 		f.table.Apply([]endpoint.Endpoint{leaving}, nil)
-		is.Equal(f.picks(t, 1, 2000, request())[gone], 0)
+		is.Equal(f.picks(t, 1, 2000, request())[leavingID], 0)
 	}
 }
 
-// TestConcurrentPicks holds, under the race detector too, that choices and
-// changes of all tables go on side by side, and that from the moment an
-// endpoint leaves, which alone holds the prefix, no choice begun later takes it.
+// TestConcurrentPicks runs selections concurrently with updates of all tables; run it
+// with the race detector too. No selection that begins after the only prefix holder
+// has started to leave may pick it.
 func TestConcurrentPicks(t *testing.T) {
 	f := newFleet(64)
-	gone := f.ids[7]
-	var left atomic.Bool
+	leavingID := f.ids[7]
+	var leavingApplied atomic.Bool
 	var group sync.WaitGroup
 	for worker := range 4 {
 		group.Go(func() {
 			rng := rand.New(rand.NewPCG(uint64(worker), 3))
 			for i := range 2000 {
 				now := time.Duration(i) * time.Millisecond
-				after := left.Load()
+				after := leavingApplied.Load()
 				chosen, _, err := f.picker.Pick(now, rng, request())
-				if err != nil || after && chosen.ID == gone {
+				if err != nil || after && chosen.ID == leavingID {
 					t.Error(chosen.ID, err)
 					return
 				}
@@ -83,19 +83,19 @@
 	}
 	for i := range 200 {
 		f.loads.Report(time.Duration(i), f.ids[i%64], load.Report{Running: i % 5})
-		f.index.Apply(0, prefix.Event{Endpoint: gone, Incarnation: 1, Seq: uint64(i + 1), Stored: request().Prompt})
+		f.index.Apply(0, prefix.Event{Endpoint: leavingID, Incarnation: 1, Seq: uint64(i + 1), Stored: request().Prompt})
 		f.outliers.Tick(time.Duration(i))
 	}
-	leaving, _ := f.table.Get(gone)
+	leaving, _ := f.table.Get(leavingID)
 	leaving.State, leaving.Revision = endpoint.Leaving, 2
 	f.table.Apply([]endpoint.Endpoint{leaving}, nil)
-	left.Store(true)
+	leavingApplied.Store(true)
 	group.Wait()
 }
 
-// TestEjectedAndTriedEndpoints holds that a stalled rank takes no call while
-// others are there, that a tried endpoint is not tried again, and that a slow
-// endpoint still beats none.
+// TestEjectedAndTriedEndpoints checks that an ejected rank gets no calls while others
+// are available, that an endpoint is not tried twice for a call, and that an ejected
+// endpoint is used if there is no other.
 func TestEjectedAndTriedEndpoints(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(16)
@@ -123,16 +123,16 @@
 	is.True(fault.Is(err, fault.Unavailable))
 }
 
-// TestLiarIsFoundOut holds that an endpoint that reports no load, while its
-// first tokens come seconds late, loses its calls.
-func TestLiarIsFoundOut(t *testing.T) {
+// TestUnderreportingEndpointIsAvoided checks that an endpoint that reports no load
+// loses its calls if its first tokens arrive seconds late.
+func TestUnderreportingEndpointIsAvoided(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(8)
-	liar := f.ids[0]
+	underreporter := f.ids[0]
 	report := func(now time.Duration) {
 		for _, id := range f.ids {
 			r := load.Report{Running: 6, PrefillTokens: 8000, PrefillRate: 10000, StepTime: 5 * time.Millisecond}
-			if id == liar {
+			if id == underreporter {
 				r.Running, r.PrefillTokens = 0, 0
 			}
 			f.loads.Report(now, id, r)
@@ -143,17 +143,17 @@
 	}
 	r := request()
 	r.Prompt = nil
-	is.True(f.picks(t, 3, 100, r)[liar] > 90) // believed at first
+	is.True(f.picks(t, 3, 100, r)[underreporter] > 90) // its reports are trusted at first
 	for range 20 {
-		call := f.loads.Sent(time.Second-4*time.Second, liar, load.Work{PromptTokens: 2560})
+		call := f.loads.Sent(time.Second-4*time.Second, underreporter, load.Work{PromptTokens: 2560})
 		f.loads.FirstToken(time.Second, &call)
 		f.loads.Done(time.Second, &call, load.Result{Tokens: 100})
 	}
-	is.True(f.picks(t, 3, 100, r)[liar] < 10)
+	is.True(f.picks(t, 3, 100, r)[underreporter] < 10)
 }
 
-// TestRefusals holds the kinds of refusal, and that the time to come back is
-// said where it helps.
+// TestRefusals checks the kinds of refusal, and that RetryAfter is set where a retry
+// can help.
 func TestRefusals(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(64)
@@ -178,13 +178,13 @@
 	is.Equal(full.Kind, fault.Overloaded)
 	is.True(full.RetryAfter > time.Second)
 
-	var leaving []endpoint.Endpoint
+	var allStopped []endpoint.Endpoint
 	for _, e := range f.table.Snapshot().All() {
-		gone := *e
-		gone.State, gone.Revision = endpoint.Stopped, 2
-		leaving = append(leaving, gone)
+		stopped := *e
+		stopped.State, stopped.Revision = endpoint.Stopped, 2
+		allStopped = append(allStopped, stopped)
 	}
-	f.table.Apply(leaving, nil)
+	f.table.Apply(allStopped, nil)
 	none := refuse(func(*Request) {})
 	is.Equal(none.Kind, fault.Unavailable)
 	is.True(none.RetryAfter > 0)
--- a/endpoint/pick/prefill.go
+++ b/endpoint/pick/prefill.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Prefill weighs the computing of the part of the prompt that is not cached.
+// Prefill scores the time to compute the part of the prompt that is not cached.
 type Prefill struct {
-	// Import is the cost of moving a cached prefix; nil: not moved.
+	// Import is the cost of moving a cached prefix; nil if prefixes are not moved.
 	Import *Import
 }
 
 // Phase implements Scorer.
 func (Prefill) Phase() Phase { return BeforeFirstToken }
 
-// Cost implements Scorer. A prefix that another endpoint holds costs the
-// cheaper of moving it and computing it.
+// Cost implements Scorer. If another candidate has cached a longer prefix, the cost is
+// the lower of moving that prefix and computing it.
 func (s Prefill) Cost(q *Query, c *Candidate) time.Duration {
 	compute := prefillTime(q, c, c.Matched)
 	if s.Import == nil || q.BestMatch <= c.Matched {
@@ -22,11 +22,11 @@
 	return min(compute, moved)
 }
 
-// prefillTime is the time to compute the prompt but for its leading blocks.
+// prefillTime returns the time to compute the prompt except for its leading blocks.
 func prefillTime(q *Query, c *Candidate, blocks int) time.Duration {
 	tokens := float64(q.PromptTokens) - float64(blocks)*q.BlockTokens()
 	return seconds(max(tokens, 0) / c.Load.PrefillRate)
 }
 
-// seconds makes a duration of a number of seconds.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/endpoint/pick/refuse.go
+++ b/endpoint/pick/refuse.go
@@ -8,54 +8,54 @@
 )
 
 const (
-	// retryUnavailable is when to ask again after endpoints have left: about
-	// the time in which a change of the table reaches every entry.
+	// retryUnavailable is the RetryAfter if endpoints have left: about the time
+	// that a change of the table takes to reach every entry.
 	retryUnavailable = 2 * time.Second
-	// minRetryAfter and maxRetryAfter bound what is said to a refused caller.
+	// minRetryAfter and maxRetryAfter bound the RetryAfter given to a caller.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-// noEndpoint is the fault for a key without a serving endpoint.
-func noEndpoint(view *endpoint.View, key endpoint.Key) error {
+// errNoEndpoint returns the error for a key without a serving endpoint.
+func errNoEndpoint(view *endpoint.View, key endpoint.Key) error {
 	switch {
 	case !view.HasPool(key.Pool):
-		return fault.Newf(fault.NotFound, "check the pool's name or wait for its first endpoint to join",
+		return fault.Newf(fault.NotFound, "check the name of the pool, or wait for its first endpoint to join",
 			"pool %q has no endpoint", key.Pool)
 	case !view.HasModel(key):
-		return fault.Newf(fault.NotFound, "check model, version and adapter, or state an intent that serves them",
+		return fault.Newf(fault.NotFound, "check the model, version and adapter, or submit an intent that serves them",
 			"no endpoint of pool %q serves model %q version %q adapter %q", key.Pool, key.Model, key.Version, key.Adapter)
 	}
-	return fault.Newf(fault.Unavailable, "ask again later, or let an endpoint join",
+	return fault.Newf(fault.Unavailable, "retry later, or add an endpoint",
 		"all endpoints of pool %q for model %q are leaving or stopped", key.Pool, key.Model).After(retryUnavailable)
 }
 
-// allTried is the fault when the call has been tried everywhere.
-func allTried(n int) error {
-	return fault.Newf(fault.Unavailable, "ask again later",
+// errAllTried returns the error for a call that has been tried at all endpoints.
+func errAllTried(n int) error {
+	return fault.Newf(fault.Unavailable, "retry later",
 		"the call has been tried at all %d endpoints", n).After(retryUnavailable)
 }
 
-// allFull is the fault when no endpoint has room.
-func allFull(n int, soonest time.Duration) error {
-	return fault.Newf(fault.Overloaded, "ask again after the time given, or add endpoints",
-		"all %d endpoints are full", n).After(bounded(soonest))
+// errAllFull returns the error if no endpoint has a free slot or queue place.
+func errAllFull(n int, soonest time.Duration) error {
+	return fault.Newf(fault.Overloaded, "retry after the given time, or add endpoints",
+		"all %d endpoints are full", n).After(clampRetryAfter(soonest))
 }
 
-// late is the fault when the best candidate would miss the deadline.
-func late(q *Query, c *Candidate) error {
+// checkDeadline returns an error if the best candidate would miss the deadline.
+func checkDeadline(q *Query, c *Candidate) error {
 	if q.Deadline <= 0 || c.FirstToken <= q.Deadline {
 		return nil
 	}
 	if c.FirstToken-c.Load.Wait > q.Deadline {
-		return fault.Newf(fault.DeadlineTooShort, "allow more time or send a shorter prompt",
-			"the first token would take %v on an idle endpoint, the deadline is %v", c.FirstToken-c.Load.Wait, q.Deadline)
+		return fault.Newf(fault.DeadlineTooShort, "extend the deadline, or send a shorter prompt",
+			"the first token would take %v on an idle endpoint, but the deadline is %v", c.FirstToken-c.Load.Wait, q.Deadline)
 	}
-	return fault.Newf(fault.Overloaded, "ask again after the time given, or allow more time",
-		"the first token would take %v, the deadline is %v", c.FirstToken, q.Deadline).After(bounded(c.FirstToken - q.Deadline))
+	return fault.Newf(fault.Overloaded, "retry after the given time, or extend the deadline",
+		"the first token would take %v, but the deadline is %v", c.FirstToken, q.Deadline).After(clampRetryAfter(c.FirstToken - q.Deadline))
 }
 
-// bounded keeps the time to ask again within sensible bounds.
-func bounded(d time.Duration) time.Duration {
+// clampRetryAfter limits d to the range from minRetryAfter to maxRetryAfter.
+func clampRetryAfter(d time.Duration) time.Duration {
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
--- a/endpoint/pick/rotation.go
+++ b/endpoint/pick/rotation.go
@@ -2,10 +2,10 @@
 
 import "github.com/lilackeel/lilackeel/endpoint/outlier"
 
-// Rotation drops ejected endpoints, and in their slow start the share of calls
-// that they may not take yet.
+// Rotation drops ejected endpoints. It drops endpoints in slow start at random,
+// according to their current share of traffic.
 type Rotation struct {
-	// Outliers says what share an endpoint may take.
+	// Outliers provides the share of traffic of each endpoint.
 	Outliers *outlier.Detector
 }
 
--- a/endpoint/pick/sample.go
+++ b/endpoint/pick/sample.go
@@ -6,18 +6,19 @@
 	"github.com/lilackeel/lilackeel/endpoint"
 )
 
-// sampler chooses the endpoints that are weighed: some that are likely to be
-// good, and random ones (power of d choices).
+// sampler chooses the candidates: some that are likely to have a low cost, and
+// random ones (power of d choices).
 type sampler struct {
-	// candidates is the number of endpoints weighed in all.
+	// candidates is the total number of candidates.
 	candidates int
-	// shard is the number of endpoints in a workspace's shard; they are always
-	// weighed, so that calls of one workspace meet even before events tell of it.
+	// shard is the number of endpoints in a workspace's shard. These are always
+	// candidates, so that calls of one workspace with a common prefix go to the
+	// same endpoints even before cache events have arrived.
 	shard int
 }
 
-// sample fills s.candidates: with the whole list when it is short, otherwise
-// with the holders of the prefix, the workspace's shard, and random endpoints.
+// sample fills s.candidates: with the whole list if it is short, otherwise with
+// the holders of the prefix, the workspace's shard, and random endpoints.
 func (m sampler) sample(s *scratch, list []*endpoint.Endpoint, view *endpoint.View, key endpoint.Key) {
 	q := &s.query
 	if len(list) <= m.candidates {
@@ -34,29 +35,29 @@
 		}
 	}
 	m.addShard(s, list)
-	// A draw may repeat an earlier one, or be of an endpoint that the call may not go to; some
-	// more draws make up for it.
+	// A draw may yield a duplicate or an excluded endpoint, so allow more draws than
+	// candidates.
 	for draws := 4 * m.candidates; draws > 0 && len(s.candidates) < m.candidates; draws-- {
 		drawn := Candidate{Endpoint: list[q.Rand.IntN(len(list))]}
 		if (Excluded{}).Keep(q, &drawn) {
-			s.addNew(drawn.Endpoint)
+			s.addUnique(drawn.Endpoint)
 		}
 	}
 }
 
-// addShard adds and marks the endpoints of the workspace's shard.
+// addShard adds the endpoints of the workspace's shard and sets InShard.
 func (m sampler) addShard(s *scratch, list []*endpoint.Endpoint) {
 	if s.query.Workspace == "" {
 		return
 	}
 	hash := workspaceHash(s.query.Workspace)
 	for i := range m.shard {
-		s.addNew(shardEndpoint(hash, i, list)).InShard = true
+		s.addUnique(shardEndpoint(hash, i, list)).InShard = true
 	}
 }
 
-// servesKey reports whether the endpoint is in the list of the key. It is the
-// test for endpoints that do not come from that list.
+// servesKey reports whether the endpoint is in the serving list of the key. It is
+// used for endpoints that do not come from that list.
 func servesKey(e *endpoint.Endpoint, key endpoint.Key) bool {
 	return e.State == endpoint.Serving &&
 		e.Pool == key.Pool && e.Model == key.Model &&
@@ -64,8 +65,8 @@
 		e.Serves(key.Adapter)
 }
 
-// shuffle puts the candidates into random order, so that equal costs do not
-// always favour the same endpoint.
+// shuffle randomizes the order of the candidates, so that equal costs do not
+// always favor the same endpoint.
 func shuffle(rng *rand.Rand, list []Candidate) {
 	rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 }
--- a/endpoint/pick/zone.go
+++ b/endpoint/pick/zone.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Zone weighs the way from the entry to the endpoint.
+// Zone scores the network delay between the entry and the endpoint.
 type Zone struct {
-	// OtherZone is the added round trip to another availability zone.
+	// CrossZoneRTT is the additional round-trip time to another availability zone.
 	CrossZoneRTT time.Duration
 }
 
