--- a/endpoint/prefix/sets.go
+++ b/endpoint/prefix/sets.go
@@ -58,8 +58,8 @@
 }
 
 func (p *pairSet) contains(key uint64) bool {
-	for _, held := range p.bucket(key) {
-		if held == key {
+	for _, stored := range p.bucket(key) {
+		if stored == key {
 			return true
 		}
 	}
@@ -70,8 +70,8 @@
 func (p *pairSet) insert(key uint64) {
 	b := p.bucket(key)
 	last := pairWays - 1
-	for i, held := range b {
-		if held == key {
+	for i, stored := range b {
+		if stored == key {
 			last = i
 			break
 		}
@@ -82,8 +82,8 @@
 
 func (p *pairSet) remove(key uint64) {
 	b := p.bucket(key)
-	for i, held := range b {
-		if held == key {
+	for i, stored := range b {
+		if stored == key {
 			copy(b[i:], b[i+1:])
 			b[pairWays-1] = 0
 			return
@@ -162,8 +162,8 @@
 // add moves the endpoint to the front of the holders, adding it if necessary.
 func (b *blockHolders) add(number uint16) {
 	last := holdersPerBlock - 1
-	for i, held := range b.holders {
-		if held == number {
+	for i, stored := range b.holders {
+		if stored == number {
 			last = i
 			break
 		}
--- a/endpoint/suspicion/world_test.go
+++ b/endpoint/suspicion/world_test.go
@@ -148,8 +148,8 @@
 // failed request.
 func TestSharedReportsReduceUnansweredRequests(t *testing.T) {
 	for _, c := range []struct {
-		entries, endpoints, failing int
-		perSecond                   float64
+		entries, endpoints, failed int
+		perSecond                  float64
 	}{{3, 16, 1, 60}, {13, 64, 5, 220}, {36, 192, 12, 470}, {41, 2500, 50, 2300}} {
 		t.Run(fmt.Sprint(c.entries, "x", c.endpoints), func(t *testing.T) {
 			is := is.New(t)
@@ -157,9 +157,7 @@
 			for _, shared := range []bool{false, true} {
 				for seed := range uint64(4) {
 					s := newSimulation(seed, c.entries, c.endpoints, shared)
-					s.fails = func(_, endpoint int) bool {
-						return endpoint < c.failing && s.now > time.Second && s.now < 8*time.Second
-					}
+					s.fails = func(_, endpoint int) bool { return endpoint < c.failed && s.now > time.Second && s.now < 8*time.Second }
 					s.run(14*time.Second, c.perSecond)
 					unanswered[shared] += s.unanswered
 					before := s.excludedHealthy
--- a/endpoint/view.go
+++ b/endpoint/view.go
@@ -79,11 +79,11 @@
 	accepted := change{}
 	for i := range upserts {
 		next := upserts[i]
-		held := v.byID[next.ID]
+		existing := v.byID[next.ID]
 		if pending, ok := accepted[next.ID]; ok {
-			held = pending
+			existing = pending
 		}
-		if held != nil && !next.supersedes(held) {
+		if existing != nil && !next.supersedes(existing) {
 			continue
 		}
 		accepted[next.ID] = &next
@@ -141,7 +141,7 @@
 		if e.Addr == "" || e.State != Serving {
 			continue
 		}
-		if held := v.byAddr[e.Addr]; held == nil || e.announcedAfter(held) {
+		if existing := v.byAddr[e.Addr]; existing == nil || e.announcedAfter(existing) {
 			v.byAddr[e.Addr] = e
 		}
 	}
