--- a/endpoint/pick/capacity.go
+++ b/endpoint/pick/capacity.go
@@ -1,10 +1,10 @@
 package pick
 
-// Capacity drops endpoints that are full: a call would only queue there.
+// Capacity drops endpoints that are full, where another call would only queue.
 type Capacity struct {
-	// Queue is the number of calls that may wait at an endpoint, as a share of
-	// its slots.
-	Queue float64
+	// QueueRatio is the number of calls that may wait at an endpoint, as a
+	// fraction of its slots.
+	QueueRatio float64
 }
 
 // Keep implements Filter.
@@ -13,5 +13,5 @@
 	if slots <= 0 {
 		return true
 	}
-	return c.Load.Running < slots*(1+f.Queue)
+	return c.Load.Running < slots*(1+f.QueueRatio)
 }
