--- a/replica/config.go
+++ b/replica/config.go
@@ -14,7 +14,7 @@
 	DefaultHeartbeatInterval = 100 * time.Millisecond
 	DefaultMaxAppendBytes    = 1 << 20
 	DefaultMaxInflight       = 64
-	DefaultTrailing          = 1024
+	DefaultTrailingEntries   = 1024
 
 	// firstHeartbeats is how many heartbeats a start that has heard of no leader
 	// waits for one. A start that campaigns although there is a leader, whose
@@ -60,7 +60,7 @@
 	MaxInflight int
 	// Trailing is the number of entries kept behind a snapshot for members that
 	// are a little behind.
-	Trailing uint64
+	TrailingEntries uint64
 	// Rand spreads election timeouts and draws the cluster identity.
 	Rand *rand.Rand
 }
@@ -82,7 +82,7 @@
 	setDefault(&c.AdmissionWait, admissionTimeouts*c.ElectionTimeout)
 	setDefault(&c.MaxAppendBytes, DefaultMaxAppendBytes)
 	setDefault(&c.MaxInflight, DefaultMaxInflight)
-	setDefault(&c.Trailing, DefaultTrailing)
+	setDefault(&c.TrailingEntries, DefaultTrailingEntries)
 }
 
 func setDefault[T comparable](setting *T, value T) {
--- a/replica/join.go
+++ b/replica/join.go
@@ -228,4 +228,4 @@
 
 // Writer returns the number and the address of the leader that has written to this
 // disk while it was blank; zero if there was none.
-func (n *Node) Writer() (id uint64, addr string) { return n.writer.id, n.writer.addr }
+func (n *Node) DiscoveredLeader() (id uint64, addr string) { return n.writer.id, n.writer.addr }
--- a/replica/read.go
+++ b/replica/read.go
@@ -60,7 +60,7 @@
 }
 
 // ForgetRead gives up a read for which no answer came.
-func (n *Node) ForgetRead(id uint64) { delete(n.reads.forwarded, id) }
+func (n *Node) CancelRead(id uint64) { delete(n.reads.forwarded, id) }
 
 // queueRead takes in a read at a leader. Until the leader has committed an entry
 // of its term it does not know what its predecessors committed.
--- a/replica/replicate.go
+++ b/replica/replicate.go
@@ -214,8 +214,8 @@
 		return
 	}
 	n.snapshot = snapshot
-	if snapshot.GetIndex() > n.cfg.Trailing {
-		n.log.compact(snapshot.GetIndex() - n.cfg.Trailing)
+	if snapshot.GetIndex() > n.cfg.TrailingEntries {
+		n.log.compact(snapshot.GetIndex() - n.cfg.TrailingEntries)
 	}
 	n.members = n.members.forget(n.log.base.index)
 }
--- a/replica/server/loop.go
+++ b/replica/server/loop.go
@@ -105,7 +105,7 @@
 	}
 	s.addresses = membership
 	peers := map[uint64]string{}
-	if id, addr := s.node.Writer(); id != 0 {
+	if id, addr := s.node.DiscoveredLeader(); id != 0 {
 		peers[id] = addr
 	}
 	for id, addr := range s.cfg.Peers {
--- a/replica/server/pause_test.go
+++ b/replica/server/pause_test.go
@@ -95,7 +95,7 @@
 				machine := newBulky(1)
 				if id == 1 {
 					cfg.Transport, cfg.ElectionTimeout, cfg.SnapshotEvery = heartbeatPort{port{h, id}, beats}, 2*time.Second, 200
-					cfg.Trailing = 1
+					cfg.TrailingEntries = 1
 					machine = newBulky(records)
 				}
 				replica, err := Open(cfg, machine)
--- a/replica/server/read.go
+++ b/replica/server/read.go
@@ -78,7 +78,7 @@
 // forgetRead runs in the loop.
 func (s *Server) forgetRead(id uint64) {
 	delete(s.reads, id)
-	s.node.ForgetRead(id)
+	s.node.CancelRead(id)
 }
 
 // answerReads runs in the loop.
--- a/replica/server/server.go
+++ b/replica/server/server.go
@@ -78,7 +78,7 @@
 	// SnapshotEvery is the number of entries between two snapshots.
 	SnapshotEvery uint64
 	// Trailing is the number of entries kept behind a snapshot.
-	Trailing uint64
+	TrailingEntries uint64
 	// Logger is slog.Default if nil.
 	Logger *slog.Logger
 	// DialOptions are for connections to other replicas, for example the
@@ -202,7 +202,7 @@
 	return replica.Config{
 		ID: c.ID, Addr: c.Addr, Disk: label, Boot: randomNumber(), Peers: c.Peers, Join: c.Join, Voters: c.Voters,
 		ElectionTimeout: c.ElectionTimeout, HeartbeatInterval: c.HeartbeatInterval,
-		RepairAfter: c.RepairAfter, Trailing: c.Trailing,
+		RepairAfter: c.RepairAfter, TrailingEntries: c.TrailingEntries,
 		Rand: mathrand.New(mathrand.NewPCG(randomNumber(), randomNumber())),
 	}
 }
--- a/replica/server/server_test.go
+++ b/replica/server/server_test.go
@@ -164,7 +164,7 @@
 	for _, size := range []int{1, 3} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			is := is.New(t)
-			c := newCluster(t, size, Config{ElectionTimeout: 200 * time.Millisecond, SnapshotEvery: 20, Trailing: 5})
+			c := newCluster(t, size, Config{ElectionTimeout: 200 * time.Millisecond, SnapshotEvery: 20, TrailingEntries: 5})
 			var want []string
 			for i := range 50 {
 				want = append(want, fmt.Sprint("before ", i))
@@ -207,7 +207,7 @@
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk}, Step: "folder wiped while its replica is down",
 		Guard: "the place offered to a blank disk, its promotion, and the snapshot in chunks, each alone"}.Log(t)
 	is := is.New(t)
-	c := newCluster(t, 3, Config{ElectionTimeout: 100 * time.Millisecond, RepairAfter: 300 * time.Millisecond, SnapshotEvery: 2, Trailing: 1})
+	c := newCluster(t, 3, Config{ElectionTimeout: 100 * time.Millisecond, RepairAfter: 300 * time.Millisecond, SnapshotEvery: 2, TrailingEntries: 1})
 	big := strings.Repeat("x", MaxProposalBytes*2/3)
 	for i := range 4 {
 		c.propose(fmt.Sprint(i, big))
--- a/replica/server/snapshot_test.go
+++ b/replica/server/snapshot_test.go
@@ -90,7 +90,7 @@
 // openGated opens a replica of a hub on a folder, and returns its state machine.
 func (h *hub) openGated(t *testing.T, id uint64, folder string, files wal.FS, peers int) *list {
 	machine := &list{}
-	cfg := Config{ID: id, DataDir: folder, Peers: map[uint64]string{}, FS: files, SnapshotEvery: gatedEvery, Trailing: 1,
+	cfg := Config{ID: id, DataDir: folder, Peers: map[uint64]string{}, FS: files, SnapshotEvery: gatedEvery, TrailingEntries: 1,
 		Transport: port{h, id}, Logger: slog.New(slog.DiscardHandler)}
 	for peer := range peers {
 		cfg.Peers[uint64(peer+1)] = "hub"
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -231,7 +231,7 @@
 		return true
 	}
 	membership := h.node.Membership()
-	writer, _ := h.node.Writer()
+	writer, _ := h.node.DiscoveredLeader()
 	passedOn := membership == nil && m.GetCluster() != 0
 	return passedOn || h.peers[m.GetTo()] != "" || writer == m.GetTo() || FindMember(membership, m.GetTo()) != nil
 }
@@ -247,7 +247,7 @@
 	}
 	node, err := New(Config{
 		ID: h.id, Addr: fmt.Sprint("host-", h.id), Disk: label, Boot: h.sim.rand.Uint64(), Peers: peers, Join: h.join,
-		ElectionTimeout: h.sim.election, HeartbeatInterval: h.sim.heartbeat, RepairAfter: 4 * h.sim.election, Trailing: 3, Voters: h.sim.voters,
+		ElectionTimeout: h.sim.election, HeartbeatInterval: h.sim.heartbeat, RepairAfter: 4 * h.sim.election, TrailingEntries: 3, Voters: h.sim.voters,
 		MaxInflight: 4, MaxAppendBytes: 200, Rand: rand.New(rand.NewPCG(h.sim.rand.Uint64(), 2)),
 	}, saved, h.now())
 	if err != nil {
