--- a/replica/server/apply.go
+++ b/replica/server/apply.go
@@ -9,29 +9,29 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// work is what the applier does in one step.
-type work struct {
+// applyJob is a snapshot to restore, if any, and the entries to apply after it.
+type applyJob struct {
 	snapshot *pb.Snapshot
 	entries  []*pb.Entry
 }
 
-// applier owns the state machine.
+// applier owns the state machine and applies the log to it in its own goroutine.
 type applier struct {
 	server *Server
 	sm     StateMachine
 
-	mu       sync.Mutex
-	queue    []work
-	wake     chan struct{}
-	applied  uint64
-	advanced chan struct{} // closed and replaced when applied grows
-	snapshot uint64        // index of the last snapshot; owned by run
-	// snapshotting is set by run when it captures the state, and cleared by the
+	mu           sync.Mutex
+	queue        []applyJob
+	queueChanged chan struct{}
+	applied      uint64
+	advanced     chan struct{} // closed and replaced when applied grows
+	snapshot     uint64        // index of the last snapshot; owned by run
+	// snapshotPending is set by run when it captures the state, and cleared by the
 	// loop when the snapshot is installed or dropped.
-	snapshotting atomic.Bool
+	snapshotPending atomic.Bool
 
-	// captures and failed go to the loop.
-	captures chan capture
+	// captures and failed are received by the loop.
+	captures chan capturedState
 	failed   chan error
 
 	stopping chan struct{}
@@ -41,33 +41,33 @@
 func newApplier(s *Server, sm StateMachine, applied uint64) *applier {
 	return &applier{
 		server: s, sm: sm, applied: applied, snapshot: applied,
-		wake: make(chan struct{}, 1), advanced: make(chan struct{}),
-		captures: make(chan capture, 1), failed: make(chan error, 1),
+		queueChanged: make(chan struct{}, 1), advanced: make(chan struct{}),
+		captures: make(chan capturedState, 1), failed: make(chan error, 1),
 		stopping: make(chan struct{}), stopped: make(chan struct{}),
 	}
 }
 
-// add queues a snapshot, if any, and the entries after it.
-func (a *applier) add(snapshot *pb.Snapshot, entries []*pb.Entry) {
+// enqueue adds a snapshot, if any, and the entries after it to the queue.
+func (a *applier) enqueue(snapshot *pb.Snapshot, entries []*pb.Entry) {
 	if snapshot == nil && len(entries) == 0 {
 		return
 	}
 	a.mu.Lock()
-	a.queue = append(a.queue, work{snapshot, entries})
+	a.queue = append(a.queue, applyJob{snapshot, entries})
 	a.mu.Unlock()
 	select {
-	case a.wake <- struct{}{}:
+	case a.queueChanged <- struct{}{}:
 	default:
 	}
 }
 
-// queued returns the number of entries that wait to be applied.
+// queued returns the number of entries waiting to be applied.
 func (a *applier) queued() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	count := 0
-	for _, w := range a.queue {
-		count += len(w.entries)
+	for _, job := range a.queue {
+		count += len(job.entries)
 	}
 	return count
 }
@@ -78,10 +78,10 @@
 		select {
 		case <-a.stopping:
 			return
-		case <-a.wake:
+		case <-a.queueChanged:
 		}
-		for _, w := range a.takeQueue() {
-			if err := a.apply(w); err != nil {
+		for _, job := range a.takeQueue() {
+			if err := a.apply(job); err != nil {
 				a.failed <- err
 				return
 			}
@@ -89,7 +89,7 @@
 	}
 }
 
-func (a *applier) takeQueue() []work {
+func (a *applier) takeQueue() []applyJob {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	queue := a.queue
@@ -97,37 +97,37 @@
 	return queue
 }
 
-func (a *applier) apply(w work) error {
-	if w.snapshot != nil {
-		if err := a.sm.Restore(w.snapshot.GetData()); err != nil {
-			return fault.New(fault.Internal, "the state machine refused a snapshot", "run the same version on all control replicas").Because(err)
+func (a *applier) apply(job applyJob) error {
+	if job.snapshot != nil {
+		if err := a.sm.Restore(job.snapshot.GetData()); err != nil {
+			return fault.New(fault.Internal, "the state machine failed to restore a snapshot", "run the same version on all control replicas").Because(err)
 		}
-		a.snapshot = w.snapshot.GetIndex()
+		a.snapshot = job.snapshot.GetIndex()
 		a.advance(a.snapshot)
 	}
-	for _, entry := range w.entries {
+	for _, entry := range job.entries {
 		a.applyEntry(entry)
 	}
-	if count := len(w.entries); count > 0 {
-		a.advance(w.entries[count-1].GetIndex())
+	if count := len(job.entries); count > 0 {
+		a.advance(job.entries[count-1].GetIndex())
 	}
 	a.maybeCapture()
 	return nil
 }
 
-// applyEntry applies one entry and tells its proposer, if it is here.
+// applyEntry applies one entry and completes its proposal, if it was made here.
 func (a *applier) applyEntry(entry *pb.Entry) {
 	var result any
 	if entry.GetKind() == pb.EntryKind_ENTRY_KIND_DATA {
 		result = a.sm.Apply(entry.GetIndex(), entry.GetTerm(), entry.GetData())
 	}
-	p := a.server.waiters.take(entry.GetIndex())
+	p := a.server.pending.take(entry.GetIndex())
 	switch {
 	case p == nil:
 	case p.term == entry.GetTerm():
 		p.done <- outcome{result: result}
 	default:
-		p.done <- outcome{err: fault.New(fault.NotLeader, "another leader's command took the place; this one was not run", "ask the leader")}
+		p.done <- outcome{err: fault.New(fault.NotLeader, "a command of another leader was committed at this index; this one was not run", "send the command to the leader")}
 	}
 }
 
@@ -146,22 +146,23 @@
 	return a.applied
 }
 
-// progress returns the applied index and a channel that is closed when it grows.
+// progress returns the applied index and a channel that is closed when it
+// increases.
 func (a *applier) progress() (uint64, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.applied, a.advanced
 }
 
-// maybeCapture captures the state when enough entries were applied since the last
-// snapshot and that one is done with.
+// maybeCapture captures the state if enough entries were applied since the last
+// snapshot and that snapshot is finished.
 func (a *applier) maybeCapture() {
 	index := a.index()
-	if index < a.snapshot+a.server.cfg.SnapshotEvery || !a.snapshotting.CompareAndSwap(false, true) {
+	if index < a.snapshot+a.server.cfg.SnapshotEvery || !a.snapshotPending.CompareAndSwap(false, true) {
 		return
 	}
 	started := time.Now()
-	a.captures <- capture{index: index, encode: captureState(a.sm)}
+	a.captures <- capturedState{index: index, encode: captureState(a.sm)}
 	captureSeconds.UpdateDuration(started)
 	a.snapshot = index
 }
--- a/replica/server/bench_test.go
+++ b/replica/server/bench_test.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// BenchmarkReadIndex measures linearizable reads of 16 readers at the leader.
+// BenchmarkReadIndex measures linearizable reads by 16 concurrent readers per core
+// at the leader.
 func BenchmarkReadIndex(b *testing.B) {
 	c := newCluster(b, 3, Config{ElectionTimeout: 2 * time.Second})
 	leader := c.replicas[c.propose("first")]
@@ -61,7 +62,7 @@
 	})
 }
 
-// byteCounter counts what clients send, as framed on the wire.
+// byteCounter counts the bytes that clients send, including their framing.
 type byteCounter struct {
 	stats.Handler
 	bytes atomic.Int64
@@ -79,10 +80,10 @@
 	}
 }
 
-// BenchmarkIdle measures the payload bytes that a replica sends per second of
-// rest, with the default timeouts. Run it with -benchtime 1x.
+// BenchmarkIdle measures the payload bytes per second that an idle replica sends
+// with the default timeouts. Run it with -benchtime 1x.
 func BenchmarkIdle(b *testing.B) {
-	const rest = 3 * time.Second
+	const idleTime = 3 * time.Second
 	counter := &byteCounter{}
 	c := newCluster(b, 3, Config{DialOptions: []grpc.DialOption{
 		grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithStatsHandler(counter),
@@ -91,8 +92,8 @@
 	time.Sleep(time.Second)
 	before := counter.bytes.Load()
 	for range b.N {
-		time.Sleep(rest)
+		time.Sleep(idleTime)
 	}
 	sent := float64(counter.bytes.Load() - before)
-	b.ReportMetric(sent/float64(len(c.replicas))/(float64(b.N)*rest.Seconds()), "B/s/replica")
+	b.ReportMetric(sent/float64(len(c.replicas))/(float64(b.N)*idleTime.Seconds()), "B/s/replica")
 }
--- a/replica/server/loop.go
+++ b/replica/server/loop.go
@@ -25,12 +25,12 @@
 			s.node.Step(s.now(), message)
 		case proposal := <-s.proposals:
 			s.propose(proposal)
-		case call := <-s.calls:
+		case call := <-s.loopCalls:
 			call()
 		case captured := <-s.applier.captures:
 			s.startSnapshot(captured)
-		case written := <-s.snapshots.written:
-			err = s.finishSnapshot(written)
+		case result := <-s.snapshots.results:
+			err = s.finishSnapshot(result)
 		case err = <-s.applier.failed:
 		}
 		if err == nil {
@@ -43,7 +43,7 @@
 
 func (s *Server) now() time.Duration { return time.Since(s.started) }
 
-// drain takes in what has gathered, so that one sync serves all of it.
+// drain processes queued messages and proposals, so that one sync covers them all.
 func (s *Server) drain() {
 	for range cap(s.proposals) {
 		select {
@@ -57,8 +57,8 @@
 	}
 }
 
-// handleReady does what the node wants, in the order that package replica asks
-// for.
+// handleReady performs the node's pending work in the order that package replica
+// requires.
 func (s *Server) handleReady() error {
 	for s.node.HasReady() {
 		ready := s.node.Ready()
@@ -68,18 +68,18 @@
 			return err
 		}
 		s.transport.Send(ready.Messages)
-		s.applier.add(ready.Snapshot, ready.Committed)
+		s.applier.enqueue(ready.Snapshot, ready.Committed)
 		commitsTotal.Add(len(ready.Committed))
-		s.answerReads(ready.Reads)
+		s.deliverReads(ready.Reads)
 		s.node.Advance()
 	}
-	s.noteAdmission()
+	s.logAdmission()
 	s.updateLeader()
-	s.countEvents()
+	s.updateCounters()
 	return s.node.Err()
 }
 
-// persist stores what a Ready asks for. A failure is final.
+// persist stores the state and entries of a Ready. A failure stops the replica.
 func (s *Server) persist(ready replica.Ready) error {
 	if ready.Snapshot != nil {
 		if err := s.wal.Save(wal.Batch{HardState: ready.HardState, Sync: true}); err != nil {
@@ -97,13 +97,13 @@
 	return err
 }
 
-// updatePeers tells the transport where the members are.
+// updatePeers passes the addresses of the other replicas to the transport.
 func (s *Server) updatePeers() {
 	membership := s.node.Membership()
-	if membership == s.addresses && membership != nil {
+	if membership == s.peersMembership && membership != nil {
 		return
 	}
-	s.addresses = membership
+	s.peersMembership = membership
 	peers := map[uint64]string{}
 	if id, addr := s.node.DiscoveredLeader(); id != 0 {
 		peers[id] = addr
@@ -118,17 +118,17 @@
 	s.transport.SetPeers(peers)
 }
 
-// noteAdmission logs when this start may vote and acknowledge.
-func (s *Server) noteAdmission() {
-	if s.admitted || !s.node.Admitted() {
+// logAdmission logs once that this replica may vote and acknowledge.
+func (s *Server) logAdmission() {
+	if s.admissionLogged || !s.node.Admitted() {
 		return
 	}
-	s.admitted = true
+	s.admissionLogged = true
 	s.log.Info("replica admitted", "after", s.now())
 }
 
 // updateLeader publishes a change of the leader. A leader that has stepped down
-// does not learn the fate of its proposals.
+// fails its pending proposals, because it does not learn their outcome.
 func (s *Server) updateLeader() {
 	id, term, self := s.node.Leader()
 	changed := leaderInfo{id: id, term: term, self: self}
@@ -146,13 +146,13 @@
 	if changed == before {
 		return
 	}
-	if known := (leaderInfo{id: id, term: term}); id != 0 && known != s.known {
-		s.known = known
+	if known := (leaderInfo{id: id, term: term}); id != 0 && known != s.countedLeader {
+		s.countedLeader = known
 		leaderChanges.Inc()
 	}
 	s.log.Info("leader changed", "leader", id, "term", term, "self", self)
 	if before.self && (!self || before.term != term) {
-		s.waiters.failAll(outcomeUnknown("the leadership was lost"))
+		s.pending.failAll(outcomeUnknown("the leadership was lost"))
 	}
 }
 
@@ -163,8 +163,8 @@
 	return s.cfg.Peers[id]
 }
 
-// shutDown ends everything that waits. It does not sync: what was not synced was
-// not acknowledged.
+// shutDown stops all parts of the server and fails pending requests. It does not
+// sync, because nothing that is not synced was acknowledged.
 func (s *Server) shutDown(err error) {
 	s.mu.Lock()
 	s.failure = err
@@ -178,7 +178,7 @@
 	s.transport.Close()
 	s.applier.stop()
 	s.snapshots.stop()
-	s.waiters.failAll(outcomeUnknown("the control replica stopped"))
+	s.pending.failAll(outcomeUnknown("the control replica stopped"))
 	s.wal.Close()
 	close(s.done)
 }
--- a/replica/server/metrics.go
+++ b/replica/server/metrics.go
@@ -15,8 +15,8 @@
 	snapshotBytes   = metrics.NewGauge("lilackeel_replica_snapshot_bytes", nil)
 )
 
-// exportMetrics registers the gauges of this replica. With several replicas in
-// one process, as in tests, the first one's are shown.
+// exportMetrics registers the gauges of this replica. If a process runs several
+// replicas, as tests do, only the first one is exported.
 func (s *Server) exportMetrics() {
 	metrics.GetOrCreateGauge("lilackeel_replica_term", func() float64 {
 		_, _, term, _ := s.Leader()
@@ -33,17 +33,17 @@
 	})
 }
 
-// countEvents adds what the node has counted since the last call. It runs in the
-// loop.
-func (s *Server) countEvents() {
+// updateCounters adds the increase of the node's counters since the last call to
+// the metrics. It runs in the loop.
+func (s *Server) updateCounters() {
 	counters := s.node.Counters()
-	addTo(preVotes, counters.PreVotes, s.counted.PreVotes)
-	addTo(votes, counters.Votes, s.counted.Votes)
-	addTo(refusedDisks, counters.RefusedDisks, s.counted.RefusedDisks)
-	s.counted = counters
+	addDelta(preVotes, counters.PreVotes, s.reportedCounters.PreVotes)
+	addDelta(votes, counters.Votes, s.reportedCounters.Votes)
+	addDelta(refusedDisks, counters.RefusedDisks, s.reportedCounters.RefusedDisks)
+	s.reportedCounters = counters
 }
 
-func addTo(total *metrics.Counter, now, before uint64) {
+func addDelta(total *metrics.Counter, now, before uint64) {
 	if now > before {
 		total.AddInt64(int64(now - before))
 	}
--- a/replica/server/propose.go
+++ b/replica/server/propose.go
@@ -8,71 +8,72 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// proposal is a command on its way into the log.
+// proposal is a command that is to be committed.
 type proposal struct {
-	data  []byte
-	term  uint64
-	taken atomic.Bool // by the loop, or by a caller that gave up before it
-	done  chan outcome
+	data    []byte
+	term    uint64
+	claimed atomic.Bool // by the loop, or by a caller that stopped waiting before
+	done    chan outcome
 }
 
-// outcome is the end of a proposal.
+// outcome is the result of a proposal.
 type outcome struct {
 	result any
 	err    error
 }
 
-// waiters are the proposals in the log, by index.
-type waiters struct {
+// pendingProposals are the proposals that were appended to the log, by index.
+type pendingProposals struct {
 	mu      sync.Mutex
 	byIndex map[uint64]*proposal
 }
 
-// add notes the proposal at index. One that waited there before was overwritten
-// in a term that this replica no longer leads.
-func (w *waiters) add(index uint64, p *proposal) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.byIndex == nil {
-		w.byIndex = map[uint64]*proposal{}
+// add registers the proposal at index. A proposal that was already registered there
+// has been overwritten, in a term that this replica no longer leads.
+func (pp *pendingProposals) add(index uint64, p *proposal) {
+	pp.mu.Lock()
+	defer pp.mu.Unlock()
+	if pp.byIndex == nil {
+		pp.byIndex = map[uint64]*proposal{}
 	}
-	if before := w.byIndex[index]; before != nil {
+	if before := pp.byIndex[index]; before != nil {
 		before.done <- outcome{err: outcomeUnknown("the leadership was lost")}
 	}
-	w.byIndex[index] = p
+	pp.byIndex[index] = p
 }
 
 // take removes and returns the proposal at index, or nil.
-func (w *waiters) take(index uint64) *proposal {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	p := w.byIndex[index]
-	delete(w.byIndex, index)
+func (pp *pendingProposals) take(index uint64) *proposal {
+	pp.mu.Lock()
+	defer pp.mu.Unlock()
+	p := pp.byIndex[index]
+	delete(pp.byIndex, index)
 	return p
 }
 
-func (w *waiters) failAll(err error) {
-	w.mu.Lock()
-	all := w.byIndex
-	w.byIndex = nil
-	w.mu.Unlock()
+func (pp *pendingProposals) failAll(err error) {
+	pp.mu.Lock()
+	all := pp.byIndex
+	pp.byIndex = nil
+	pp.mu.Unlock()
 	for _, p := range all {
 		p.done <- outcome{err: err}
 	}
 }
 
-// outcomeUnknown is the error of a proposal that may or may not be committed.
+// outcomeUnknown returns the error for a proposal that may or may not be committed.
 func outcomeUnknown(reason string) error {
 	return fault.New(fault.Unknown, reason+"; the command may or may not have been committed",
-		"ask by its id for the outcome before sending it again")
+		"look up the outcome by the command's id before sending it again")
 }
 
-// Propose commits a command and returns the result of applying it here.
+// Propose commits a command and returns the result of applying it on this replica.
 //
 // Errors: fault.NotLeader, fault.NoQuorum and fault.Unavailable mean that the
-// command was not and never will be committed. fault.Unknown means that it may
-// have been, or may yet be: because ctx ended, the leadership was lost, or the
-// replica stopped. The caller must then ask by an id inside the command.
+// command was not and never will be committed. fault.Unknown means that it may have
+// been committed, or may yet be, because ctx ended, the leadership was lost or the
+// replica stopped. The caller must then look up the outcome by an id inside the
+// command.
 func (s *Server) Propose(ctx context.Context, data []byte) (any, error) {
 	if len(data) > MaxProposalBytes {
 		return nil, fault.Newf(fault.Invalid, "split the command", "a command of %d bytes is over the limit of %d", len(data), MaxProposalBytes)
@@ -81,43 +82,43 @@
 	select {
 	case s.proposals <- p:
 	case <-s.done:
-		return nil, s.stopped()
+		return nil, s.stoppedError()
 	case <-ctx.Done():
-		return nil, notProposed(ctx)
+		return nil, notProposedError(ctx)
 	}
-	return s.await(ctx, p)
+	return s.awaitOutcome(ctx, p)
 }
 
-func (s *Server) await(ctx context.Context, p *proposal) (any, error) {
+func (s *Server) awaitOutcome(ctx context.Context, p *proposal) (any, error) {
 	select {
-	case end := <-p.done:
-		return end.result, end.err
+	case out := <-p.done:
+		return out.result, out.err
 	case <-ctx.Done():
-		if p.taken.CompareAndSwap(false, true) {
-			return nil, notProposed(ctx)
+		if p.claimed.CompareAndSwap(false, true) {
+			return nil, notProposedError(ctx)
 		}
 		return nil, outcomeUnknown("waiting for the commit ended: " + ctx.Err().Error())
 	case <-s.done:
 	}
 	select {
-	case end := <-p.done:
-		return end.result, end.err
+	case out := <-p.done:
+		return out.result, out.err
 	default:
 	}
-	if p.taken.CompareAndSwap(false, true) {
-		return nil, s.stopped()
+	if p.claimed.CompareAndSwap(false, true) {
+		return nil, s.stoppedError()
 	}
 	return nil, outcomeUnknown("the control replica stopped")
 }
 
-func notProposed(ctx context.Context) error {
+func notProposedError(ctx context.Context) error {
 	return fault.New(fault.Unavailable, "the command was not proposed before its context ended; it was not run",
-		"send it again with more time").Because(ctx.Err())
+		"retry with a longer deadline").Because(ctx.Err())
 }
 
 // propose appends a proposal to the log. It runs in the loop.
 func (s *Server) propose(p *proposal) {
-	if !p.taken.CompareAndSwap(false, true) {
+	if !p.claimed.CompareAndSwap(false, true) {
 		return
 	}
 	index, term, err := s.node.Propose(p.data)
@@ -126,5 +127,5 @@
 		return
 	}
 	p.term = term
-	s.waiters.add(index, p)
+	s.pending.add(index, p)
 }
--- a/replica/server/read.go
+++ b/replica/server/read.go
@@ -8,24 +8,24 @@
 	"github.com/lilackeel/lilackeel/replica"
 )
 
-// readRetries is how often an unanswered read is asked again per election
-// timeout, and readTimeouts for how many election timeouts.
+// A read that is not answered is retried readRetries times per election timeout,
+// and fails after readTimeouts election timeouts.
 const (
 	readRetries  = 4
 	readTimeouts = 2
 )
 
 // ReadIndex returns once the state machine has applied everything that was
-// committed before the call, with the index it is applied up to at least. A
-// follower asks its leader.
+// committed before the call. The index it returns has been applied, and later
+// entries may have been too. A follower forwards the request to its leader.
 //
-// Errors: fault.NoQuorum or fault.NotLeader when no leader with a quorum
-// answered in two election timeouts or before ctx ended.
+// Errors: fault.NoQuorum or fault.NotLeader if no leader with a quorum answered
+// within two election timeouts or before ctx ended.
 func (s *Server) ReadIndex(ctx context.Context) (index uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeouts*s.cfg.ElectionTimeout)
 	defer cancel()
 	for {
-		index, err = s.askReadIndex(ctx)
+		index, err = s.readIndexOnce(ctx)
 		if err == nil {
 			return index, s.waitApplied(ctx, index)
 		}
@@ -41,29 +41,29 @@
 	}
 }
 
-// askReadIndex asks once.
-func (s *Server) askReadIndex(ctx context.Context) (uint64, error) {
+// readIndexOnce makes one attempt.
+func (s *Server) readIndexOnce(ctx context.Context) (uint64, error) {
 	answer := make(chan replica.ReadState, 1)
 	var id uint64
 	var err error
-	if stopped := s.call(func() { id, err = s.startRead(answer) }); stopped != nil {
+	if stopped := s.runInLoop(func() { id, err = s.startRead(answer) }); stopped != nil {
 		return 0, stopped
 	}
 	if err != nil {
 		return 0, err
 	}
-	patience := time.NewTimer(s.cfg.ElectionTimeout / readRetries)
-	defer patience.Stop()
+	retryTimer := time.NewTimer(s.cfg.ElectionTimeout / readRetries)
+	defer retryTimer.Stop()
 	select {
 	case state := <-answer:
 		return state.Index, state.Err
 	case <-s.done:
-		return 0, s.stopped()
+		return 0, s.stoppedError()
 	case <-ctx.Done():
-	case <-patience.C:
+	case <-retryTimer.C:
 	}
-	_ = s.call(func() { s.forgetRead(id) })
-	return 0, fault.New(fault.NoQuorum, "no quorum confirmed the leader in time; nothing was read", "ask again").After(s.cfg.ElectionTimeout)
+	_ = s.runInLoop(func() { s.cancelRead(id) })
+	return 0, fault.New(fault.NoQuorum, "no quorum confirmed the leader in time; nothing was read", "retry the read").After(s.cfg.ElectionTimeout)
 }
 
 // startRead runs in the loop.
@@ -75,14 +75,14 @@
 	return id, err
 }
 
-// forgetRead runs in the loop.
-func (s *Server) forgetRead(id uint64) {
+// cancelRead runs in the loop.
+func (s *Server) cancelRead(id uint64) {
 	delete(s.reads, id)
 	s.node.CancelRead(id)
 }
 
-// answerReads runs in the loop.
-func (s *Server) answerReads(states []replica.ReadState) {
+// deliverReads runs in the loop.
+func (s *Server) deliverReads(states []replica.ReadState) {
 	for _, state := range states {
 		if answer := s.reads[state.ID]; answer != nil {
 			answer <- state
@@ -91,7 +91,7 @@
 	}
 }
 
-// waitApplied returns when the state machine is applied up to index.
+// waitApplied waits until the state machine has applied the log up to index.
 func (s *Server) waitApplied(ctx context.Context, index uint64) error {
 	for {
 		applied, advanced := s.applier.progress()
@@ -101,9 +101,9 @@
 		select {
 		case <-advanced:
 		case <-s.done:
-			return s.stopped()
+			return s.stoppedError()
 		case <-ctx.Done():
-			return fault.Newf(fault.Overloaded, "ask again", "the state machine is applied up to %d only, the read needs %d", applied, index).After(s.cfg.HeartbeatInterval)
+			return fault.Newf(fault.Overloaded, "retry the read", "the state machine has applied the log up to index %d only; the read needs %d", applied, index).After(s.cfg.HeartbeatInterval)
 		}
 	}
 }
--- a/replica/server/server.go
+++ b/replica/server/server.go
@@ -1,13 +1,13 @@
 // Package server runs a replica of the replicated log: it drives a replica.Node
 // with a clock, a write-ahead log, a transport and a state machine.
 //
-// Four kinds of goroutine take part. The loop owns the node and the write-ahead
+// A server has four kinds of goroutines. The loop owns the node and the write-ahead
 // log. The applier owns the state machine. The snapshot writer encodes and writes
-// the file of a snapshot beside them; the loop truncates the log only after that
-// file is durable. The transport has a sender for each peer. Proposals that come
-// in while the loop syncs are stored together by the next sync (group commit).
+// snapshot files concurrently with them; the loop truncates the log only after the
+// file is durable. The transport has one sender per peer. Proposals that arrive
+// while the loop syncs are stored together by the next sync (group commit).
 //
-// Lock order: Server.mu is a leaf; no other lock is taken and no callback is
+// Lock order: Server.mu is a leaf lock. No other lock is taken and no callback is
 // made while it is held.
 package server
 
@@ -30,63 +30,67 @@
 )
 
 const (
-	// DefaultSnapshotEvery is the number of entries between two snapshots.
+	// DefaultSnapshotEvery is the default number of entries between two snapshots.
 	DefaultSnapshotEvery = 10_000
-	// MaxProposalBytes bounds one command.
+	// MaxProposalBytes limits the size of one command.
 	MaxProposalBytes = 1 << 20
 
 	inboxSize     = 4096
 	proposalsSize = 1024
 )
 
-// StateMachine is what the log drives. Its methods are called by one goroutine
-// at a time.
+// StateMachine is the state machine that the log is applied to. One goroutine at a
+// time calls its methods.
 type StateMachine interface {
 	// Apply executes a committed command and returns its result. It must be
-	// deterministic. Commands come in log order, each index once per process.
+	// deterministic. Commands come in log order, each index at most once per
+	// process.
 	Apply(index, term uint64, data []byte) any
-	// Snapshot returns the whole state. It is not called on a Capturer.
+	// Snapshot returns the whole state. If the state machine implements Capturer,
+	// Capture is called instead.
 	Snapshot() ([]byte, error)
 	// Restore replaces the whole state by one that Snapshot returned.
 	Restore(data []byte) error
 }
 
-// Config are the settings of a Server.
+// Config holds the settings of a Server.
 type Config struct {
-	// ID identifies this replica; not zero.
+	// ID identifies this replica. It must not be zero.
 	ID uint64
-	// DataDir is the folder of the write-ahead log.
+	// DataDir is the directory of the write-ahead log.
 	DataDir string
-	// Peers are the initial voters, id to host:port, this one included. With
-	// Join they are the replicas to announce to.
+	// Peers maps the ids of the initial voters, including this one, to their
+	// host:port. With Join, they are the replicas to send join messages to.
 	Peers map[uint64]string
-	// Join keeps a blank disk from bootstrapping a new cluster.
+	// Join prevents a replica with a blank disk from bootstrapping a new cluster.
 	Join bool
 	// Addr is this replica's host:port; Peers[ID] if empty.
 	Addr string
-	// ElectionTimeout is how long a follower waits for a leader before it
-	// stands for election, and for how long a leader leads without a quorum.
+	// ElectionTimeout is how long a follower waits for a message from its leader
+	// before it campaigns, and how long a leader without a quorum keeps leading.
 	ElectionTimeout time.Duration
-	// HeartbeatInterval is the pause between heartbeats.
+	// HeartbeatInterval is the time between two heartbeats of a leader.
 	HeartbeatInterval time.Duration
-	// RepairAfter is how long a voter must be silent before a blank disk takes
-	// its place as a learner; ten election timeouts if zero.
+	// RepairAfter is how long a voter must have been unresponsive before a replica
+	// with a blank disk replaces it as a learner; ten election timeouts if zero.
 	RepairAfter time.Duration
-	// Voters is the number of voters that the cluster keeps by itself; zero leaves
-	// members to the operator.
+	// Voters is the number of voters that the cluster maintains without an
+	// operator; zero leaves membership changes to the operator.
 	Voters int
 	// SnapshotEvery is the number of entries between two snapshots.
 	SnapshotEvery uint64
-	// Trailing is the number of entries kept behind a snapshot.
+	// TrailingEntries is the number of entries before a snapshot that stay in the
+	// log.
 	TrailingEntries uint64
-	// Logger is slog.Default if nil.
+	// Logger defaults to slog.Default().
 	Logger *slog.Logger
-	// DialOptions are for connections to other replicas, for example the
-	// credentials of mutual TLS. Without any the connections are in plain text.
+	// DialOptions are used for connections to other replicas, for example the
+	// credentials for mutual TLS. If there are none, the connections are plain
+	// text.
 	DialOptions []grpc.DialOption
-	// Transport replaces gRPC.
+	// Transport replaces the gRPC transport if it is set.
 	Transport Transport
-	// FS replaces the file system of the write-ahead log.
+	// FS replaces the file system of the write-ahead log if it is set.
 	FS wal.FS
 }
 
@@ -99,17 +103,17 @@
 	transport Transport
 	applier   *applier
 	snapshots *snapshotWriter
-	waiters   waiters
+	pending   pendingProposals
 	started   time.Time
 
-	inbox     chan *pb.Message
-	proposals chan *proposal
-	calls     chan func()
-	reads     map[uint64]chan replica.ReadState // owned by the loop
-	addresses *pb.Membership                    // last told to the transport; owned by the loop
-	counted   replica.Counters                  // already in the metrics; owned by the loop
-	known     leaderInfo                        // last leader and term; owned by the loop
-	admitted  bool                              // the admission is logged; owned by the loop
+	inbox            chan *pb.Message
+	proposals        chan *proposal
+	loopCalls        chan func()
+	reads            map[uint64]chan replica.ReadState // owned by the loop
+	peersMembership  *pb.Membership                    // source of the transport's peers; owned by the loop
+	reportedCounters replica.Counters                  // already added to the metrics; owned by the loop
+	countedLeader    leaderInfo                        // last leader and term counted as a change; owned by the loop
+	admissionLogged  bool                              // whether the admission was logged; owned by the loop
 
 	closing   chan struct{}
 	closeOnce sync.Once
@@ -121,7 +125,7 @@
 	failure       error
 }
 
-// leaderInfo says who leads, as far as this replica knows.
+// leaderInfo identifies the leader that this replica knows.
 type leaderInfo struct {
 	id   uint64
 	addr string
@@ -129,7 +133,8 @@
 	self bool
 }
 
-// Open starts the replica that lives in the data folder, or a new one.
+// Open starts the replica stored in the data directory, or a new one if it is
+// empty.
 func Open(cfg Config, sm StateMachine) (*Server, error) {
 	cfg.setDefaults()
 	log, state, err := wal.Open(wal.Options{Dir: cfg.DataDir, FS: cfg.FS, NewIdentity: randomNumber})
@@ -151,14 +156,14 @@
 		}
 	}
 	saved := replica.Saved{HardState: state.HardState, Snapshot: state.Snapshot, Entries: state.Entries}
-	node, err := replica.New(cfg.node(state.Label), saved, 0)
+	node, err := replica.New(cfg.nodeConfig(state.Label), saved, 0)
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{
 		cfg: cfg, log: cfg.Logger.With("replica", cfg.ID), node: node, wal: log, transport: cfg.Transport,
 		started: time.Now(),
-		inbox:   make(chan *pb.Message, inboxSize), proposals: make(chan *proposal, proposalsSize), calls: make(chan func()),
+		inbox:   make(chan *pb.Message, inboxSize), proposals: make(chan *proposal, proposalsSize), loopCalls: make(chan func()),
 		reads: map[uint64]chan replica.ReadState{}, closing: make(chan struct{}), done: make(chan struct{}),
 		leaderChanged: make(chan struct{}),
 	}
@@ -197,8 +202,8 @@
 	}
 }
 
-// node returns the settings of the node.
-func (c *Config) node(label *pb.DiskLabel) replica.Config {
+// nodeConfig returns the settings of the node.
+func (c *Config) nodeConfig(label *pb.DiskLabel) replica.Config {
 	return replica.Config{
 		ID: c.ID, Addr: c.Addr, Disk: label, Boot: randomNumber(), Peers: c.Peers, Join: c.Join, Voters: c.Voters,
 		ElectionTimeout: c.ElectionTimeout, HeartbeatInterval: c.HeartbeatInterval,
@@ -216,8 +221,8 @@
 	return binary.LittleEndian.Uint64(buffer[:]) | 1
 }
 
-// Receive hands over a message from another replica. When the replica is
-// overloaded the message is lost; the protocol repairs that.
+// Receive queues a message from another replica. If the queue is full the message
+// is dropped; the protocol recovers from lost messages.
 func (s *Server) Receive(message *pb.Message) {
 	select {
 	case s.inbox <- message:
@@ -225,8 +230,8 @@
 	}
 }
 
-// Leader returns who leads the term, as far as this replica knows; id is 0 if it
-// does not.
+// Leader returns the leader of the current term as far as this replica knows; id is
+// 0 if it does not know any.
 func (s *Server) Leader() (id uint64, addr string, term uint64, self bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,63 +239,63 @@
 }
 
 // LeaderChanged returns a channel that is closed when the leader or the term
-// changes. Take it before calling Leader, so that no change is missed.
+// changes. Obtain it before calling Leader, so that no change is missed.
 func (s *Server) LeaderChanged() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.leaderChanged
 }
 
-// Applied returns the index up to which the state machine is applied.
+// Applied returns the index up to which the state machine has applied the log.
 func (s *Server) Applied() uint64 { return s.applier.index() }
 
-// Done returns a channel that is closed when the replica has stopped, by Close
-// or for good because of a failure that Err returns.
+// Done returns a channel that is closed when the replica has stopped, either by
+// Close or because of a permanent failure that Err returns.
 func (s *Server) Done() <-chan struct{} { return s.done }
 
-// Err returns the failure that stopped the replica for good, or nil.
+// Err returns the failure that stopped the replica permanently, or nil.
 func (s *Server) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failure
 }
 
-// Status is a view of a replica.
+// Status is a snapshot of a replica's state.
 type Status struct {
 	replica.Status
-	// Applied is the index up to which the state machine is applied.
+	// Applied is the index up to which the state machine has applied the log.
 	Applied uint64
-	// Err is the failure that stopped the replica for good, or nil.
+	// Err is the failure that stopped the replica permanently, or nil.
 	Err error
 }
 
-// Status returns a view of the replica.
+// Status returns a snapshot of the replica's state.
 func (s *Server) Status() Status {
 	status := Status{}
-	_ = s.call(func() { status.Status = s.node.Status() })
+	_ = s.runInLoop(func() { status.Status = s.node.Status() })
 	status.Applied = s.Applied()
 	status.Err = s.Err()
 	return status
 }
 
-// call runs f in the loop.
-func (s *Server) call(f func()) error {
+// runInLoop runs f in the loop goroutine and waits for it.
+func (s *Server) runInLoop(f func()) error {
 	finished := make(chan struct{})
 	wrapped := func() {
 		f()
 		close(finished)
 	}
 	select {
-	case s.calls <- wrapped:
+	case s.loopCalls <- wrapped:
 	case <-s.done:
-		return s.stopped()
+		return s.stoppedError()
 	}
 	<-finished
 	return nil
 }
 
-// stopped returns the error for requests to a stopped replica.
-func (s *Server) stopped() error {
+// stoppedError returns the error for requests to a stopped replica.
+func (s *Server) stoppedError() error {
 	err := fault.New(fault.Unavailable, "this control replica has stopped; nothing was done", "ask another control replica")
 	if failure := s.Err(); failure != nil {
 		return err.Because(failure)
@@ -298,8 +303,8 @@
 	return err
 }
 
-// Close stops the replica. Proposals under way end as unknown. A snapshot that is
-// being written is waited for.
+// Close stops the replica and waits for a snapshot that is being written. Pending
+// proposals fail with an unknown outcome.
 func (s *Server) Close() error {
 	s.closeOnce.Do(func() { close(s.closing) })
 	<-s.done
--- a/replica/server/server_test.go
+++ b/replica/server/server_test.go
@@ -27,64 +27,64 @@
 	"github.com/lilackeel/lilackeel/wal"
 )
 
-// list is a state machine that remembers commands.
-type list struct {
+// commandList is a state machine that stores the commands it has applied.
+type commandList struct {
 	delay    time.Duration // of each command
-	forgets  bool          // keeps nothing, for benchmarks
+	discard  bool          // stores nothing, for benchmarks
 	mu       sync.Mutex
 	commands []string
 }
 
-func (l *list) Apply(_, _ uint64, data []byte) any {
+func (l *commandList) Apply(_, _ uint64, data []byte) any {
 	time.Sleep(l.delay)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.forgets {
+	if l.discard {
 		return nil
 	}
 	l.commands = append(l.commands, string(data))
 	return len(l.commands)
 }
 
-func (l *list) Snapshot() ([]byte, error) {
+func (l *commandList) Snapshot() ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return json.Marshal(l.commands)
 }
 
-func (l *list) Restore(data []byte) error {
+func (l *commandList) Restore(data []byte) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.commands = nil
 	return json.Unmarshal(data, &l.commands)
 }
 
-func (l *list) all() []string {
+func (l *commandList) all() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.commands...)
 }
 
-// cluster is a set of replicas on loopback gRPC.
+// cluster is a set of replicas that communicate by gRPC over loopback.
 type cluster struct {
 	t        testing.TB
 	cfg      Config
 	peers    map[uint64]string
 	dirs     map[uint64]string
 	replicas map[uint64]*Server
-	machines map[uint64]*list
+	machines map[uint64]*commandList
 	grpc     map[uint64]*grpc.Server
-	// forgetful state machines keep nothing.
-	forgetful bool
-	// repeated counts the proposals that were made again though their outcome was
-	// not known: each may be in the log once more.
+	// discardCommands makes the state machines store nothing.
+	discardCommands bool
+	// repeated counts the proposals that were repeated because their outcome was
+	// unknown. Each may be in the log twice.
 	repeated int
 }
 
 func newCluster(t testing.TB, size int, cfg Config) *cluster {
 	_, benchmark := t.(*testing.B)
-	c := &cluster{t: t, cfg: cfg, forgetful: benchmark, peers: map[uint64]string{}, dirs: map[uint64]string{},
-		replicas: map[uint64]*Server{}, machines: map[uint64]*list{}, grpc: map[uint64]*grpc.Server{}}
+	c := &cluster{t: t, cfg: cfg, discardCommands: benchmark, peers: map[uint64]string{}, dirs: map[uint64]string{},
+		replicas: map[uint64]*Server{}, machines: map[uint64]*commandList{}, grpc: map[uint64]*grpc.Server{}}
 	listeners := map[uint64]net.Listener{}
 	for id := uint64(1); id <= uint64(size); id++ {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -116,7 +116,7 @@
 	cfg := c.cfg
 	cfg.ID, cfg.DataDir, cfg.Peers, cfg.Addr = id, c.dirs[id], maps.Clone(c.peers), c.peers[id]
 	cfg.Logger = slog.New(slog.DiscardHandler)
-	machine := &list{forgets: c.forgetful}
+	machine := &commandList{discard: c.discardCommands}
 	server, err := Open(cfg, machine)
 	if err != nil {
 		c.t.Fatal(err)
@@ -133,7 +133,7 @@
 	delete(c.replicas, id)
 }
 
-// propose commits a command through whoever leads.
+// propose commits a command through the current leader and returns the leader's id.
 func (c *cluster) propose(command string) uint64 {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -180,13 +180,13 @@
 			c.propose("after")
 			for id, replica := range c.replicas {
 				c.read(replica)
-				is.Equal(slices.Compact(c.machines[id].all()), want) // a command of unknown outcome may be there twice
+				is.Equal(slices.Compact(c.machines[id].all()), want) // a command of unknown outcome may be in the log twice
 			}
 		})
 	}
 }
 
-// read waits for a linearizable read at any replica.
+// read waits for a linearizable read at a replica to succeed.
 func (c *cluster) read(replica *Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -201,11 +201,11 @@
 	}
 }
 
-// A replica whose folder was wiped, with two megabytes of state to fetch in
-// chunks, comes back as a learner and is promoted without an operator.
+// A replica whose data directory was wiped, and that needs two megabytes of state
+// in several chunks, rejoins as a learner and is promoted without an operator.
 func TestWipedFolderRejoins(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk}, Step: "folder wiped while its replica is down",
-		Guard: "the place offered to a blank disk, its promotion, and the snapshot in chunks, each alone"}.Log(t)
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk}, Step: "data directory wiped while its replica is down",
+		Guard: "the membership entry for a blank disk, its promotion, and the snapshot in chunks, each alone"}.Log(t)
 	is := is.New(t)
 	c := newCluster(t, 3, Config{ElectionTimeout: 100 * time.Millisecond, RepairAfter: 300 * time.Millisecond, SnapshotEvery: 2, TrailingEntries: 1})
 	big := strings.Repeat("x", MaxProposalBytes*2/3)
@@ -223,16 +223,16 @@
 	c.read(c.replicas[wiped])
 	all := c.machines[wiped].all()
 	once := slices.Compact(slices.Clone(all[:slices.Index(all, "meanwhile")]))
-	is.Equal(len(once), 5) // the four and the last, in their order
+	is.Equal(len(once), 5) // the four large commands and the last one, in order
 	for i := range 4 {
 		is.True(once[i] == fmt.Sprint(i, big))
 	}
-	is.True(slices.Index(all, "meanwhile")-len(once) <= c.repeated) // nothing is there twice that was proposed once
+	is.True(slices.Index(all, "meanwhile")-len(once) <= c.repeated) // no command that was proposed once was applied twice
 }
 
-// A fourth replica joins with an empty folder, becomes a voter, and is removed
-// again, as is the leader after it has handed over.
-func TestMembershipByOperators(t *testing.T) {
+// A fourth replica joins with an empty data directory, becomes a voter and leads.
+// Then the former leader is removed.
+func TestOperatorMembershipChanges(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3, Config{ElectionTimeout: 200 * time.Millisecond})
 	change := func(change replica.ConfChange) {
@@ -266,23 +266,24 @@
 	}
 }
 
-// brokenFS is the operating system's file system until its syncs fail.
-type brokenFS struct {
+// failingSyncFS is the operating system's file system, except that syncs fail once
+// broken is set.
+type failingSyncFS struct {
 	wal.OS
 	broken atomic.Bool
 }
 
-type brokenFile struct {
+type failingSyncFile struct {
 	wal.File
-	fs *brokenFS
+	fs *failingSyncFS
 }
 
-func (b *brokenFS) Create(path string) (wal.File, error) {
+func (b *failingSyncFS) Create(path string) (wal.File, error) {
 	file, err := b.OS.Create(path)
-	return brokenFile{file, b}, err
+	return failingSyncFile{file, b}, err
 }
 
-func (f brokenFile) Sync() error {
+func (f failingSyncFile) Sync() error {
 	if f.fs.broken.Load() {
 		return errors.New("injected: input/output error")
 	}
@@ -296,7 +297,7 @@
 			Guard: "stopping at a failed sync before anything is applied"}.Log(t)
 	}
 	is := is.New(t)
-	files := &brokenFS{}
+	files := &failingSyncFS{}
 	c := newCluster(t, 1, Config{ElectionTimeout: 50 * time.Millisecond, FS: files})
 	c.propose("good")
 	files.broken.Store(true)
@@ -308,19 +309,19 @@
 	is.Equal(c.machines[1].all(), []string{"good"}) // not applied either
 	files.broken.Store(false)
 	_, err = c.replicas[1].Propose(ctx, []byte("later"))
-	is.Equal(fault.KindOf(err), fault.Unavailable) // it does not go on as though nothing had been
+	is.Equal(fault.KindOf(err), fault.Unavailable) // the replica does not resume once syncs succeed again
 	_, err = c.replicas[1].ReadIndex(ctx)
 	is.Equal(fault.KindOf(err), fault.Unavailable)
 }
 
-// hub is a transport between replicas of one process that can be cut.
+// hub connects replicas of one process and can cut them off from each other.
 type hub struct {
 	mu       sync.Mutex
 	replicas map[uint64]*Server
 	cut      map[uint64]bool
 }
 
-// port is one replica's end of a hub.
+// port is the transport of one replica of a hub.
 type port struct {
 	*hub
 	id uint64
@@ -340,13 +341,13 @@
 
 func (p port) Close() error { return nil }
 
-// newHubCluster returns three replicas of one process, whose state machines take
-// a while for each command.
+// newHubCluster returns three replicas connected by a hub, whose state machines
+// take 300 ms per command.
 func newHubCluster(t *testing.T) (*cluster, *hub) {
 	h := &hub{replicas: map[uint64]*Server{}, cut: map[uint64]bool{}}
-	c := &cluster{t: t, replicas: h.replicas, machines: map[uint64]*list{}}
+	c := &cluster{t: t, replicas: h.replicas, machines: map[uint64]*commandList{}}
 	for id := uint64(1); id <= 3; id++ {
-		c.machines[id] = &list{delay: 300 * time.Millisecond}
+		c.machines[id] = &commandList{delay: 300 * time.Millisecond}
 		replica, err := Open(Config{
 			ID: id, DataDir: t.TempDir(), Peers: map[uint64]string{1: "one", 2: "two", 3: "three"},
 			Transport: port{h, id}, Logger: slog.New(slog.DiscardHandler),
@@ -367,10 +368,11 @@
 	}
 }
 
-// A leader that is cut off in silence ends its proposals as unknown and its
-// reads as not read, at once when it steps down, and the others go on.
-func TestCutOffLeaderAnswersItsCallers(t *testing.T) {
-	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.CutBothWays}, Step: "proposal under way at a leader that is cut off",
+// When an isolated leader steps down, it immediately fails its pending proposals
+// with an unknown outcome and its pending reads, and the other replicas elect a
+// leader.
+func TestIsolatedLeaderAnswersItsCallers(t *testing.T) {
+	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.CutBothWays}, Step: "proposal pending at a leader that is cut off",
 		Guard: "outcome unknown when the leadership is lost"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -390,7 +392,7 @@
 		}()
 		_, err := old.Propose(ctx, []byte("cut off"))
 		is.Equal(fault.KindOf(err), fault.Unknown)
-		is.True(strings.Contains(err.Error(), "leadership was lost")) // not because of its context
+		is.True(strings.Contains(err.Error(), "leadership was lost")) // rather than because its context ended
 		<-changed
 		_, err = old.Propose(ctx, []byte("no leader"))
 		is.Equal(fault.KindOf(err), fault.NoQuorum)
@@ -400,11 +402,11 @@
 	})
 }
 
-// A read at a follower waits until its state machine has caught up, and a
-// command that its caller gave up before it was proposed is never run.
-func TestReadsWaitAndAbandonedCommandsAreNotRun(t *testing.T) {
-	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.Freeze}, Step: "command given up while the leader's loop stands still",
-		Guard: "a command that was given up is not proposed"}.Log(t)
+// A read at a follower waits until its state machine has caught up. A command whose
+// caller gave up before it was proposed is never run.
+func TestReadsWaitForApplyAndCancelledCommandsAreNotRun(t *testing.T) {
+	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.Freeze}, Step: "command cancelled while the leader's loop is blocked",
+		Guard: "a cancelled command is not proposed"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c, h := newHubCluster(t)
@@ -415,7 +417,7 @@
 		is.Equal(c.machines[follower].all(), []string{"first"})
 
 		release := make(chan struct{})
-		go leader.call(func() { <-release })
+		go leader.runInLoop(func() { <-release })
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer cancel()
--- a/replica/server/service.go
+++ b/replica/server/service.go
@@ -11,7 +11,7 @@
 	pb "github.com/lilackeel/lilackeel/api/replica/v1"
 )
 
-// maxSnapshotBytes bounds the memory that a snapshot under way may take.
+// maxSnapshotBytes limits the memory for a snapshot that is being received.
 const maxSnapshotBytes = 2 << 30
 
 // Register adds the Replica service to a gRPC server.
@@ -27,7 +27,7 @@
 
 // Send implements the Replica service.
 func (v *service) Send(stream pb.Replica_SendServer) error {
-	assembly := assembly{}
+	assembly := snapshotAssembly{}
 	for {
 		request, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
@@ -47,7 +47,7 @@
 	}
 }
 
-func (v *service) receive(a *assembly, request *pb.SendRequest) error {
+func (v *service) receive(a *snapshotAssembly, request *pb.SendRequest) error {
 	if chunk := request.GetChunk(); chunk != nil {
 		if err := a.add(chunk); err != nil {
 			return err
@@ -66,13 +66,13 @@
 	return nil
 }
 
-// assembly joins the chunks of a snapshot.
-type assembly struct {
+// snapshotAssembly joins the chunks of a snapshot.
+type snapshotAssembly struct {
 	data  []byte
 	total uint64
 }
 
-func (a *assembly) add(chunk *pb.SnapshotChunk) error {
+func (a *snapshotAssembly) add(chunk *pb.SnapshotChunk) error {
 	if chunk.GetTotal() > maxSnapshotBytes {
 		return status.Errorf(codes.ResourceExhausted, "a snapshot of %d bytes is over the limit of %d", chunk.GetTotal(), maxSnapshotBytes)
 	}
@@ -80,18 +80,18 @@
 		a.data, a.total = nil, chunk.GetTotal()
 	}
 	if chunk.GetOffset() != uint64(len(a.data)) || chunk.GetTotal() != a.total {
-		return status.Errorf(codes.InvalidArgument, "snapshot chunk at %d does not follow %d", chunk.GetOffset(), len(a.data))
+		return status.Errorf(codes.InvalidArgument, "snapshot chunk at offset %d does not follow the %d bytes received", chunk.GetOffset(), len(a.data))
 	}
 	a.data = append(a.data, chunk.GetData()...)
 	return nil
 }
 
-// take returns the data gathered, which must be whole.
-func (a *assembly) take() ([]byte, error) {
+// take returns the collected data, or an error if it is incomplete.
+func (a *snapshotAssembly) take() ([]byte, error) {
 	data, total := a.data, a.total
 	a.data, a.total = nil, 0
 	if uint64(len(data)) != total {
-		return nil, status.Errorf(codes.InvalidArgument, "snapshot has %d bytes of %d", len(data), total)
+		return nil, status.Errorf(codes.InvalidArgument, "snapshot truncated: got %d of %d bytes", len(data), total)
 	}
 	return data, nil
 }
--- a/replica/server/snapshot.go
+++ b/replica/server/snapshot.go
@@ -8,21 +8,23 @@
 	"github.com/lilackeel/lilackeel/wal"
 )
 
-// Capturer is a StateMachine whose snapshots hold its commands up only shortly.
+// Capturer is a StateMachine that can take a snapshot without delaying commands for
+// as long as it takes to encode.
 type Capturer interface {
-	// Capture notes the whole state between two commands and returns what encodes
-	// it, as Snapshot would have then. The encoder is called at most once, beside
-	// later commands.
+	// Capture records the whole state between two commands and returns a function
+	// that encodes it as Snapshot would have at that point. That function is called
+	// at most once, concurrently with later commands.
 	Capture() func() ([]byte, error)
 }
 
-// capture is the state at an index, not yet encoded.
-type capture struct {
+// capturedState is the state at an index, not yet encoded.
+type capturedState struct {
 	index  uint64
 	encode func() ([]byte, error)
 }
 
-// captureState notes the state of the machine, which must stand still meanwhile.
+// captureState captures the state of the state machine, which must not apply
+// commands at the same time.
 func captureState(sm StateMachine) func() ([]byte, error) {
 	if capturer, ok := sm.(Capturer); ok {
 		return capturer.Capture()
@@ -31,25 +33,25 @@
 	return func() ([]byte, error) { return data, err }
 }
 
-// snapshotWriter encodes and writes snapshots beside the loop, one at a time, and
-// removes the files that they have replaced.
+// snapshotWriter encodes and writes snapshots in its own goroutine, one at a time,
+// and removes the files that they have made obsolete.
 type snapshotWriter struct {
 	wal      *wal.Log
 	jobs     chan snapshotJob
 	cleanups chan struct{}
-	written  chan writtenSnapshot
+	results  chan snapshotResult
 	stopping chan struct{}
 	stopped  chan struct{}
 }
 
-// snapshotJob is a snapshot that lacks its data only.
+// snapshotJob is a snapshot whose data is still to be encoded.
 type snapshotJob struct {
 	snapshot *pb.Snapshot
 	encode   func() ([]byte, error)
 }
 
-// writtenSnapshot is the end of a job.
-type writtenSnapshot struct {
+// snapshotResult is the result of a job.
+type snapshotResult struct {
 	snapshot *pb.Snapshot
 	file     *wal.SnapshotFile
 	err      error
@@ -57,7 +59,7 @@
 
 func newSnapshotWriter(log *wal.Log) *snapshotWriter {
 	return &snapshotWriter{
-		wal: log, jobs: make(chan snapshotJob, 1), cleanups: make(chan struct{}, 1), written: make(chan writtenSnapshot, 1),
+		wal: log, jobs: make(chan snapshotJob, 1), cleanups: make(chan struct{}, 1), results: make(chan snapshotResult, 1),
 		stopping: make(chan struct{}), stopped: make(chan struct{}),
 	}
 }
@@ -72,82 +74,82 @@
 			w.report(w.write(job))
 		case <-w.cleanups:
 			if err := w.wal.RemoveObsolete(); err != nil {
-				w.report(writtenSnapshot{err: err})
+				w.report(snapshotResult{err: err})
 			}
 		}
 	}
 }
 
-// report tells the loop, unless that has ended.
-func (w *snapshotWriter) report(written writtenSnapshot) {
+// report sends a result to the loop, unless the writer is being stopped.
+func (w *snapshotWriter) report(result snapshotResult) {
 	select {
-	case w.written <- written:
+	case w.results <- result:
 	case <-w.stopping:
 	}
 }
 
-// clean has obsolete files removed soon.
-func (w *snapshotWriter) clean() {
+// requestCleanup schedules the removal of obsolete files.
+func (w *snapshotWriter) requestCleanup() {
 	select {
 	case w.cleanups <- struct{}{}:
-	default: // the one that is due removes all
+	default: // the pending cleanup removes all obsolete files
 	}
 }
 
-// write makes a snapshot durable, unless the replica is stopping.
-func (w *snapshotWriter) write(job snapshotJob) writtenSnapshot {
+// write encodes a snapshot and makes it durable, unless the replica is stopping.
+func (w *snapshotWriter) write(job snapshotJob) snapshotResult {
 	started := time.Now()
 	data, err := job.encode()
 	if err != nil {
-		return writtenSnapshot{err: fault.New(fault.Internal, "the state machine made no snapshot", "see the cause").Because(err)}
+		return snapshotResult{err: fault.New(fault.Internal, "the state machine failed to encode a snapshot", "see the cause").Because(err)}
 	}
 	select {
 	case <-w.stopping:
-		return writtenSnapshot{}
+		return snapshotResult{}
 	default:
 	}
 	job.snapshot.Data = data
 	file, err := w.wal.WriteSnapshot(job.snapshot)
 	if err != nil {
-		return writtenSnapshot{err: err}
+		return snapshotResult{err: err}
 	}
 	snapshotSeconds.UpdateDuration(started)
 	snapshotBytes.Set(float64(file.Size()))
-	return writtenSnapshot{snapshot: job.snapshot, file: file}
+	return snapshotResult{snapshot: job.snapshot, file: file}
 }
 
-// stop waits for the write under way, since the data folder must not be released
-// before.
+// stop waits for the current write to finish, because the data directory must not
+// be released before.
 func (w *snapshotWriter) stop() {
 	close(w.stopping)
 	<-w.stopped
 }
 
-// startSnapshot hands a captured state to the writer. It runs in the loop, which
-// knows the term and the membership of its index.
-func (s *Server) startSnapshot(captured capture) {
+// startSnapshot passes a captured state to the writer. It runs in the loop, which
+// knows the term and the membership at its index.
+func (s *Server) startSnapshot(captured capturedState) {
 	term := s.node.TermAt(captured.index)
-	if term == 0 { // a newer snapshot came from the leader
-		s.applier.snapshotting.Store(false)
+	if term == 0 { // a newer snapshot was received from the leader
+		s.applier.snapshotPending.Store(false)
 		return
 	}
-	membership, placed := s.node.MembershipAt(captured.index)
-	snapshot := &pb.Snapshot{Index: captured.index, Term: term, Membership: membership, MembershipIndex: placed}
+	membership, membershipIndex := s.node.MembershipAt(captured.index)
+	snapshot := &pb.Snapshot{Index: captured.index, Term: term, Membership: membership, MembershipIndex: membershipIndex}
 	s.snapshots.jobs <- snapshotJob{snapshot: snapshot, encode: captured.encode}
 }
 
-// finishSnapshot truncates the log below a durable snapshot, on the disk first.
-// If a newer one came from the leader meanwhile, that one stays. It runs in the
-// loop.
-func (s *Server) finishSnapshot(written writtenSnapshot) error {
-	if written.err != nil {
-		return written.err
+// finishSnapshot installs a durable snapshot and truncates the log before it, on
+// disk first. If a newer snapshot was received from the leader in the meantime, the
+// newer one is kept. It runs in the loop.
+func (s *Server) finishSnapshot(result snapshotResult) error {
+	if result.err != nil {
+		return result.err
 	}
-	if err := s.wal.InstallSnapshot(written.file); err != nil {
+	if err := s.wal.InstallSnapshot(result.file); err != nil {
 		return err
 	}
-	s.node.Compact(written.snapshot)
-	s.snapshots.clean()
-	s.applier.snapshotting.Store(false)
+	s.node.Compact(result.snapshot)
+	s.snapshots.requestCleanup()
+	s.applier.snapshotPending.Store(false)
 	return nil
 }
--- a/replica/server/pause_test.go
+++ b/replica/server/snapshot_bench_test.go
@@ -13,22 +13,22 @@
 	pb "github.com/lilackeel/lilackeel/api/replica/v1"
 )
 
-// bulky is a state machine whose state has many records that never change.
-type bulky struct{ records []*pb.Entry }
+// largeState is a state machine whose state has many records that never change.
+type largeState struct{ records []*pb.Entry }
 
-func newBulky(count int) *bulky {
-	b := &bulky{records: make([]*pb.Entry, count)}
+func newLargeState(count int) *largeState {
+	b := &largeState{records: make([]*pb.Entry, count)}
 	for i := range b.records {
 		b.records[i] = &pb.Entry{Index: uint64(i), Term: 1, Data: make([]byte, 150)}
 	}
 	return b
 }
 
-func (b *bulky) Apply(uint64, uint64, []byte) any { return nil }
+func (b *largeState) Apply(uint64, uint64, []byte) any { return nil }
 
-func (b *bulky) Snapshot() ([]byte, error) { return b.Capture()() }
+func (b *largeState) Snapshot() ([]byte, error) { return b.Capture()() }
 
-func (b *bulky) Capture() func() ([]byte, error) {
+func (b *largeState) Capture() func() ([]byte, error) {
 	return func() (data []byte, err error) {
 		for i := 0; i < len(b.records) && err == nil; i++ {
 			data, err = proto.MarshalOptions{}.MarshalAppend(data, b.records[i])
@@ -37,16 +37,16 @@
 	}
 }
 
-func (b *bulky) Restore([]byte) error { return nil }
+func (b *largeState) Restore([]byte) error { return nil }
 
-// gaps remembers the longest time between two events.
-type gaps struct {
+// gapRecorder records the longest time between two events.
+type gapRecorder struct {
 	mu      sync.Mutex
 	last    time.Time
 	longest time.Duration
 }
 
-func (g *gaps) event() {
+func (g *gapRecorder) event() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -56,16 +56,16 @@
 	g.last = now
 }
 
-func (g *gaps) milliseconds() float64 {
+func (g *gapRecorder) milliseconds() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return float64(g.longest) / float64(time.Millisecond)
 }
 
-// heartbeatPort notes when a replica sends heartbeats to replica 2.
+// heartbeatPort records when a replica sends heartbeats to replica 2.
 type heartbeatPort struct {
 	port
-	gaps *gaps
+	gaps *gapRecorder
 }
 
 func (p heartbeatPort) Send(messages []*pb.Message) {
@@ -78,12 +78,13 @@
 }
 
 // BenchmarkSnapshotPause measures the longest time between two heartbeats and
-// between two commits of a leader while it makes a snapshot. The others make
-// none. Run it with -benchtime 3x or so; each round is one snapshot.
+// between two commits of a leader while it makes a snapshot. The other replicas
+// make none. Each iteration is one snapshot, so run it with a small -benchtime such
+// as 3x.
 func BenchmarkSnapshotPause(b *testing.B) {
 	for _, records := range []int{1, 100_000, 1_000_000} {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
-			beats, commits := &gaps{}, &gaps{}
+			beats, commits := &gapRecorder{}, &gapRecorder{}
 			h := &hub{replicas: map[uint64]*Server{}, cut: map[uint64]bool{}}
 			defer h.close()
 			for id := uint64(3); id >= 1; id-- {
@@ -92,11 +93,11 @@
 					Transport: port{h, id}, Logger: slog.New(slog.DiscardHandler), ElectionTimeout: time.Minute,
 					HeartbeatInterval: 20 * time.Millisecond, SnapshotEvery: 1 << 40,
 				}
-				machine := newBulky(1)
+				machine := newLargeState(1)
 				if id == 1 {
 					cfg.Transport, cfg.ElectionTimeout, cfg.SnapshotEvery = heartbeatPort{port{h, id}, beats}, 2*time.Second, 200
 					cfg.TrailingEntries = 1
-					machine = newBulky(records)
+					machine = newLargeState(records)
 				}
 				replica, err := Open(cfg, machine)
 				if err != nil {
@@ -117,7 +118,7 @@
 				}
 			}
 			commit()
-			*beats, *commits = gaps{}, gaps{}
+			*beats, *commits = gapRecorder{}, gapRecorder{}
 			b.ResetTimer()
 			for range b.N {
 				for first := leader.Status().First; leader.Status().First == first; {
--- a/replica/server/snapshot_test.go
+++ b/replica/server/snapshot_test.go
@@ -19,9 +19,9 @@
 	"github.com/lilackeel/lilackeel/wal"
 )
 
-// gatedFS is the operating system's file system. Once armed, it holds the sync of
-// a snapshot's file until it is released, and once counting, it fails one
-// operation and all after it.
+// gatedFS is the operating system's file system with two faults. When armed, it
+// blocks the sync of a snapshot file until it is released. When failAt is set, that
+// operation and all later ones fail.
 type gatedFS struct {
 	wal.OS
 	armed            atomic.Bool
@@ -77,25 +77,25 @@
 	return errors.Join(f.fs.operation(), f.File.Sync())
 }
 
-// capturing is a list that is encoded beside later commands.
-type capturing struct{ *list }
+// capturingList is a commandList that implements Capturer.
+type capturingList struct{ *commandList }
 
-func (c capturing) Capture() func() ([]byte, error) {
-	captured := &list{commands: c.all()}
+func (c capturingList) Capture() func() ([]byte, error) {
+	captured := &commandList{commands: c.all()}
 	return captured.Snapshot
 }
 
-const gatedEvery = 5
+const hubSnapshotEvery = 5
 
-// openGated opens a replica of a hub on a folder, and returns its state machine.
-func (h *hub) openGated(t *testing.T, id uint64, folder string, files wal.FS, peers int) *list {
-	machine := &list{}
-	cfg := Config{ID: id, DataDir: folder, Peers: map[uint64]string{}, FS: files, SnapshotEvery: gatedEvery, TrailingEntries: 1,
+// openReplica opens a replica of the hub in a folder and returns its state machine.
+func (h *hub) openReplica(t *testing.T, id uint64, folder string, files wal.FS, peers int) *commandList {
+	machine := &commandList{}
+	cfg := Config{ID: id, DataDir: folder, Peers: map[uint64]string{}, FS: files, SnapshotEvery: hubSnapshotEvery, TrailingEntries: 1,
 		Transport: port{h, id}, Logger: slog.New(slog.DiscardHandler)}
 	for peer := range peers {
 		cfg.Peers[uint64(peer+1)] = "hub"
 	}
-	server, err := Open(cfg, capturing{machine})
+	server, err := Open(cfg, capturingList{machine})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,29 +107,29 @@
 
 func newHub() *hub { return &hub{replicas: map[uint64]*Server{}, cut: map[uint64]bool{}} }
 
-// While the file of a snapshot is not durable, commits go on, the log is whole,
-// and a crash loses nothing; Close waits for the file.
-func TestSnapshotIsWrittenBesideTheLog(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill}, Step: "snapshot written and not yet durable",
-		Guard: "truncation waits for the file of the snapshot"}.Log(t)
+// While a snapshot file is not yet durable, commits continue, the log is not
+// truncated, and a crash loses nothing. Close waits for the file.
+func TestCommitsContinueWhileSnapshotIsWritten(t *testing.T) {
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill}, Step: "snapshot written but not yet durable",
+		Guard: "truncation waits for the snapshot file"}.Log(t)
 	folder := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h, files := newHub(), newGatedFS()
-		machine := h.openGated(t, 1, folder, files, 1)
+		machine := h.openReplica(t, 1, folder, files, 1)
 		c := &cluster{t: t, replicas: h.replicas}
 		replica := h.replicas[1]
 		files.armed.Store(true)
-		for i := range 3 * gatedEvery {
+		for i := range 3 * hubSnapshotEvery {
 			c.propose(fmt.Sprint("command ", i))
 		}
 		<-files.reached
 		is.Equal(replica.Status().First, uint64(1))
 
-		crashed := newHub() // a copy of the folder in this moment
+		crashed := newHub() // runs on a copy of the folder at this point
 		crashedFolder := t.TempDir()
 		is.NoErr(os.CopyFS(crashedFolder, os.DirFS(folder)))
-		copied := crashed.openGated(t, 1, crashedFolder, wal.OS{}, 1)
+		copied := crashed.openReplica(t, 1, crashedFolder, wal.OS{}, 1)
 		(&cluster{t: t, replicas: crashed.replicas}).read(crashed.replicas[1])
 		is.Equal(copied.all(), machine.all())
 		crashed.close()
@@ -137,13 +137,13 @@
 		files.release <- struct{}{}
 		synctest.Wait()
 		is.True(replica.Status().First > 1)
-		c.propose("makes the next one")
+		c.propose("triggers the next snapshot")
 		<-files.reached
 		files.release <- struct{}{}
 		synctest.Wait()
 		_, err := os.Stat(folder + "/0000000000000001.wal")
-		is.True(errors.Is(err, os.ErrNotExist)) // the next one was after all of it
-		for i := range gatedEvery {
+		is.True(errors.Is(err, os.ErrNotExist)) // the next snapshot covers all of it
+		for i := range hubSnapshotEvery {
 			c.propose(fmt.Sprint("last ", i))
 		}
 		<-files.reached
@@ -160,23 +160,24 @@
 		}
 		close(files.release)
 		<-closed
-		again := h.openGated(t, 1, folder, wal.OS{}, 1)
+		again := h.openReplica(t, 1, folder, wal.OS{}, 1)
 		c.read(h.replicas[1])
 		is.Equal(again.all(), machine.all())
 		h.close()
 	})
 }
 
-// A snapshot that the leader sends while an older one is being written stays.
-func TestSnapshotFromTheLeaderWins(t *testing.T) {
+// A snapshot received from the leader is kept when the replica finishes writing an
+// older one of its own.
+func TestNewerSnapshotFromLeaderIsKept(t *testing.T) {
 	folders := []string{"", t.TempDir(), t.TempDir(), t.TempDir()}
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHub()
-		files, machines := make([]*gatedFS, 4), make([]*list, 4)
+		files, machines := make([]*gatedFS, 4), make([]*commandList, 4)
 		for id := uint64(1); id <= 3; id++ {
 			files[id] = newGatedFS()
-			machines[id] = h.openGated(t, id, folders[id], files[id], 3)
+			machines[id] = h.openReplica(t, id, folders[id], files[id], 3)
 		}
 		defer h.close()
 		c := &cluster{t: t, replicas: h.replicas}
@@ -188,20 +189,20 @@
 		leader := c.propose("first")
 		behind := leader%3 + 1
 		files[behind].armed.Store(true)
-		for i := range gatedEvery {
+		for i := range hubSnapshotEvery {
 			c.propose(fmt.Sprint("early ", i))
 		}
 		<-files[behind].reached
-		files[behind].armed.Store(false) // of the next one, from the leader
+		files[behind].armed.Store(false) // do not block the next snapshot, from the leader
 		setCut(behind, true)
-		for i := range 4 * gatedEvery {
+		for i := range 4 * hubSnapshotEvery {
 			c.propose(fmt.Sprint("meanwhile ", i))
 			synctest.Wait() // so that snapshots are made in time
 		}
 		setCut(behind, false)
 		c.read(h.replicas[behind])
 		before := h.replicas[behind].Status()
-		is.True(before.First > 2*gatedEvery) // it got the snapshot of another
+		is.True(before.First > 2*hubSnapshotEvery) // it received the leader's snapshot
 		close(files[behind].release)
 		synctest.Wait()
 		after := h.replicas[behind].Status()
@@ -209,15 +210,15 @@
 		is.Equal(after.Snapshot, before.Snapshot)
 
 		h.replicas[behind].Close()
-		again := h.openGated(t, behind, folders[behind], wal.OS{}, 3)
+		again := h.openReplica(t, behind, folders[behind], wal.OS{}, 3)
 		c.read(h.replicas[behind])
 		is.Equal(slices.Compact(again.all()), slices.Compact(machines[leader].all()))
 	})
 }
 
-// Whichever file operation fails, also one of the snapshot writer, the replica
-// stops, and what was acknowledged is there after a restart.
-func TestEveryFailedOperationStopsTheReplica(t *testing.T) {
+// Whichever file operation fails, including those of the snapshot writer, the
+// replica stops, and everything acknowledged is present after a restart.
+func TestEveryFailedFileOperationStopsReplica(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.FullDisk}, Step: "every file operation of a running replica, then a restart", Together: true,
 		Guard: "stopping at a failure of the log"}.Log(t)
 	for failAt, failed := int64(1), true; failed; failAt++ {
@@ -225,14 +226,14 @@
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			h, files := newHub(), newGatedFS()
-			h.openGated(t, 1, folder, files, 1)
+			h.openReplica(t, 1, folder, files, 1)
 			replica := h.replicas[1]
 			files.calls.Store(0)
 			files.failAt.Store(failAt)
 			var acknowledged []string
 			ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 			defer cancel()
-			for i := 0; i < 3*gatedEvery && ctx.Err() == nil; {
+			for i := 0; i < 3*hubSnapshotEvery && ctx.Err() == nil; {
 				command := fmt.Sprint("command ", i)
 				if _, err := replica.Propose(ctx, []byte(command)); err == nil {
 					acknowledged = append(acknowledged, command)
@@ -246,7 +247,7 @@
 			failed = files.calls.Load() >= failAt
 			is.Equal(replica.Err() != nil, failed)
 			h.close()
-			machine := h.openGated(t, 1, folder, wal.OS{}, 1)
+			machine := h.openReplica(t, 1, folder, wal.OS{}, 1)
 			(&cluster{t: t, replicas: h.replicas}).read(h.replicas[1])
 			for _, command := range acknowledged {
 				is.True(slices.Contains(machine.all(), command))
--- a/replica/server/transport.go
+++ b/replica/server/transport.go
@@ -19,56 +19,57 @@
 	pb "github.com/lilackeel/lilackeel/api/replica/v1"
 )
 
-// Transport carries messages to other replicas.
+// Transport sends messages to other replicas.
 type Transport interface {
-	// Send takes messages for any replicas. It must not block and may lose
-	// messages, but should keep the order of those for one replica.
+	// Send sends messages to any number of replicas. It must not block and may drop
+	// messages, but should keep the order of the messages to each replica.
 	Send(messages []*pb.Message)
-	// SetPeers replaces the addresses, id to host:port.
+	// SetPeers replaces the peers, a map of ids to host:port.
 	SetPeers(peers map[uint64]string)
-	// Close ends all sending.
+	// Close stops sending.
 	Close() error
 }
 
 const (
-	// peerQueue is the number of messages kept for a peer that is slow.
-	peerQueue = 4096
-	// batchBytes bounds the messages in one request, under the 4 MiB that a gRPC
+	// peerQueueSize is the number of messages queued for a slow peer.
+	peerQueueSize = 4096
+	// batchBytes limits the messages in one request, below the 4 MiB that a gRPC
 	// server accepts by default.
 	batchBytes = 2 << 20
-	// chunkBytes is the size of a part of a snapshot.
+	// chunkBytes is the size of one chunk of a snapshot.
 	chunkBytes = 1 << 20
-	// reconnectPause is the wait after a broken stream.
+	// reconnectPause is the delay before a broken stream is reopened.
 	reconnectPause = 100 * time.Millisecond
-	// deadPeerTimeout is how long sent bytes may stay unacknowledged by TCP
-	// before the connection is taken for dead.
+	// deadPeerTimeout is how long sent data may remain unacknowledged by TCP before
+	// the connection is considered dead.
 	deadPeerTimeout = 3 * time.Second
 )
 
-// grpcTransport sends over one stream to each peer.
+// grpcTransport sends messages over one gRPC stream per peer.
 type grpcTransport struct {
 	log     *slog.Logger
 	options []grpc.DialOption
 
-	mu    sync.Mutex
-	peers map[uint64]*peer
-	gone  sync.WaitGroup
+	mu      sync.Mutex
+	peers   map[uint64]*peer
+	senders sync.WaitGroup
 }
 
 func newGRPCTransport(log *slog.Logger, options []grpc.DialOption) *grpcTransport {
 	if len(options) == 0 {
 		options = []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())}
 	}
-	pace := backoff.Config{BaseDelay: reconnectPause, Multiplier: 1.5, Jitter: 0.2, MaxDelay: time.Second}
+	reconnect := backoff.Config{BaseDelay: reconnectPause, Multiplier: 1.5, Jitter: 0.2, MaxDelay: time.Second}
 	defaults := []grpc.DialOption{
-		grpc.WithConnectParams(grpc.ConnectParams{Backoff: pace, MinConnectTimeout: deadPeerTimeout}),
+		grpc.WithConnectParams(grpc.ConnectParams{Backoff: reconnect, MinConnectTimeout: deadPeerTimeout}),
 		grpc.WithContextDialer(dial),
 	}
 	return &grpcTransport{log: log, options: append(defaults, options...), peers: map[uint64]*peer{}}
 }
 
-// dial connects with a bound on unacknowledged bytes, so that a connection that
-// was cut in silence is replaced soon after the cut has healed.
+// dial connects with a limit on the time that data may remain unacknowledged, so
+// that a connection broken by a network partition is replaced soon after the
+// partition heals.
 func dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		var failure error
@@ -93,7 +94,7 @@
 	defer t.mu.Unlock()
 	for _, message := range messages {
 		if p := t.peers[message.GetTo()]; p != nil {
-			p.add(message)
+			p.enqueue(message)
 		}
 	}
 }
@@ -114,7 +115,7 @@
 		}
 		p := newPeer(t, address)
 		t.peers[id] = p
-		t.gone.Go(p.run)
+		t.senders.Go(p.run)
 	}
 }
 
@@ -126,11 +127,11 @@
 	}
 	t.peers = map[uint64]*peer{}
 	t.mu.Unlock()
-	t.gone.Wait()
+	t.senders.Wait()
 	return nil
 }
 
-// peer sends to one replica.
+// peer sends messages to one replica.
 type peer struct {
 	transport *grpcTransport
 	address   string
@@ -141,11 +142,11 @@
 
 func newPeer(t *grpcTransport, address string) *peer {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &peer{transport: t, address: address, queue: make(chan *pb.Message, peerQueue), ctx: ctx, cancel: cancel}
+	return &peer{transport: t, address: address, queue: make(chan *pb.Message, peerQueueSize), ctx: ctx, cancel: cancel}
 }
 
-// add queues a message, or loses it when the peer is too slow.
-func (p *peer) add(message *pb.Message) {
+// enqueue queues a message, or drops it if the queue is full.
+func (p *peer) enqueue(message *pb.Message) {
 	select {
 	case p.queue <- message:
 	default:
@@ -155,20 +156,20 @@
 func (p *peer) run() {
 	connection, err := grpc.NewClient("passthrough:///"+p.address, p.transport.options...)
 	if err != nil {
-		p.transport.log.Error("peer address refused", "address", p.address, "error", err)
+		p.transport.log.Error("invalid peer address", "address", p.address, "error", err)
 		return
 	}
 	defer connection.Close()
 	client := pb.NewReplicaClient(connection)
 	for p.ctx.Err() == nil {
 		if err := p.stream(client); err != nil && p.ctx.Err() == nil {
-			p.transport.log.Debug("stream to peer broke", "address", p.address, "error", err)
+			p.transport.log.Debug("stream to peer failed", "address", p.address, "error", err)
 		}
-		p.pause()
+		p.waitAndDiscard()
 	}
 }
 
-// stream sends until the stream breaks.
+// stream opens a stream and sends queued messages until it fails.
 func (p *peer) stream(client pb.ReplicaClient) error {
 	ctx, cancel := context.WithCancel(p.ctx)
 	defer cancel()
@@ -181,15 +182,15 @@
 		case <-stream.Context().Done():
 			return stream.Context().Err()
 		case message := <-p.queue:
-			if err := p.sendFrom(stream, message); err != nil {
+			if err := p.sendBatch(stream, message); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// sendFrom sends a message and what is queued behind it.
-func (p *peer) sendFrom(stream pb.Replica_SendClient, message *pb.Message) error {
+// sendBatch sends a message together with those queued after it.
+func (p *peer) sendBatch(stream pb.Replica_SendClient, message *pb.Message) error {
 	request := &pb.SendRequest{}
 	size := 0
 	for {
@@ -212,8 +213,8 @@
 	}
 }
 
-// sendSnapshotData sends the data of a snapshot in parts, and returns the
-// message without it.
+// sendSnapshotData sends the data of a snapshot in chunks and returns the message
+// without the data.
 func sendSnapshotData(stream pb.Replica_SendClient, message *pb.Message) (*pb.Message, error) {
 	snapshot := message.GetSnapshot()
 	data := snapshot.GetData()
@@ -242,8 +243,9 @@
 	return copied
 }
 
-// pause waits before the next connection and drops what is stale by then.
-func (p *peer) pause() {
+// waitAndDiscard waits before the next connection attempt, then discards the
+// messages that have become stale.
+func (p *peer) waitAndDiscard() {
 	select {
 	case <-p.ctx.Done():
 	case <-time.After(reconnectPause):
