--- a/replica/admission.go
+++ b/replica/admission.go
@@ -7,32 +7,35 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// admission is the state of this start's registration with the others.
+// admission is the state of this replica's registration with the other members.
 type admission struct {
 	admitted bool
 	started  time.Duration
 	nextSend time.Duration
-	// agreed maps members to the disk under which they agreed.
+	// agreed maps each member that agreed to the disk with which it did.
 	agreed map[uint64]uint64
-	// blank are the members whose host has announced a blank disk in place of the one
-	// that the membership names: nobody is left to witness for that one.
-	blank map[uint64]bool
+	// lostDisks are the members that have sent join from a blank disk in place of
+	// the one that the membership names. The named disk can no longer act as a
+	// witness.
+	lostDisks map[uint64]bool
 }
 
-// noteBlankMember notes that a member's host has lost the disk that the membership
-// names. After a restart of all, the others need not wait for its word: with one of
-// three disks lost they are admitted within a round trip and not after AdmissionWait.
-func (n *Node) noteBlankMember(m *pb.Message) {
+// recordLostDisk records that a member no longer has the disk that the membership
+// names, so that its agreement is not waited for. When all replicas restart and one
+// of three disks is lost, the others are admitted within a round trip instead of
+// after AdmissionWait.
+func (n *Node) recordLostDisk(m *pb.Message) {
 	member := FindMember(n.members.current(), m.GetFrom())
 	if n.admission.admitted || member == nil || member.GetDisk() == m.GetDisk() {
 		return
 	}
-	n.admission.blank[m.GetFrom()] = true
+	n.admission.lostDisks[m.GetFrom()] = true
 	n.checkAdmission()
 }
 
-// stepIdentity handles the messages about disks, which have no part in terms.
-func (n *Node) stepIdentity(m *pb.Message) bool {
+// stepDiskMessage handles the messages about disks, which do not depend on terms.
+// It returns false for other messages.
+func (n *Node) stepDiskMessage(m *pb.Message) bool {
 	switch m.GetKind() {
 	case pb.MessageKind_MESSAGE_KIND_JOIN:
 		n.handleJoin(m)
@@ -51,9 +54,9 @@
 	return true
 }
 
-// tickIdentity announces a blank disk, or registers with those who have not
-// agreed yet.
-func (n *Node) tickIdentity() {
+// tickRegistration sends join from a blank disk, or register to the members that
+// have not agreed yet.
+func (n *Node) tickRegistration() {
 	n.checkAdmission()
 	if n.now < n.admission.nextSend {
 		return
@@ -63,10 +66,10 @@
 		pause = n.cfg.ElectionTimeout
 	}
 	n.admission.nextSend = n.now + pause
-	if n.self() == nil || n.forgotten() {
-		n.announce()
+	if n.self() == nil || n.learnerWithoutLeader() {
+		n.sendJoins()
 	}
-	if n.named() {
+	if n.namedInMembership() {
 		return
 	}
 	for _, member := range n.members.current().GetMembers() {
@@ -76,14 +79,16 @@
 	}
 }
 
-// forgotten reports whether this learner hears of no leader: the entry that added
-// it may have been overwritten, so that it has to ask for its place again.
-func (n *Node) forgotten() bool {
-	return !isVoter(n.self()) && n.now-n.heardLeader >= admissionTimeouts*n.cfg.ElectionTimeout
+// learnerWithoutLeader reports whether this replica is a learner that has not heard
+// from a leader for a while. The entry that added it may have been overwritten, so
+// it must send join again.
+func (n *Node) learnerWithoutLeader() bool {
+	return !isVoter(n.self()) && n.now-n.lastLeaderContact >= admissionTimeouts*n.cfg.ElectionTimeout
 }
 
-// named reports whether the membership itself names this very start.
-func (n *Node) named() bool {
+// namedInMembership reports whether the membership names this start of the replica,
+// by incarnation and boot nonce.
+func (n *Node) namedInMembership() bool {
 	self := n.self()
 	return self.GetIncarnation() == n.cfg.Disk.GetIncarnation() && self.GetBoot() == n.cfg.Boot
 }
@@ -110,39 +115,39 @@
 	n.checkAdmission()
 }
 
-// checkAdmission admits this start when enough witnesses have agreed.
+// checkAdmission admits this replica when enough witnesses have agreed.
 func (n *Node) checkAdmission() {
 	self := n.self()
 	if n.admission.admitted || self == nil {
 		return
 	}
-	if n.named() || n.enoughAgreed(isVoter(self)) {
+	if n.namedInMembership() || n.hasAdmissionQuorum(isVoter(self)) {
 		n.admission.admitted = true
 		n.resetElectionTimer()
 	}
 }
 
-func (n *Node) enoughAgreed(voter bool) bool {
+func (n *Node) hasAdmissionQuorum(voter bool) bool {
 	all := voters(n.members.current())
-	awaited, count := 0, 0
+	pending, count := 0, 0
 	for _, member := range all {
 		id := member.GetId()
 		switch {
 		case id == n.cfg.ID:
 		case n.admission.agreed[id] == member.GetDisk():
 			count++
-		case !n.admission.blank[id]:
-			awaited++
+		case !n.admission.lostDisks[id]:
+			pending++
 		}
 	}
-	if awaited == 0 && len(n.admission.blank) == 0 {
+	if pending == 0 && len(n.admission.lostDisks) == 0 {
 		return true
 	}
 	if voter {
 		count++
 	}
 	waited := n.now-n.admission.started >= n.cfg.AdmissionWait
-	return (waited || awaited == 0) && count >= quorum(n.members.current())
+	return (waited || pending == 0) && count >= quorum(n.members.current())
 }
 
 // handleRefusal fences this replica if the refusal is final.
@@ -155,7 +160,7 @@
 			"replica %d: disk %016x was started again elsewhere after incarnation %d", id, label.GetIdentity(), label.GetIncarnation()))
 	case pb.Refusal_REFUSAL_LOST_STATE:
 		n.fence(fault.Newf(fault.Fenced, remedy,
-			"replica %d: disk %016x is an old copy or lost what it had acknowledged, says replica %d", id, label.GetIdentity(), m.GetFrom()))
+			"replica %d: disk %016x is an old copy or has lost acknowledged state, according to replica %d", id, label.GetIdentity(), m.GetFrom()))
 	case pb.Refusal_REFUSAL_NOT_MEMBER:
 		if !isVoter(n.self()) {
 			n.sendJoin(m.GetFrom())
@@ -163,12 +168,12 @@
 		}
 		if m.GetLogIndex() > n.log.last().index {
 			n.fence(fault.Newf(fault.Fenced, remedy,
-				"replica %d: disk %016x is no longer a member since entry %d", id, label.GetIdentity(), m.GetLogIndex()))
+				"replica %d: disk %016x has not been a member since entry %d", id, label.GetIdentity(), m.GetLogIndex()))
 		}
 	}
 }
 
-// fence stops the node for good.
+// fence stops the node permanently.
 func (n *Node) fence(reason error) {
 	if n.role == Leader {
 		n.becomeFollower(n.term, 0)
@@ -180,6 +185,6 @@
 	n.early, n.messages = nil, nil
 }
 
-// Err returns why the node has stopped for good, or nil. A node that was
-// refused takes no part any more until it gets a blank disk.
+// Err returns the reason why the node has stopped permanently, or nil. A node that
+// was refused stays stopped until it is started with a blank disk.
 func (n *Node) Err() error { return n.fenced }
--- a/replica/bench_test.go
+++ b/replica/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkFailover measures, in virtual time, how long no write is committed
-// after the leader of three replicas is lost, with the default timeouts.
+// BenchmarkFailover measures, in virtual time, how long no write is committed after
+// the leader of three replicas has failed, with the default timeouts.
 func BenchmarkFailover(b *testing.B) {
 	losses := map[string]func(s *sim, h *host){
 		"kill":   func(_ *sim, h *host) { h.kill() },
--- a/replica/change.go
+++ b/replica/change.go
@@ -10,54 +10,55 @@
 // ChangeKind is the type of a membership change.
 type ChangeKind string
 
-// The changes that an operator may ask for.
+// The membership changes that an operator can request.
 const (
-	// AddLearner adds a replica that receives the log. It starts with a blank
-	// disk and Config.Join.
+	// AddLearner adds a replica that receives the log without a vote. The replica
+	// is started with a blank disk and Config.Join.
 	AddLearner ChangeKind = "add-learner"
 	// AddVoter adds a learner that the leader promotes once it has caught up.
 	AddVoter ChangeKind = "add-voter"
-	// Promote makes a learner that has caught up a voter.
+	// Promote turns a learner that has caught up into a voter.
 	Promote ChangeKind = "promote"
-	// Remove takes a replica out.
+	// Remove removes a replica from the membership.
 	Remove ChangeKind = "remove"
 )
 
 // ConfChange is one change of the membership.
 type ConfChange struct {
-	// Kind is what happens to the replica.
+	// Kind is the type of the change.
 	Kind ChangeKind
-	// ID is the replica that changes.
+	// ID identifies the replica to change.
 	ID uint64
 	// Addr is the host:port of a replica to add.
 	Addr string
 }
 
-// ProposeConfChange appends a membership changed by change. It returns the place
-// of the entry, as Propose does. At most one change is under way at a time.
+// ProposeConfChange appends the membership that results from change and returns the
+// index and term of its entry, as Propose does. Only one change can be in progress
+// at a time.
 func (n *Node) ProposeConfChange(change ConfChange) (index, term uint64, err error) {
 	if err := n.mayPropose(); err != nil {
 		return 0, 0, err
 	}
-	changed, err := n.changed(change)
+	changed, err := n.applyChange(change)
 	if err != nil {
 		return 0, 0, err
 	}
 	return n.proposeMembership(changed)
 }
 
-// changed returns the current membership with one change.
-func (n *Node) changed(change ConfChange) (*pb.Membership, error) {
+// applyChange returns the current membership with one change applied.
+func (n *Node) applyChange(change ConfChange) (*pb.Membership, error) {
 	current := n.members.current()
 	member := FindMember(current, change.ID)
 	adds := change.Kind == AddLearner || change.Kind == AddVoter
 	switch {
 	case change.ID == 0 || adds && change.Addr == "":
-		return nil, fault.New(fault.Invalid, "the replica's id or address is missing", "name both")
+		return nil, fault.New(fault.Invalid, "the replica's id or address is missing", "give both")
 	case adds && member != nil:
 		return nil, fault.Newf(fault.Conflict, "remove it first, or choose another id", "replica %d is a member already", change.ID)
 	case !adds && member == nil:
-		return nil, fault.Newf(fault.NotFound, "look up the members in the status", "replica %d is no member", change.ID)
+		return nil, fault.Newf(fault.NotFound, "look up the members in the status", "replica %d is not a member", change.ID)
 	}
 	switch change.Kind {
 	case AddLearner, AddVoter:
@@ -65,17 +66,18 @@
 			Id: change.ID, Addr: change.Addr, Role: pb.Role_ROLE_LEARNER, Promote: change.Kind == AddVoter,
 		}), nil
 	case Promote:
-		return n.promoted(member)
+		return n.withPromotion(member)
 	case Remove:
 		return withoutMember(current, change.ID), nil
 	}
 	return nil, fault.Newf(fault.Invalid, "use add-learner, add-voter, promote or remove", "unknown membership change %q", change.Kind)
 }
 
-// promoted returns the membership with a learner as voter if it has caught up.
-func (n *Node) promoted(member *pb.Member) (*pb.Membership, error) {
+// withPromotion returns the current membership with a learner turned into a voter,
+// or an error if it has not caught up.
+func (n *Node) withPromotion(member *pb.Member) (*pb.Membership, error) {
 	if isVoter(member) {
-		return nil, fault.Newf(fault.Conflict, "nothing is left to do", "replica %d is a voter already", member.GetId())
+		return nil, fault.Newf(fault.Conflict, "no action is needed", "replica %d is already a voter", member.GetId())
 	}
 	if !n.caughtUp(member) {
 		return nil, fault.Newf(fault.Conflict, "wait until its match index reaches the commit index in the status",
@@ -88,20 +90,21 @@
 	return withMember(n.members.current(), voter), nil
 }
 
-// caughtUp reports whether a member stores everything that is committed.
+// caughtUp reports whether a member is active and has stored all committed entries.
 func (n *Node) caughtUp(member *pb.Member) bool {
 	pr := n.progress[member.GetId()]
 	return pr != nil && member.GetDisk() != 0 && n.isActive(member.GetId()) && pr.match >= n.log.committed
 }
 
-// proposeMembership appends a membership that differs by at most one voter.
+// proposeMembership appends a membership, which must differ from the current one by
+// at most one voter.
 func (n *Node) proposeMembership(changed *pb.Membership) (index, term uint64, err error) {
 	if err := n.mayPropose(); err != nil {
 		return 0, 0, err
 	}
 	if n.members.index() > n.log.committed || !n.committedInTerm() {
-		return 0, 0, fault.New(fault.Conflict, "another membership change is under way",
-			"ask again when it is committed").After(n.cfg.HeartbeatInterval)
+		return 0, 0, fault.New(fault.Conflict, "another membership change is in progress",
+			"retry when it is committed").After(n.cfg.HeartbeatInterval)
 	}
 	if len(voters(changed)) == 0 {
 		return 0, 0, fault.New(fault.Invalid, "no voter would be left", "add another voter first")
@@ -115,26 +118,28 @@
 	return entry.GetIndex(), entry.GetTerm(), nil
 }
 
-// promoteCaughtUp promotes a learner that is meant to vote.
+// promoteCaughtUp promotes a learner that has caught up and is marked for
+// promotion.
 func (n *Node) promoteCaughtUp() {
 	for _, member := range n.members.current().GetMembers() {
 		if !member.GetPromote() || !n.caughtUp(member) {
 			continue
 		}
-		// Refused while another change is under way; the next tick retries.
+		// This is refused while another change is in progress; the next tick
+		// retries.
 		_, _, _ = n.ProposeConfChange(ConfChange{Kind: Promote, ID: member.GetId()})
 		return
 	}
 }
 
-// transfer is a hand-over of the leadership under way.
+// transfer is a leadership transfer in progress.
 type transfer struct {
 	target   uint64
 	deadline time.Duration
 }
 
-// TransferLeader hands the leadership to another voter. Until it is done, or an
-// election timeout has passed, proposals are refused.
+// TransferLeader starts a transfer of the leadership to another voter. Proposals
+// are refused until the transfer is complete or an election timeout has passed.
 func (n *Node) TransferLeader(to uint64) error {
 	if err := n.mayPropose(); err != nil {
 		return err
@@ -144,15 +149,16 @@
 	}
 	member := FindMember(n.members.current(), to)
 	if !isVoter(member) || !n.isActive(to) {
-		return fault.Newf(fault.Conflict, "choose a voter that the status shows as active", "replica %d cannot lead now", to)
+		return fault.Newf(fault.Conflict, "choose a voter that the status shows as active", "replica %d cannot become leader now", to)
 	}
 	n.transfer = transfer{target: to, deadline: n.now + n.cfg.ElectionTimeout}
-	n.finishTransfer()
+	n.maybeSendTimeoutNow()
 	return nil
 }
 
-// finishTransfer tells the target to campaign once it has the whole log.
-func (n *Node) finishTransfer() {
+// maybeSendTimeoutNow tells the target of a transfer to campaign once it has the
+// whole log.
+func (n *Node) maybeSendTimeoutNow() {
 	pr := n.progress[n.transfer.target]
 	if n.role != Leader || n.transfer.target == 0 || pr == nil || pr.match < n.log.last().index {
 		return
--- a/replica/config.go
+++ b/replica/config.go
@@ -8,7 +8,7 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// Defaults of Config, chosen for replicas about a millisecond apart.
+// Defaults of Config, for replicas about a millisecond of network latency apart.
 const (
 	DefaultElectionTimeout   = time.Second
 	DefaultHeartbeatInterval = 100 * time.Millisecond
@@ -16,60 +16,63 @@
 	DefaultMaxInflight       = 64
 	DefaultTrailingEntries   = 1024
 
-	// firstHeartbeats is how many heartbeats a start that has heard of no leader
-	// waits for one. A start that campaigns although there is a leader, whose
-	// heartbeat was lost, does no harm: the pre-vote is refused.
-	firstHeartbeats = 1
-	// repairTimeouts is the default of RepairAfter in election timeouts.
+	// initialHeartbeatIntervals is the wait for a leader, in heartbeat intervals,
+	// of a replica that has not received a message from any leader since its start.
+	// Campaigning although there is a leader, because its heartbeat was lost, is
+	// harmless: the pre-vote is refused.
+	initialHeartbeatIntervals = 1
+	// repairTimeouts is the default of RepairAfter, in election timeouts.
 	repairTimeouts = 10
-	// admissionTimeouts is the default of AdmissionWait in election timeouts.
+	// admissionTimeouts is the default of AdmissionWait, in election timeouts.
 	admissionTimeouts = 2
 )
 
-// Config are the settings of a Node.
+// Config holds the settings of a Node.
 type Config struct {
-	// ID identifies the replica in the membership; not zero.
+	// ID identifies the replica in the membership. It must not be zero.
 	ID uint64
-	// Addr is the address under which the others reach this replica.
+	// Addr is the address at which the other replicas reach this one.
 	Addr string
-	// Disk is the label of the data folder, with the incarnation of this start.
+	// Disk is the label of the data directory, with the incarnation of this start.
 	Disk *pb.DiskLabel
-	// Boot is a random nonce of this start.
+	// Boot is a random nonce drawn at this start.
 	Boot uint64
-	// Peers are the initial voters, or with Join the replicas to announce to.
+	// Peers are the initial voters or, with Join, the replicas to send join
+	// messages to.
 	Peers map[uint64]string
-	// Join keeps a blank disk from bootstrapping a new cluster.
+	// Join prevents a replica with a blank disk from bootstrapping a new cluster.
 	Join bool
-	// ElectionTimeout is how long a follower waits for a leader that it has heard.
-	// The actual wait is random, up to twice as long.
+	// ElectionTimeout is how long a follower waits for a message from its leader
+	// before it campaigns. The actual timeout is randomized, up to twice as long.
 	ElectionTimeout time.Duration
-	// HeartbeatInterval is the pause between heartbeats of a leader.
+	// HeartbeatInterval is the time between two heartbeats of a leader.
 	HeartbeatInterval time.Duration
-	// RepairAfter is how long a member must be silent before a blank disk may
-	// take its place.
+	// RepairAfter is how long a member must have been unresponsive before a replica
+	// with a blank disk may replace it.
 	RepairAfter time.Duration
-	// Voters is the number of voters that the cluster keeps by itself, taking
-	// unknown replicas with blank disks in; zero leaves members to the operator.
+	// Voters is the number of voters that the cluster maintains without an
+	// operator, by adding unknown replicas with blank disks. Zero leaves membership
+	// changes to the operator.
 	Voters int
-	// AdmissionWait is how long a started replica waits for all witnesses before
-	// it makes do with a quorum.
+	// AdmissionWait is how long a started replica waits for the agreement of all
+	// witnesses before that of a quorum is enough.
 	AdmissionWait time.Duration
-	// MaxAppendBytes bounds the entries of one append message.
+	// MaxAppendBytes limits the size of the entries in one append message.
 	MaxAppendBytes int
-	// MaxInflight bounds the unacknowledged append messages for each member.
+	// MaxInflight limits the unacknowledged append messages to each member.
 	MaxInflight int
-	// Trailing is the number of entries kept behind a snapshot for members that
-	// are a little behind.
+	// TrailingEntries is the number of entries before a snapshot that stay in the
+	// log, so that members that are slightly behind need no snapshot.
 	TrailingEntries uint64
-	// Rand spreads election timeouts and draws the cluster identity.
+	// Rand randomizes election timeouts and draws the cluster identity.
 	Rand *rand.Rand
 }
 
-// Saved is what the disk held at the start.
+// Saved is the state that was read from the disk at the start.
 type Saved struct {
-	// HardState is the last one persisted; nil for none.
+	// HardState is the last persisted one, or nil.
 	HardState *pb.HardState
-	// Snapshot is the last one persisted; nil for none.
+	// Snapshot is the last persisted one, or nil.
 	Snapshot *pb.Snapshot
 	// Entries follow the snapshot without a gap.
 	Entries []*pb.Entry
--- a/replica/disk_test.go
+++ b/replica/disk_test.go
@@ -11,11 +11,11 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// An entry is committed by two of three disks, and one of the two is wiped. The
-// blank disk must not elect, with the third, a leader that lacks the entry.
+// An entry is committed on two of three disks, and one of the two is wiped. The
+// blank disk must not help the third to elect a leader that lacks the entry.
 func TestWipedDiskDoesNotVote(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk, proof.CutBothWays}, Step: "election after a disk that stored a commit was wiped", Together: true,
-		Guard: "three checks of a disk's identity together: by the addressee, of its own place, of who answers"}.Log(t)
+		Guard: "three checks of a disk's identity together: of the message's addressee, of the replica's own membership entry, of the sender of a response"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
 	wiped, behind := s.others(leader)[0], s.others(leader)[1]
@@ -27,17 +27,17 @@
 	s.run(30 * simElection)
 	is.True(s.leader() == nil || s.leader() == leader) // no quorum
 	s.heal()
-	s.untilWhole()
+	s.untilHealthy()
 	is.Equal(behind.value, s.nextValue)
 	is.Equal(wiped.value, s.nextValue)
 }
 
-// The same with disks that lost what they had stored: each is refused by a
-// witness that knows better, and the replica must start over with a blank disk.
+// A disk that has lost stored state is refused by a witness that knows the later
+// state, and its replica must start over with a blank disk.
 func TestOldDiskIsRefused(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.OldDisk}, Step: "start on a disk that lost entries, votes or starts",
-		Guard: "the judgement of a disk by its witnesses"}.Log(t)
-	type scene struct {
+		Guard: "the check of a registering disk by its witnesses"}.Log(t)
+	type fixture struct {
 		*sim
 		leader, victim *host
 	}
@@ -46,24 +46,24 @@
 		cut.entries = cut.entries[:len(cut.entries)-1]
 		return cut
 	}
-	cases := map[string]func(s scene) *disk{
-		"copied in this incarnation": func(s scene) *disk {
+	cases := map[string]func(s fixture) *disk{
+		"copied in this incarnation": func(s fixture) *disk {
 			copied := s.victim.disk.copy()
 			s.commit(s.sim.leader)
 			return copied
 		},
-		"copied in an earlier incarnation, with a witness restarted since": func(s scene) *disk {
+		"copied in an earlier incarnation, with a witness restarted since": func(s fixture) *disk {
 			copied := s.victim.disk.copy()
 			s.victim.start()
 			s.run(4 * simElection)
 			s.leader.start()
 			return copied
 		},
-		"lost the end of its log": func(s scene) *disk {
+		"lost the end of its log": func(s fixture) *disk {
 			s.commit(s.sim.leader)
 			return cutLast(s.victim.disk)
 		},
-		"lost an entry that is not committed": func(s scene) *disk {
+		"lost an entry that is not committed": func(s fixture) *disk {
 			for _, h := range s.others(s.leader) {
 				if h != s.victim {
 					s.isolate(h.id)
@@ -73,23 +73,23 @@
 			s.run(simHeartbeat)
 			return cutLast(s.victim.disk)
 		},
-		"lost a committed entry, and voted since": func(s scene) *disk {
+		"lost a committed entry, and voted since": func(s fixture) *disk {
 			s.commit(s.sim.leader)
 			s.intercept = func(m *pb.Message) bool {
 				return m.To == s.victim.id && m.Kind == pb.MessageKind_MESSAGE_KIND_APPEND
 			}
 			s.leader.node.campaign(true)
-			s.leader.work()
+			s.leader.processReady()
 			s.run(simHeartbeat)
 			return cutLast(s.victim.disk)
 		},
-		"lost its vote": func(s scene) *disk {
+		"lost its vote": func(s fixture) *disk {
 			copied := s.victim.disk.copy()
 			s.intercept = func(m *pb.Message) bool {
 				return m.To == s.victim.id && m.Kind == pb.MessageKind_MESSAGE_KIND_APPEND
 			}
 			s.leader.node.campaign(true)
-			s.leader.work()
+			s.leader.processReady()
 			s.run(simHeartbeat)
 			return copied
 		},
@@ -99,7 +99,7 @@
 			is := is.New(t)
 			s, leader := startCluster(t, 5)
 			victim := s.others(leader)[0]
-			victim.replace(damage(scene{s, leader, victim}))
+			victim.replace(damage(fixture{s, leader, victim}))
 			s.intercept = nil
 			for _, h := range s.others(victim) {
 				if h != leader {
@@ -110,15 +110,15 @@
 			is.Equal(fault.KindOf(victim.node.Err()), fault.Fenced)
 			s.heal()
 			victim.replace(s.blankDisk())
-			s.untilWhole()
+			s.untilHealthy()
 		})
 	}
 }
 
-// A copy of a leader's disk that is started beside the original supersedes it:
-// the original gets nothing committed any more, and learns why.
+// A copy of a leader's disk that is started while the original is running
+// supersedes it. The original commits nothing any more and is fenced.
 func TestCopySupersedesOriginal(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.OldDisk}, Step: "copy of a leader's disk started beside the original",
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.OldDisk}, Step: "copy of a leader's disk started while the original runs",
 		Guard: "the refusal of an earlier incarnation"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
@@ -140,9 +140,9 @@
 	is.Equal(fault.KindOf(original.Err()), fault.Fenced)
 }
 
-// A response counts only from the disk that the membership names, and a blank
-// disk gets no place whose owner is alive.
-func TestForeignDiskDoesNotCount(t *testing.T) {
+// A response counts only from the disk that the membership names, and a blank disk
+// does not replace that of an active member.
+func TestResponseOfUnlistedDiskIsIgnored(t *testing.T) {
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
 	other := s.others(leader)[0]
@@ -162,36 +162,36 @@
 	is.Equal(leader.node.log.committed, response.LogIndex)
 }
 
-// A second disk is lost the moment the first is repaired. The learner that
-// replaced the first votes only once it has caught up, so nothing is lost.
+// A second disk is lost as soon as the first is replaced. The learner that replaced
+// the first gets a vote only once it has caught up, so no entry is lost.
 func TestSecondLossRightAfterRepair(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk, proof.SecondLoss}, Step: "second disk lost when the first is replaced", Together: true,
 		Guard: "promotion only of a learner that has caught up; a blank disk joins as a learner; each alone"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
 	first, second := s.others(leader)[0], s.others(leader)[1]
-	s.intercept = func(m *pb.Message) bool { // the learner hears the leader, but gets no log
+	s.intercept = func(m *pb.Message) bool { // the learner receives heartbeats, but no entries
 		return m.To == first.id && (m.Kind == pb.MessageKind_MESSAGE_KIND_APPEND || m.Kind == pb.MessageKind_MESSAGE_KIND_SNAPSHOT)
 	}
 	first.replace(s.blankDisk())
 	s.run(20 * simElection)
 	s.commit(s.leader)
 	member := FindMember(leader.node.Membership(), first.id)
-	is.Equal(member.Disk, first.disk.label.Identity) // it has its place
-	is.Equal(member.Role, pb.Role_ROLE_LEARNER)      // and no vote
+	is.Equal(member.Disk, first.disk.label.Identity) // it is a member
+	is.Equal(member.Role, pb.Role_ROLE_LEARNER)      // without a vote
 	_, _, err := leader.node.ProposeConfChange(ConfChange{Kind: Promote, ID: first.id})
 	is.Equal(fault.KindOf(err), fault.Conflict)
 	s.intercept = nil
 	s.until(20*simElection, "the promotion", func() bool { return isVoter(first.node.self()) })
 	second.replace(s.blankDisk())
 	s.commit(s.leader)
-	s.untilWhole()
+	s.untilHealthy()
 	is.Equal(second.value, s.nextValue)
 }
 
-// Reads come in so often that their rounds of heartbeats leave no other ones to
-// be sent. The disk that replaced a lost one votes all the same.
-func TestReadsDoNotPutPromotionOff(t *testing.T) {
+// Reads arrive so often that their heartbeat rounds postpone all regular
+// heartbeats. A replica that replaced a lost disk is promoted nevertheless.
+func TestReadsDoNotDelayPromotion(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk}, Step: "reads at every moment of the repair",
 		Guard: "promotion at every tick of the leader"}.Log(t)
 	s, leader := startCluster(t, 3)
@@ -203,10 +203,10 @@
 	})
 }
 
-// After a restart of all hosts, and after the restart of one while another is
-// dead, the cluster goes on.
-func TestRestartOfAllAndOfOneWithAnotherDead(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "restart of all, and of one while another is dead", Together: true,
+// The cluster recovers from a restart of all hosts, and from the restart of one
+// while another is down.
+func TestFullRestartAndRestartWithOneDown(t *testing.T) {
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "restart of all, and of one while another is down", Together: true,
 		Guard: "admission by a quorum when not all answer"}.Log(t)
 	s, leader := startCluster(t, 3)
 	all := append(s.others(leader), leader)
@@ -217,20 +217,20 @@
 		h.start()
 	}
 	s.commit(s.leader)
-	dead := s.others(leader)[0]
-	dead.kill()
-	s.others(dead)[0].start()
+	down := s.others(leader)[0]
+	down.kill()
+	s.others(down)[0].start()
 	s.commit(s.leader)
-	s.others(dead)[0].start()
-	s.others(dead)[1].start()
+	s.others(down)[0].start()
+	s.others(down)[1].start()
 	s.commit(s.leader)
-	dead.start()
-	s.untilWhole()
+	down.start()
+	s.untilHealthy()
 }
 
-// allKilled returns a cluster of three replicas that have committed something and were all
-// killed an election timeout ago.
-func allKilled(t *testing.T, seed uint64, election time.Duration) *sim {
+// startAndKillAll returns a cluster of three replicas that have committed a write
+// and were all killed an election timeout ago.
+func startAndKillAll(t *testing.T, seed uint64, election time.Duration) *sim {
 	s := newTimedSim(t, seed, 3, election, DefaultHeartbeatInterval)
 	s.until(20*election, "a leader", func() bool { return s.leader() != nil })
 	s.commit(s.leader)
@@ -241,15 +241,15 @@
 	return s
 }
 
-// When all replicas start again there is no leader to wait for, so a new one is
-// there well before an election timeout has passed, which is for leaders that
-// were heard.
+// When all replicas are restarted there is no leader to wait for, so they must
+// elect one well before an election timeout has passed. That timeout applies to
+// leaders that were heard from.
 func TestAllStartedAgainElectSoon(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "time without a leader after a restart of all",
-		Guard: "Node.patience: no election timeout for a leader never heard"}.Log(t)
+		Guard: "Node.minElectionWait: no election timeout before a leader was heard from"}.Log(t)
 	const election, spread, bound = time.Second, 300 * time.Millisecond, 1300 * time.Millisecond
 	for seed := range uint64(100) {
-		s := allKilled(t, seed, election)
+		s := startAndKillAll(t, seed, election)
 		for id := uint64(1); id <= 3; id++ {
 			s.run(spread / 3)
 			s.hosts[id].start()
@@ -260,15 +260,16 @@
 	}
 }
 
-// When all replicas start again and one of them has lost its disk, the others do not
-// wait for the word of the lost one: the blank disk at its place shows that it is gone.
-// Without that the first leader comes after AdmissionWait, two election timeouts.
-func TestALostDiskDoesNotHoldUpARestartOfAll(t *testing.T) {
+// When all replicas are restarted and one has lost its disk, the others do not wait
+// for its agreement, because the join message from its blank disk shows that the
+// old disk is lost. Otherwise the first leader would be elected only after
+// AdmissionWait, two election timeouts.
+func TestLostDiskDoesNotDelayElectionAfterFullRestart(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.Restart, proof.LostDisk}, Step: "time without a leader after a restart of all", Together: true,
-		Guard: "a disk that was replaced is not waited for"}.Log(t)
+		Guard: "admission does not wait for a disk that was replaced"}.Log(t)
 	const election, bound = time.Second, 600 * time.Millisecond
 	for seed := range uint64(100) {
-		s := allKilled(t, seed, election)
+		s := startAndKillAll(t, seed, election)
 		lost := s.hosts[1+seed%3]
 		for _, h := range s.hosts {
 			if h == lost {
@@ -279,16 +280,16 @@
 		}
 		s.until(bound, "a leader soon after the restart of all", func() bool { return s.leader() != nil })
 		s.commit(s.leader)
-		s.untilWhole()
+		s.untilHealthy()
 		s.checkHistory()
 	}
 }
 
-// No restarted replica takes part before the others have admitted it, also when
-// it is the first to campaign.
+// A restarted replica must not take part before the others have admitted it, even
+// if it is the first to campaign.
 func TestRestartedReplicaWaitsForAdmission(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.CutBothWays}, Step: "first messages after a restart", Together: true,
-		Guard: "no part before admission"}.Log(t)
+		Guard: "no participation before admission"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
 	h := s.others(leader)[0]
@@ -309,11 +310,12 @@
 	is.Equal(votes, 0)
 }
 
-// The founder's disk is wiped after it has founded a cluster. Joins that the
-// others sent while they were blank must not make it found a second one.
-func TestLateJoinsFoundNoSecondCluster(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk, proof.Late}, Step: "founder wiped while old joins are under way", Together: true,
-		Guard: "a join counts only if it names the present disk"}.Log(t)
+// The disk of the replica that bootstrapped the cluster is wiped. Delayed join
+// messages that the others sent while their disks were blank must not make it
+// bootstrap a second cluster.
+func TestLateJoinsDoNotBootstrapSecondCluster(t *testing.T) {
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk, proof.Late}, Step: "bootstrapping replica wiped while old join messages are in transit", Together: true,
+		Guard: "a join counts only if it echoes the current disk"}.Log(t)
 	is := is.New(t)
 	s := newSim(t, 7, 3)
 	var joins []*pb.Message
@@ -324,34 +326,34 @@
 		return false
 	}
 	s.until(20*simElection, "a leader", func() bool { return s.leader() != nil })
-	founder := s.hosts[1]
-	founder.replace(s.blankDisk())
+	bootstrapper := s.hosts[1]
+	bootstrapper.replace(s.blankDisk())
 	s.isolate(1)
 	for _, m := range joins {
-		founder.node.Step(s.now, m)
-		founder.work()
+		bootstrapper.node.Step(s.now, m)
+		bootstrapper.processReady()
 	}
-	is.Equal(founder.node.Membership(), nil)
+	is.Equal(bootstrapper.node.Membership(), nil)
 	s.heal()
-	s.untilWhole()
+	s.untilHealthy()
 }
 
-// The entry that gave a blank disk its place is overwritten after it has reached
-// the blank disk: it must ask again.
-func TestForgottenLearnerAsksAgain(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk, proof.CutBothWays, proof.Lost}, Step: "entry that gave a blank disk its place is overwritten", Together: true,
-		Guard: "a learner that hears no leader asks again"}.Log(t)
+// The entry that made a blank disk a learner is overwritten after the learner has
+// received it. The learner must send join again.
+func TestLearnerWhoseEntryWasOverwrittenRejoins(t *testing.T) {
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk, proof.CutBothWays, proof.Lost}, Step: "entry that added a blank disk is overwritten", Together: true,
+		Guard: "a learner that hears from no leader sends join again"}.Log(t)
 	s, leader := startCluster(t, 5)
 	blank := s.others(leader)[0]
-	s.intercept = func(m *pb.Message) bool { // appends reach the blank disk only
+	s.intercept = func(m *pb.Message) bool { // appends reach only the blank disk
 		return m.From == leader.id && m.To != blank.id && m.Kind == pb.MessageKind_MESSAGE_KIND_APPEND
 	}
 	blank.replace(s.blankDisk())
-	s.until(20*simElection, "the place", func() bool { return blank.node.self() != nil })
+	s.until(20*simElection, "the membership entry", func() bool { return blank.node.self() != nil })
 	s.isolate(leader.id)
 	s.intercept = nil
 	s.until(10*simElection, "another leader", func() bool { return s.leader() != nil && s.leader() != leader })
 	s.commit(s.leader)
 	s.heal()
-	s.untilWhole()
+	s.untilHealthy()
 }
--- a/replica/election.go
+++ b/replica/election.go
@@ -7,48 +7,51 @@
 	pb "github.com/lilackeel/lilackeel/api/replica/v1"
 )
 
-// mayCampaign reports whether this replica is a voter that was admitted.
+// mayCampaign reports whether this replica is an admitted voter and not the leader.
 func (n *Node) mayCampaign() bool {
 	return n.role != Leader && n.admission.admitted && isVoter(n.self())
 }
 
-// sticky reports whether a leader was heard of so recently that no vote for
-// another one is given, which keeps a replica that was cut off, or removed, from
-// disturbing a working leader.
-func (n *Node) sticky() bool {
+// hasActiveLeader reports whether this replica leads, or heard from its leader
+// within the last election timeout. It then votes for no other candidate, which
+// prevents replicas that were partitioned or removed from deposing a working
+// leader.
+func (n *Node) hasActiveLeader() bool {
 	if n.role == Leader {
 		return true
 	}
-	return n.leader != 0 && n.now-n.heardLeader < n.cfg.ElectionTimeout
+	return n.leader != 0 && n.now-n.lastLeaderContact < n.cfg.ElectionTimeout
 }
 
 func (n *Node) resetElectionTimer() {
-	patience := n.patience()
-	n.electionDeadline = n.now + patience + randomDuration(n.cfg.Rand, patience)
-}
-
-// patience is the least wait for a leader before a campaign. The election timeout
-// is for a leader that was heard and may be slow. A start that has heard of none
-// waits only as long as the heartbeats of a working one would take to arrive: after
-// a restart of all replicas there is nobody to wait for. Where there is a leader
-// after all, the pre-vote keeps it from being disturbed.
-func (n *Node) patience() time.Duration {
-	if n.heard {
+	minWait := n.minElectionWait()
+	n.electionDeadline = n.now + minWait + randomDuration(n.cfg.Rand, minWait)
+}
+
+// minElectionWait is the minimum wait for a leader before a campaign. The election
+// timeout applies to a leader that this replica has heard from since its start and
+// that may be slow. Otherwise the replica waits only as long as the heartbeat of a
+// working leader takes to arrive: after a restart of all replicas there is no
+// leader to wait for. If there is a leader after all, the pre-vote protects it from
+// being deposed.
+func (n *Node) minElectionWait() time.Duration {
+	if n.leaderSeen {
 		return n.cfg.ElectionTimeout
 	}
-	return min(firstHeartbeats*n.cfg.HeartbeatInterval, n.cfg.ElectionTimeout)
+	return min(initialHeartbeatIntervals*n.cfg.HeartbeatInterval, n.cfg.ElectionTimeout)
 }
 
 func randomDuration(r *rand.Rand, limit time.Duration) time.Duration {
 	return time.Duration(r.Int64N(int64(limit)))
 }
 
-// becomeFollower enters term, with leader or 0 if it is not known.
+// becomeFollower enters term as a follower of leader, which is 0 if it is not
+// known.
 func (n *Node) becomeFollower(term, leader uint64) {
 	if term > n.term {
 		n.term = term
 		n.vote = 0
-		n.hardDirty = true
+		n.hardStateDirty = true
 	}
 	wasLeader := n.role == Leader
 	n.role = Follower
@@ -94,7 +97,7 @@
 	n.counters.Votes++
 	n.term++
 	n.vote = n.cfg.ID
-	n.hardDirty = true
+	n.hardStateDirty = true
 	n.votes = map[uint64]bool{n.cfg.ID: true}
 	n.resetElectionTimer()
 	if n.countVotes(true) >= quorum(n.members.current()) {
@@ -117,7 +120,7 @@
 	}
 }
 
-// countVotes counts the voters that gave the given answer.
+// countVotes counts the voters that gave this answer.
 func (n *Node) countVotes(granted bool) int {
 	count := 0
 	for _, member := range voters(n.members.current()) {
@@ -130,7 +133,7 @@
 
 func (n *Node) handlePreVote(m *pb.Message) {
 	candidate := position{m.GetLogIndex(), m.GetLogTerm()}
-	granted := m.GetTerm() > n.term && !n.sticky() && candidate.atLeast(n.log.last())
+	granted := m.GetTerm() > n.term && !n.hasActiveLeader() && candidate.atLeast(n.log.last())
 	n.send(&pb.Message{
 		Kind: pb.MessageKind_MESSAGE_KIND_PRE_VOTE_RESPONSE, To: m.GetFrom(), ToDisk: m.GetDisk(),
 		Echo: m.GetTerm(), Reject: !granted,
@@ -152,11 +155,11 @@
 
 func (n *Node) handleVote(m *pb.Message) {
 	candidate := position{m.GetLogIndex(), m.GetLogTerm()}
-	free := n.vote == m.GetFrom() || n.vote == 0 && n.leader == 0
-	granted := free && candidate.atLeast(n.log.last())
+	canVote := n.vote == m.GetFrom() || n.vote == 0 && n.leader == 0
+	granted := canVote && candidate.atLeast(n.log.last())
 	if granted && n.vote == 0 {
 		n.vote = m.GetFrom()
-		n.hardDirty = true
+		n.hardStateDirty = true
 		n.resetElectionTimer()
 	}
 	n.send(&pb.Message{
@@ -177,8 +180,8 @@
 	}
 }
 
-// becomeLeader opens the term with an empty entry, without which entries of
-// earlier terms could not be committed.
+// becomeLeader starts the term with an empty entry, because a leader cannot commit
+// entries of earlier terms before one of its own term.
 func (n *Node) becomeLeader() {
 	n.role = Leader
 	n.votes = nil
@@ -190,7 +193,8 @@
 	n.tickLeader()
 }
 
-// tickLeader steps down without a quorum and sends heartbeats.
+// tickLeader steps down if there is no active quorum, and sends heartbeats when
+// they are due.
 func (n *Node) tickLeader() {
 	if n.activeVoters(n.members.current()) < quorum(n.members.current()) {
 		n.becomeFollower(n.term, 0)
@@ -201,13 +205,14 @@
 		n.nextHeartbeat = n.now + n.cfg.HeartbeatInterval
 		n.sendHeartbeats()
 	}
-	// Rounds of reads put the next heartbeat off, but must not the promotion.
+	// Promotion does not depend on nextHeartbeat, because frequent read rounds can
+	// postpone it indefinitely.
 	n.promoteCaughtUp()
-	n.useReserve()
+	n.replaceUnresponsiveVoter()
 }
 
-// activeVoters counts the voters of membership heard of within an election
-// timeout, the leader included.
+// activeVoters counts the voters of membership that responded within the last
+// election timeout, including the leader itself.
 func (n *Node) activeVoters(membership *pb.Membership) int {
 	count := 0
 	for _, member := range voters(membership) {
@@ -220,5 +225,5 @@
 
 func (n *Node) isActive(id uint64) bool {
 	pr := n.progress[id]
-	return pr != nil && n.now-pr.heard < n.cfg.ElectionTimeout
+	return pr != nil && n.now-pr.lastResponse < n.cfg.ElectionTimeout
 }
--- a/replica/entrylog.go
+++ b/replica/entrylog.go
@@ -6,14 +6,14 @@
 	pb "github.com/lilackeel/lilackeel/api/replica/v1"
 )
 
-// position is a place in the log.
+// position is the index and term of an entry.
 type position struct {
 	index uint64
 	term  uint64
 }
 
-// atLeast reports whether a log that ends at p is as up to date as one that
-// ends at other.
+// atLeast reports whether a log that ends at p is at least as up to date as one
+// that ends at other.
 func (p position) atLeast(other position) bool {
 	if p.term != other.term {
 		return p.term > other.term
@@ -25,9 +25,9 @@
 type entryLog struct {
 	base      position
 	entries   []*pb.Entry
-	persisted uint64 // entries up to here are durable
+	persisted uint64 // entries up to this index are durable
 	committed uint64
-	handed    uint64 // entries up to here were handed out to be applied
+	delivered uint64 // entries up to this index were returned by Ready to be applied
 }
 
 func (l *entryLog) last() position {
@@ -38,7 +38,7 @@
 	return position{entry.GetIndex(), entry.GetTerm()}
 }
 
-// term returns the term of the entry at index; false if the log has no such
+// term returns the term of the entry at index, or false if the log has no such
 // entry or has compacted it.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.base.index {
@@ -54,7 +54,7 @@
 	return l.entries[index-l.base.index-1]
 }
 
-// slice returns the entries from first to last; both must be in the log.
+// slice returns the entries from first to last, both of which must be in the log.
 func (l *entryLog) slice(first, last uint64) []*pb.Entry {
 	if first > last {
 		return nil
@@ -62,9 +62,9 @@
 	return l.entries[first-l.base.index-1 : last-l.base.index : last-l.base.index]
 }
 
-// bounded returns the entries from first on, at least one and no more than
-// limit bytes.
-func (l *entryLog) bounded(first uint64, limit int) []*pb.Entry {
+// entriesFrom returns the entries from first on, up to limit bytes but at least
+// one.
+func (l *entryLog) entriesFrom(first uint64, limit int) []*pb.Entry {
 	last := l.last().index
 	size := 0
 	for index := first; index <= last; index++ {
@@ -76,20 +76,19 @@
 	return l.slice(first, last)
 }
 
-// append adds one entry at the end.
 func (l *entryLog) append(entry *pb.Entry) {
 	l.entries = append(l.entries, entry)
 }
 
-// truncate drops the entries from index on. It copies, because slices of the
-// old entries may be on their way to other replicas.
+// truncate removes the entries from index on. It copies the rest, because messages
+// that are still being sent may share the old slice.
 func (l *entryLog) truncate(index uint64) {
 	keep := index - l.base.index - 1
 	l.entries = append([]*pb.Entry(nil), l.entries[:keep]...)
 	l.persisted = min(l.persisted, index-1)
 }
 
-// compact drops the entries up to index.
+// compact removes the entries up to index.
 func (l *entryLog) compact(index uint64) {
 	term, ok := l.term(index)
 	if !ok || index <= l.base.index {
@@ -101,11 +100,11 @@
 
 // reset replaces the whole log by a snapshot at p.
 func (l *entryLog) reset(p position) {
-	*l = entryLog{base: p, persisted: p.index, committed: p.index, handed: p.index}
+	*l = entryLog{base: p, persisted: p.index, committed: p.index, delivered: p.index}
 }
 
-// conflictHint returns the last index at or before index whose term is at most
-// term, for a leader to try next.
+// conflictHint returns the last index at or before index whose entry has at most
+// this term, as the next one for the leader to try.
 func (l *entryLog) conflictHint(index, term uint64) uint64 {
 	index = min(index, l.last().index)
 	for index > l.base.index {
--- a/replica/faults_test.go
+++ b/replica/faults_test.go
@@ -11,23 +11,23 @@
 
 const crashChance = 0.0005
 
-// nemesis brings about faults at random.
+// nemesis injects random faults.
 type nemesis struct {
 	*sim
-	copies map[uint64]*oldCopy
+	copies map[uint64]*diskCopy
 	counts map[string]int
 }
 
-// oldCopy is a copy of a disk, and when it was made.
-type oldCopy struct {
+// diskCopy is a copy of a disk, with the state of the hosts when it was made.
+type diskCopy struct {
 	disk *disk
 	// boots counts the starts of each host when the copy was made.
 	boots map[uint64]int
 }
 
-// whole reports whether all voters run on the disks that the membership names
-// and know each other's incarnation, so that the next fault is the first one.
-func (s *sim) whole() bool {
+// allVotersHealthy reports whether all voters run on the disks that the membership
+// names and know each other's incarnation, so that the next fault is the only one.
+func (s *sim) allVotersHealthy() bool {
 	leader := s.leader()
 	if leader == nil || !leader.node.committedInTerm() {
 		return false
@@ -41,7 +41,7 @@
 		if h != leader && status.Progress[member.Id].Match < status.Commit {
 			return false
 		}
-		if !h.node.named() && len(h.node.admission.agreed) < len(status.Membership.Members)-1 {
+		if !h.node.namedInMembership() && len(h.node.admission.agreed) < len(status.Membership.Members)-1 {
 			return false
 		}
 	}
@@ -50,8 +50,8 @@
 
 func (n *nemesis) pick() *host { return n.hosts[uint64(n.rand.IntN(len(n.hosts))+1)] }
 
-// strike brings about one fault.
-func (n *nemesis) strike() {
+// injectFault injects one random fault.
+func (n *nemesis) injectFault() {
 	h := n.pick()
 	kinds := []string{"cut", "isolate", "heal", "kill", "start", "freeze", "weather", "transfer", "wipe", "copy", "old disk", "repair", "clock step"}
 	kind := kinds[n.rand.IntN(len(kinds))]
@@ -74,17 +74,17 @@
 	case "transfer":
 		if leader := n.leader(); leader != nil {
 			_ = leader.node.TransferLeader(h.id)
-			leader.work()
+			leader.processReady()
 		}
 	case "wipe":
-		if !n.whole() {
+		if !n.allVotersHealthy() {
 			return
 		}
 		h.replace(n.blankDisk())
 	case "copy":
-		n.copies[h.id] = &oldCopy{h.disk.copy(), n.boots()}
+		n.copies[h.id] = &diskCopy{h.disk.copy(), n.boots()}
 	case "old disk":
-		if !n.putBack(h) {
+		if !n.restoreOldDisk(h) {
 			return
 		}
 	case "repair":
@@ -95,11 +95,12 @@
 	n.counts[kind]++
 }
 
-// lossAfterRepair repairs everything and then loses a second disk at once.
+// lossAfterRepair repairs everything, replaces one disk and, as soon as that is
+// repaired, a second one.
 func (n *nemesis) lossAfterRepair(h *host) {
-	n.calm()
+	n.stopFaults()
 	n.untilRepaired()
-	if n.rand.IntN(2) == 0 || !n.putBack(h) {
+	if n.rand.IntN(2) == 0 || !n.restoreOldDisk(h) {
 		h.replace(n.blankDisk())
 	}
 	n.untilRepaired()
@@ -108,9 +109,9 @@
 }
 
 func (n *nemesis) untilRepaired() {
-	n.until(100*simElection, "all voters whole", func() bool {
+	n.until(100*simElection, "all voters healthy", func() bool {
 		n.repairFenced()
-		return n.whole()
+		return n.allVotersHealthy()
 	})
 }
 
@@ -122,12 +123,13 @@
 	return boots
 }
 
-// putBack starts a host on an old copy of its disk, as the first fault, and with
-// witnesses: either the host was started again since, which the others stored,
-// or none of the others was, so that they remember what it acknowledged.
-func (n *nemesis) putBack(h *host) bool {
+// restoreOldDisk starts a host on an old copy of its disk, if that is the only
+// fault and witnesses can detect it: either the host was restarted after the copy
+// was made, which the others have stored, or none of the others was restarted, so
+// that they still know what it acknowledged.
+func (n *nemesis) restoreOldDisk(h *host) bool {
 	old := n.copies[h.id]
-	if old == nil || !n.whole() || old.disk.label.Identity != h.disk.label.Identity {
+	if old == nil || !n.allVotersHealthy() || old.disk.label.Identity != h.disk.label.Identity {
 		return false
 	}
 	if h.disk.label.Incarnation == old.disk.label.Incarnation {
@@ -157,14 +159,14 @@
 		return
 	}
 	h.frozen = true
-	n.after(time.Duration(n.rand.Int64N(int64(6*simElection))), func() {
+	n.schedule(time.Duration(n.rand.Int64N(int64(6*simElection))), func() {
 		if h.frozen {
-			h.wake()
+			h.resume()
 		}
 	})
 }
 
-// repairFenced does what the error of a refused replica asks for.
+// repairFenced replaces the disks of fenced replicas, as the remedy of their error says.
 func (n *nemesis) repairFenced() {
 	for id := uint64(1); id <= uint64(len(n.hosts)); id++ {
 		h := n.hosts[id]
@@ -175,15 +177,16 @@
 	}
 }
 
-// storm runs clients under faults and then checks what must hold.
-func storm(t testing.TB, seed uint64, counts map[string]int) {
-	n := &nemesis{newSim(t, seed, 3+2*int(seed%2)), map[uint64]*oldCopy{}, counts}
+// runRandomFaults runs clients under random faults, then ends the faults and checks
+// the invariants.
+func runRandomFaults(t testing.TB, seed uint64, counts map[string]int) {
+	n := &nemesis{newSim(t, seed, 3+2*int(seed%2)), map[uint64]*diskCopy{}, counts}
 	n.until(10*simElection, "a first leader", func() bool { return n.leader() != nil })
 	n.crash = crashChance
 	for range 60 {
 		n.run(time.Duration(n.rand.Int64N(int64(3 * simElection / 2))))
 		n.repairFenced()
-		n.strike()
+		n.injectFault()
 		n.write(n.leader())
 		n.write(n.pick())
 		n.read(n.pick())
@@ -191,10 +194,10 @@
 			n.startDead()
 		}
 	}
-	n.calm()
+	n.stopFaults()
 	n.untilRepaired()
 	n.write(n.leader())
-	n.until(10*simElection, "all agreed", n.agreed)
+	n.until(10*simElection, "all replicas converged", n.converged)
 	n.read(n.leader())
 	n.run(simElection)
 	reads, writes := n.checkHistory()
@@ -202,14 +205,15 @@
 	counts["writes"] += writes
 }
 
-func (n *nemesis) calm() {
+func (n *nemesis) stopFaults() {
 	n.crash, n.drop, n.duplicate, n.delay = 0, 0, 0, 2*time.Millisecond
 	n.heal()
 	n.startDead()
 }
 
-// agreed reports whether all voters have applied everything ever applied.
-func (n *nemesis) agreed() bool {
+// converged reports whether all hosts have applied every entry that any host has
+// applied.
+func (n *nemesis) converged() bool {
 	last := uint64(len(n.digests))
 	for _, h := range n.hosts {
 		if h.node == nil || h.applied < last || h.digest != n.digests[h.applied] {
@@ -220,16 +224,16 @@
 }
 
 var (
-	seeds     = flag.Uint64("seeds", 400, "number of seeds of TestStorm")
-	firstSeed = flag.Uint64("first-seed", 0, "first seed of TestStorm")
+	seeds     = flag.Uint64("seeds", 400, "number of seeds of TestRandomFaults")
+	firstSeed = flag.Uint64("first-seed", 0, "first seed of TestRandomFaults")
 )
 
-// TestStorm checks, under all faults, that a term has one leader, that all
-// replicas apply the same entries, that no committed entry is lost or changed,
-// that the register is linearizable, and that all is well again afterwards.
-func TestStorm(t *testing.T) {
+// TestRandomFaults checks, under all faults, that a term has one leader, that all
+// replicas apply the same entries, that no committed entry is lost or changed, that
+// the register is linearizable, and that the cluster recovers when the faults end.
+func TestRandomFaults(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.Restart, proof.LostDisk, proof.OldDisk, proof.CutOneWay, proof.CutBothWays, proof.Freeze, proof.Late, proof.Doubled, proof.Crossed, proof.Lost, proof.ClockStep, proof.SecondLoss}, Step: "every step of elections, commits, reads, snapshots and repairs", Together: true,
-		Guard: "each alone: the candidate's log compared at a vote, a term stored before it is shown, messages of an old term dropped, admission after a restart, the judgement of old disks, reads confirmed by a quorum; the three checks of a disk's identity together"}.Log(t)
+		Guard: "each alone: the candidate's log compared at a vote, a term stored before it is sent, messages of an old term dropped, admission after a restart, the check of old disks by witnesses, reads confirmed by a quorum; the three checks of a disk's identity together"}.Log(t)
 	const groups = 8
 	for group := range uint64(groups) {
 		from, to := *firstSeed+group**seeds/groups, *firstSeed+(group+1)**seeds/groups
@@ -237,7 +241,7 @@
 			t.Parallel()
 			counts := map[string]int{}
 			for seed := from; seed < to; seed++ {
-				storm(t, seed, counts)
+				runRandomFaults(t, seed, counts)
 			}
 			t.Log(counts)
 		})
--- a/replica/fuzz_test.go
+++ b/replica/fuzz_test.go
@@ -8,8 +8,8 @@
 	pb "github.com/lilackeel/lilackeel/api/replica/v1"
 )
 
-// FuzzMessages feeds two encoded messages to a leader and to a blank disk. They
-// must not panic, and a leader must not lose what it committed.
+// FuzzMessages sends two encoded messages to a leader and to a replica with a blank
+// disk. They must not panic, and the leader must not lose committed entries.
 func FuzzMessages(f *testing.F) {
 	f.Add([]byte{}, []byte{})
 	for kind := range pb.MessageKind_name {
@@ -18,13 +18,13 @@
 			Entries:  []*pb.Entry{{Index: 2, Term: 2, Kind: pb.EntryKind_ENTRY_KIND_DATA, Data: make([]byte, 8)}},
 			Snapshot: &pb.Snapshot{Index: 9, Term: 2, Data: make([]byte, 16), Membership: &pb.Membership{Cluster: 1, Members: []*pb.Member{{Id: 1, Role: pb.Role_ROLE_VOTER}}}},
 		}
-		add(f, m)
+		addSeed(f, m)
 		m.Snapshot, m.Entries[0].Index = nil, 7
-		add(f, m)
+		addSeed(f, m)
 		m.Entries[0].Index, m.Entries[0].Kind = 2, pb.EntryKind_ENTRY_KIND_MEMBERSHIP
-		add(f, m)
+		addSeed(f, m)
 		m.LogIndex, m.Hint, m.Entries = 1<<63, 1<<63, nil
-		add(f, m)
+		addSeed(f, m)
 	}
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		s := newSim(t, 1, 3)
@@ -38,22 +38,22 @@
 				if proto.Unmarshal(data, m) != nil {
 					return
 				}
-				s.disguise(m, h)
+				s.impersonatePeer(m, h)
 				if h.node != nil {
 					h.node.Step(s.now, m)
-					h.work()
+					h.processReady()
 				}
 			}
 		}
 		s.run(simElection)
 		if leader.node.Err() == nil && leader.node.log.committed < committed {
-			t.Fatalf("commit index went back from %d to %d", committed, leader.node.log.committed)
+			t.Fatalf("commit index decreased from %d to %d", committed, leader.node.log.committed)
 		}
 	})
 }
 
-// disguise gives a message the sender that makes a host take it seriously.
-func (s *sim) disguise(m *pb.Message, h *host) {
+// impersonatePeer sets the sender and term of a message so that h accepts it.
+func (s *sim) impersonatePeer(m *pb.Message, h *host) {
 	from := s.others(h)[int(m.From%3)]
 	m.From, m.To, m.ToDisk = from.id, h.id, 0
 	m.Term = h.node.term + m.Term%3
@@ -61,7 +61,7 @@
 	m.Incarnation, m.Boot = from.node.cfg.Disk.Incarnation, from.node.cfg.Boot
 }
 
-func add(f *testing.F, m *pb.Message) {
+func addSeed(f *testing.F, m *pb.Message) {
 	data, err := proto.Marshal(m)
 	if err != nil {
 		f.Fatal(err)
--- a/replica/history_test.go
+++ b/replica/history_test.go
@@ -8,13 +8,13 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// operation is a read or a write of the register by a client.
+// operation is a client's read or write of the register.
 type operation struct {
 	client int
 	write  bool
 	value  uint64 // written or read
 	term   uint64
-	index  uint64 // that a read waits for
+	index  uint64 // that must be applied before a read
 	call   time.Duration
 	end    time.Duration
 	done   bool
@@ -22,7 +22,7 @@
 
 func (o *operation) finish(now time.Duration) { o.done, o.end = true, now }
 
-// registerModel is an integer register that starts as 0.
+// registerModel is an integer register with the initial value 0.
 var registerModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -34,7 +34,8 @@
 	},
 }
 
-// write proposes a new value at h and returns the operation, or nil if refused.
+// write proposes a new value at h and returns the operation, or nil if h refuses
+// it.
 func (s *sim) write(h *host) *operation {
 	if h == nil || h.node == nil || h.frozen {
 		return nil
@@ -47,11 +48,12 @@
 	op := &operation{client: len(s.history), write: true, value: s.nextValue, term: term, call: s.now}
 	s.history = append(s.history, op)
 	h.writes[index] = op
-	h.work()
+	h.processReady()
 	return op
 }
 
-// read asks h, any replica, for the register.
+// read reads the register at h, which may be any replica, and returns the
+// operation, or nil if h refuses it.
 func (s *sim) read(h *host) *operation {
 	if h == nil || h.node == nil || h.frozen {
 		return nil
@@ -63,11 +65,11 @@
 	op := &operation{client: len(s.history), call: s.now}
 	s.history = append(s.history, op)
 	h.reads[id] = op
-	h.work()
+	h.processReady()
 	return op
 }
 
-// finishReads ends the reads whose index is applied.
+// finishReads completes the reads whose index is applied.
 func (h *host) finishReads(states []ReadState) {
 	for _, state := range states {
 		if op := h.reads[state.ID]; op != nil && state.Err == nil {
@@ -89,7 +91,7 @@
 }
 
 // checkHistory checks that the register was linearizable. A write that did not
-// end may take effect at any later time, or never.
+// complete may take effect at any later time or never.
 func (s *sim) checkHistory() (reads, writes int) {
 	var operations []porcupine.Operation
 	seen := map[uint64]bool{}
@@ -98,7 +100,7 @@
 	}
 	for _, op := range s.history {
 		if !op.done && (!op.write || !seen[op.value]) {
-			continue // it may as well never have taken effect
+			continue // it need not have taken effect
 		}
 		end := int64(math.MaxInt64)
 		if op.done {
--- a/replica/join.go
+++ b/replica/join.go
@@ -9,22 +9,26 @@
 	pb "github.com/lilackeel/lilackeel/api/replica/v1"
 )
 
-// The first entry of a cluster.
+// Index and term of the first entry of a cluster.
 const (
 	genesisIndex = 1
 	genesisTerm  = 1
 )
 
-// bootstrap is what a blank disk knows about the other initial voters.
+// bootstrap is the state of a blank disk's attempt to form a new cluster with the
+// other initial voters.
 type bootstrap struct {
-	// disks are the disks seen, which joins return to show that they are recent.
-	disks map[uint64]uint64
-	// joined are the initial voters that answered this very disk as blank ones.
-	joined map[uint64]*pb.Member
+	// seenDisks are the disks from which join messages came, by replica. The join
+	// messages to these replicas echo them, which shows that the messages are recent.
+	seenDisks map[uint64]uint64
+	// blankVoters are the initial voters that answered this disk and have blank
+	// disks themselves.
+	blankVoters map[uint64]*pb.Member
 }
 
-// announce sends join to all that may know a cluster or bootstrap one.
-func (n *Node) announce() {
+// sendJoins sends join to all replicas that may belong to a cluster or may
+// bootstrap one.
+func (n *Node) sendJoins() {
 	targets := maps.Clone(n.cfg.Peers)
 	if targets == nil {
 		targets = map[uint64]string{}
@@ -44,66 +48,71 @@
 	}
 	n.send(&pb.Message{
 		Kind: pb.MessageKind_MESSAGE_KIND_JOIN, To: to, Addr: n.cfg.Addr,
-		Force: n.mayBootstrap(), Echo: n.bootstrap.disks[to],
+		Force: n.mayBootstrap(), Echo: n.bootstrap.seenDisks[to],
 	})
 }
 
-// mayBootstrap reports whether this disk is blank and allowed to bootstrap.
+// mayBootstrap reports whether this disk is blank and the replica is allowed to
+// bootstrap a cluster.
 func (n *Node) mayBootstrap() bool { return !n.cfg.Join && n.members.current() == nil }
 
 func (n *Node) handleJoin(m *pb.Message) {
 	if n.members.current() == nil {
-		n.noteBlank(m)
+		n.recordBlankVoter(m)
 		n.tryBootstrap()
 		return
 	}
-	n.noteBlankMember(m)
-	if n.passGenesis(m) {
+	n.recordLostDisk(m)
+	if n.resendGenesis(m) {
 		return
 	}
 	if n.role != Leader {
-		n.passJoin(m)
+		n.forwardJoin(m)
 		return
 	}
-	n.replaceDisk(m)
+	n.assignBlankDisk(m)
 }
 
-// passJoin passes the announcement of a blank disk on to the leader. The settings of
-// its replica may name followers only, and nobody else tells the leader: the disk then
-// stays out for good, and the loss of two more of five disks leaves no quorum. With it
-// the disk has its vote back within 20 election timeouts on the simulated network. An
-// announcement that names a cluster comes from a replica that knows the members, or has
-// been passed on: two followers that take each other for the leader do not pass it to
-// and fro.
-func (n *Node) passJoin(m *pb.Message) {
+// forwardJoin forwards the join message of a blank disk to the leader. The settings
+// of that replica may name followers only, and then nothing else informs the
+// leader: the disk would stay out permanently, and the loss of two more of five
+// disks would leave no quorum. With forwarding, the disk is a voter again within 20
+// election timeouts on the simulated network.
+//
+// A join message that names a cluster comes from a replica that knows the members,
+// or has been forwarded already. It is not forwarded, so that two followers that
+// take each other for the leader do not send it back and forth.
+func (n *Node) forwardJoin(m *pb.Message) {
 	if m.GetCluster() != 0 || n.leader == 0 || n.leader == m.GetFrom() {
 		return
 	}
-	passed := proto.CloneOf(m)
-	passed.To = n.leader
-	passed.Cluster = n.cluster()
-	n.messages = append(n.messages, passed)
+	forwarded := proto.CloneOf(m)
+	forwarded.To = n.leader
+	forwarded.Cluster = n.cluster()
+	n.messages = append(n.messages, forwarded)
 }
 
-// noteBlank records that another initial voter has a blank disk too. The echo
-// shows that it was still blank after it had seen this disk, so it cannot belong
-// to a cluster that an earlier disk of this replica has bootstrapped.
-func (n *Node) noteBlank(m *pb.Message) {
+// recordBlankVoter records that another initial voter also has a blank disk. The
+// echoed identity of this disk shows that the other one was still blank after it
+// had received a join from this disk. So it cannot belong to a cluster that an
+// earlier disk of this replica has bootstrapped.
+func (n *Node) recordBlankVoter(m *pb.Message) {
 	from := m.GetFrom()
-	n.bootstrap.disks[from] = m.GetDisk()
+	n.bootstrap.seenDisks[from] = m.GetDisk()
 	addr, initial := n.cfg.Peers[from]
 	if !initial || !m.GetForce() || m.GetEcho() != n.cfg.Disk.GetIdentity() {
-		delete(n.bootstrap.joined, from)
+		delete(n.bootstrap.blankVoters, from)
 		return
 	}
-	n.bootstrap.joined[from] = &pb.Member{
+	n.bootstrap.blankVoters[from] = &pb.Member{
 		Id: from, Addr: addr, Disk: m.GetDisk(), Incarnation: m.GetIncarnation(), Boot: m.GetBoot(),
 		Role: pb.Role_ROLE_VOTER,
 	}
 }
 
-// tryBootstrap starts a cluster once all initial voters are blank and present.
-// Only the one with the lowest id does, so that there is one cluster.
+// tryBootstrap starts a cluster once all initial voters have answered with blank
+// disks. Only the voter with the lowest id does so, so that only one cluster is
+// formed.
 func (n *Node) tryBootstrap() {
 	if !n.mayBootstrap() || len(n.cfg.Peers) == 0 {
 		return
@@ -111,24 +120,24 @@
 	if slices.Min(slices.Collect(maps.Keys(n.cfg.Peers))) != n.cfg.ID {
 		return
 	}
-	if len(n.bootstrap.joined) != len(n.cfg.Peers)-1 {
+	if len(n.bootstrap.blankVoters) != len(n.cfg.Peers)-1 {
 		return
 	}
 	n.startCluster()
 }
 
-// startCluster appends the first entry, whose membership names every initial
-// voter, and sends it to the others.
+// startCluster appends the first entry, whose membership names every initial voter,
+// and sends it to the others.
 func (n *Node) startCluster() {
 	membership := &pb.Membership{Cluster: n.cfg.Rand.Uint64() | 1}
 	membership = withMember(membership, &pb.Member{
 		Id: n.cfg.ID, Addr: n.cfg.Peers[n.cfg.ID], Disk: n.cfg.Disk.GetIdentity(),
 		Incarnation: n.cfg.Disk.GetIncarnation(), Boot: n.cfg.Boot, Role: pb.Role_ROLE_VOTER,
 	})
-	for _, member := range n.bootstrap.joined {
+	for _, member := range n.bootstrap.blankVoters {
 		membership = withMember(membership, member)
 	}
-	n.startLog(&pb.Entry{
+	n.installGenesis(&pb.Entry{
 		Index: genesisIndex, Term: genesisTerm, Kind: pb.EntryKind_ENTRY_KIND_MEMBERSHIP, Membership: membership,
 	})
 	for _, member := range membership.GetMembers() {
@@ -139,15 +148,15 @@
 	n.electionDeadline = n.now + n.cfg.HeartbeatInterval
 }
 
-// startLog takes the first entry as the start of an empty log.
-func (n *Node) startLog(genesis *pb.Entry) {
+// installGenesis appends the first entry to an empty log.
+func (n *Node) installGenesis(genesis *pb.Entry) {
 	n.term = max(n.term, genesis.GetTerm())
-	n.hardDirty = true
+	n.hardStateDirty = true
 	n.appendEntry(genesis)
 	n.resetElectionTimer()
 }
 
-// genesis returns the first entry if the log still holds it.
+// genesis returns the first entry, or nil if the log no longer holds it.
 func (n *Node) genesis() *pb.Entry {
 	if n.log.base.index != 0 || len(n.log.entries) == 0 {
 		return nil
@@ -155,8 +164,9 @@
 	return n.log.entries[0]
 }
 
-// passGenesis gives the first entry to a blank disk that it names.
-func (n *Node) passGenesis(m *pb.Message) bool {
+// resendGenesis sends the first entry to a blank disk that it names. It returns
+// false for other senders.
+func (n *Node) resendGenesis(m *pb.Message) bool {
 	member := FindMember(n.genesis().GetMembership(), m.GetFrom())
 	if m.GetCluster() != 0 || member.GetDisk() != m.GetDisk() {
 		return false
@@ -182,23 +192,23 @@
 	if entry.GetIndex() != genesisIndex || member.GetDisk() != n.cfg.Disk.GetIdentity() {
 		return
 	}
-	n.startLog(entry)
+	n.installGenesis(entry)
 }
 
-// replaceDisk names a blank disk as that of its member, which becomes a learner,
-// if the member had no disk yet, or has been silent for so long that its disk is
-// taken for lost.
-func (n *Node) replaceDisk(m *pb.Message) {
+// assignBlankDisk assigns a blank disk to its member, which becomes a learner, if
+// the member had no disk yet or has been unresponsive for RepairAfter, after which
+// its disk is considered lost.
+func (n *Node) assignBlankDisk(m *pb.Message) {
 	member := FindMember(n.members.current(), m.GetFrom())
 	if member == nil {
-		n.takeIn(m)
+		n.addUnknownReplica(m)
 		return
 	}
 	if member.GetDisk() == m.GetDisk() {
 		return
 	}
 	pr := n.progress[member.GetId()]
-	if member.GetDisk() != 0 && pr != nil && n.now-pr.heard < n.cfg.RepairAfter {
+	if member.GetDisk() != 0 && pr != nil && n.now-pr.lastResponse < n.cfg.RepairAfter {
 		return
 	}
 	replacement := &pb.Member{
@@ -206,26 +216,29 @@
 		Incarnation: m.GetIncarnation(), Boot: m.GetBoot(), Role: pb.Role_ROLE_LEARNER,
 		Promote: member.GetPromote() || isVoter(member),
 	}
-	// Refused while another change is under way; the disk announces itself again.
+	// This is refused while another change is in progress; the replica sends join
+	// again.
 	_, _, _ = n.proposeMembership(withMember(n.members.current(), replacement))
 }
 
-// writer is a leader of which no membership tells this disk yet, and its address.
-type writer struct {
+// discoveredLeader is a leader that is known only from its messages, not from a
+// membership.
+type discoveredLeader struct {
 	id   uint64
 	addr string
 }
 
-// noteLeaderAddr notes where the leader of the present term is, which writes to a blank
-// disk. Neither the settings nor a log may name it, and it sends no log to a disk that does
-// not answer: with passJoin alone a disk heard its leader after 0.6 s and had no vote 8 s
-// later.
-func (n *Node) noteLeaderAddr(m *pb.Message) {
+// recordLeaderAddr records the address of the leader of the current term from a
+// message that it sent to a blank disk. It may be that neither the settings nor the
+// log of this replica name the leader, and the leader sends no log entries to a disk
+// that does not answer. With forwardJoin alone a disk received messages from its
+// leader after 0.6 s but was still not a voter 8 s later.
+func (n *Node) recordLeaderAddr(m *pb.Message) {
 	if n.members.current() == nil && fromLeader(m.GetKind()) && m.GetAddr() != "" {
-		n.writer = writer{id: m.GetFrom(), addr: m.GetAddr()}
+		n.discovered = discoveredLeader{id: m.GetFrom(), addr: m.GetAddr()}
 	}
 }
 
-// Writer returns the number and the address of the leader that has written to this
-// disk while it was blank; zero if there was none.
-func (n *Node) DiscoveredLeader() (id uint64, addr string) { return n.writer.id, n.writer.addr }
+// DiscoveredLeader returns the id and address of the leader that sent messages to
+// this disk before the disk knew any membership, or zero values if there was none.
+func (n *Node) DiscoveredLeader() (id uint64, addr string) { return n.discovered.id, n.discovered.addr }
--- a/replica/membership.go
+++ b/replica/membership.go
@@ -9,24 +9,25 @@
 	pb "github.com/lilackeel/lilackeel/api/replica/v1"
 )
 
-// placedMembership is a membership and the index of the entry that set it.
-type placedMembership struct {
+// indexedMembership is a membership and the index of the entry that set it.
+type indexedMembership struct {
 	index      uint64
 	membership *pb.Membership
 }
 
-// memberships is the history of memberships, the last of which is in force.
-// Those behind the commit index are kept only as far as a truncation needs.
-type memberships []placedMembership
+// membershipHistory is a list of memberships by index, the last of which is in
+// force. Older ones are kept as far back as the log reaches, because a truncation
+// of the log may bring them back into force.
+type membershipHistory []indexedMembership
 
-func (m memberships) current() *pb.Membership {
+func (m membershipHistory) current() *pb.Membership {
 	if len(m) == 0 {
 		return nil
 	}
 	return m[len(m)-1].membership
 }
 
-func (m memberships) index() uint64 {
+func (m membershipHistory) index() uint64 {
 	if len(m) == 0 {
 		return 0
 	}
@@ -34,25 +35,25 @@
 }
 
 // at returns the membership in force at index.
-func (m memberships) at(index uint64) placedMembership {
+func (m membershipHistory) at(index uint64) indexedMembership {
 	for i := len(m) - 1; i >= 0; i-- {
 		if m[i].index <= index {
 			return m[i]
 		}
 	}
-	return placedMembership{}
+	return indexedMembership{}
 }
 
-// truncate drops the memberships from index on.
-func (m memberships) truncate(index uint64) memberships {
+// truncate removes the memberships from index on.
+func (m membershipHistory) truncate(index uint64) membershipHistory {
 	for len(m) > 0 && m[len(m)-1].index >= index {
 		m = m[:len(m)-1]
 	}
 	return m
 }
 
-// forget drops the memberships that were replaced at or before index.
-func (m memberships) forget(index uint64) memberships {
+// compact removes the memberships that were replaced at or before index.
+func (m membershipHistory) compact(index uint64) membershipHistory {
 	for len(m) > 1 && m[1].index <= index {
 		m = m[1:]
 	}
@@ -71,7 +72,6 @@
 
 func isVoter(member *pb.Member) bool { return member.GetRole() == pb.Role_ROLE_VOTER }
 
-// voters returns the voting members.
 func voters(membership *pb.Membership) []*pb.Member {
 	var found []*pb.Member
 	for _, member := range membership.GetMembers() {
@@ -82,11 +82,11 @@
 	return found
 }
 
-// quorum returns the number of voters that decide.
+// quorum returns the number of voters that form a majority.
 func quorum(membership *pb.Membership) int { return len(voters(membership))/2 + 1 }
 
-// withMember returns a copy of membership in which member replaces the one of
-// the same id or is added.
+// withMember returns a copy of membership in which member is added or replaces the
+// one with the same id.
 func withMember(membership *pb.Membership, member *pb.Member) *pb.Membership {
 	changed := withoutMember(membership, member.GetId())
 	changed.Members = append(changed.Members, member)
@@ -96,7 +96,7 @@
 	return changed
 }
 
-// withoutMember returns a copy of membership without the member of that id.
+// withoutMember returns a copy of membership without the member with this id.
 func withoutMember(membership *pb.Membership, id uint64) *pb.Membership {
 	changed := proto.CloneOf(membership)
 	changed.Members = slices.DeleteFunc(changed.Members, func(member *pb.Member) bool {
--- a/replica/node.go
+++ b/replica/node.go
@@ -7,7 +7,7 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// Role is the part a node plays in its term.
+// Role is the Raft role of a node in its current term.
 type Role string
 
 // The roles of a node.
@@ -29,56 +29,57 @@
 	leader uint64
 	log    entryLog
 
-	members memberships
-	// writer is the leader that writes to this disk while it is blank.
-	writer    writer
-	snapshot  *pb.Snapshot
-	incoming  *pb.Snapshot // received from the leader, not yet persisted
-	witnesses map[uint64]*pb.Witness
-	admission admission
-	bootstrap bootstrap
-	fenced    error
+	members membershipHistory
+	// discovered is the leader that sent messages to this disk before the disk knew
+	// any membership.
+	discovered       discoveredLeader
+	snapshot         *pb.Snapshot
+	receivedSnapshot *pb.Snapshot // received from the leader, not yet persisted
+	witnesses        map[uint64]*pb.Witness
+	admission        admission
+	bootstrap        bootstrap
+	fenced           error
 
-	heardLeader      time.Duration
-	heard            bool // a leader was heard since the start
-	electionDeadline time.Duration
-	votes            map[uint64]bool
+	lastLeaderContact time.Duration
+	leaderSeen        bool // a message from a leader arrived since the start
+	electionDeadline  time.Duration
+	votes             map[uint64]bool
 
 	progress      map[uint64]*progress
 	nextHeartbeat time.Duration
 	transfer      transfer
 	reads         readQueue
 
-	counters  Counters
-	early     []*pb.Message
-	messages  []*pb.Message
-	hardDirty bool // the hard state must be synced before messages are sent
+	counters       Counters
+	early          []*pb.Message
+	messages       []*pb.Message
+	hardStateDirty bool // the hard state must be synced before messages are sent
 }
 
-// New returns a node that continues from what was saved.
+// New returns a node that continues from the saved state.
 func New(cfg Config, saved Saved, now time.Duration) (*Node, error) {
 	cfg.setDefaults()
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
 	n := &Node{cfg: cfg, now: now, role: Follower, witnesses: map[uint64]*pb.Witness{}}
-	n.heardLeader = now - cfg.ElectionTimeout
+	n.lastLeaderContact = now - cfg.ElectionTimeout
 	n.reads.next = cfg.Boot
 	n.reads.forwarded = map[uint64]bool{}
 	n.restore(saved)
-	n.admission = admission{started: now, agreed: map[uint64]uint64{}, blank: map[uint64]bool{}}
-	n.bootstrap = bootstrap{disks: map[uint64]uint64{}, joined: map[uint64]*pb.Member{}}
+	n.admission = admission{started: now, agreed: map[uint64]uint64{}, lostDisks: map[uint64]bool{}}
+	n.bootstrap = bootstrap{seenDisks: map[uint64]uint64{}, blankVoters: map[uint64]*pb.Member{}}
 	n.resetElectionTimer()
 	n.checkAdmission()
 	return n, nil
 }
 
-// restore takes over what the disk held.
+// restore initializes the node from the persisted state.
 func (n *Node) restore(saved Saved) {
 	if snapshot := saved.Snapshot; snapshot != nil {
 		n.snapshot = snapshot
 		n.log.reset(position{snapshot.GetIndex(), snapshot.GetTerm()})
-		n.members = memberships{{snapshot.GetMembershipIndex(), snapshot.GetMembership()}}
+		n.members = membershipHistory{{snapshot.GetMembershipIndex(), snapshot.GetMembership()}}
 	}
 	for _, witness := range saved.HardState.GetWitnesses() {
 		n.witnesses[witness.GetDisk()] = copyWitness(witness)
@@ -90,7 +91,7 @@
 	n.term = max(saved.HardState.GetTerm(), n.log.last().term)
 	n.vote = saved.HardState.GetVote()
 	n.log.committed = max(n.log.committed, min(saved.HardState.GetCommit(), n.log.last().index))
-	n.hardDirty = false
+	n.hardStateDirty = false
 }
 
 // Step handles a message from another replica.
@@ -105,28 +106,29 @@
 	if m.GetCluster() != 0 && n.cluster() != 0 && m.GetCluster() != n.cluster() {
 		return
 	}
-	if n.stepIdentity(m) || !n.accepts(m) {
+	if n.stepDiskMessage(m) || !n.checkSender(m) {
 		return
 	}
-	n.witnessTerm(m)
-	if m.GetTerm() > n.term && !n.adoptTerm(m) {
+	n.recordWitnessTerm(m)
+	if m.GetTerm() > n.term && !n.handleHigherTerm(m) {
 		return
 	}
 	if m.GetTerm() < n.term && m.GetKind() != pb.MessageKind_MESSAGE_KIND_PRE_VOTE_RESPONSE {
-		n.answerOldTerm(m)
+		n.rejectLowerTerm(m)
 		return
 	}
-	n.noteLeaderAddr(m)
+	n.recordLeaderAddr(m)
 	n.dispatch(m)
 }
 
-// adoptTerm reacts to a higher term; false means the message is to be ignored.
-func (n *Node) adoptTerm(m *pb.Message) bool {
+// handleHigherTerm reacts to a message of a higher term. It returns false if the
+// message is to be ignored.
+func (n *Node) handleHigherTerm(m *pb.Message) bool {
 	switch m.GetKind() {
 	case pb.MessageKind_MESSAGE_KIND_PRE_VOTE:
 		return true
 	case pb.MessageKind_MESSAGE_KIND_VOTE:
-		if n.sticky() && !m.GetForce() {
+		if n.hasActiveLeader() && !m.GetForce() {
 			return false
 		}
 		n.becomeFollower(m.GetTerm(), 0)
@@ -138,8 +140,9 @@
 	return true
 }
 
-// answerOldTerm tells a sender that its term is over.
-func (n *Node) answerOldTerm(m *pb.Message) {
+// rejectLowerTerm answers a request of an earlier term, so that its sender learns
+// the current one.
+func (n *Node) rejectLowerTerm(m *pb.Message) {
 	switch m.GetKind() {
 	case pb.MessageKind_MESSAGE_KIND_APPEND, pb.MessageKind_MESSAGE_KIND_HEARTBEAT, pb.MessageKind_MESSAGE_KIND_SNAPSHOT:
 		n.send(&pb.Message{Kind: pb.MessageKind_MESSAGE_KIND_APPEND_RESPONSE, To: m.GetFrom(), Reject: true})
@@ -180,13 +183,13 @@
 	}
 }
 
-// Tick lets time pass. Call it at least every heartbeat interval.
+// Tick advances the time of the node. Call it at least once per heartbeat interval.
 func (n *Node) Tick(now time.Duration) {
 	n.now = max(n.now, now)
 	if n.fenced != nil {
 		return
 	}
-	n.tickIdentity()
+	n.tickRegistration()
 	switch {
 	case n.role == Leader:
 		n.tickLeader()
@@ -195,9 +198,10 @@
 	}
 }
 
-// Propose appends a command to the log of the leader and returns its place. The
-// command is committed when an entry of this very index and term is applied; if
-// the entry applied at the index has another term, it never will be.
+// Propose appends a command to the leader's log and returns its index and term. The
+// command is committed when an entry with this index and term is applied. If the
+// entry applied at this index has another term, the command will never be
+// committed.
 func (n *Node) Propose(data []byte) (index, term uint64, err error) {
 	if err := n.mayPropose(); err != nil {
 		return 0, 0, err
@@ -217,37 +221,38 @@
 	return nil
 }
 
-// notLeader returns the error for what only a leader can do.
+// notLeader returns the error for operations that only the leader can perform.
 func (n *Node) notLeader() error {
 	if n.leader == 0 {
 		return fault.New(fault.NoQuorum, "this control replica knows no leader",
-			"ask again after an election timeout; nothing was done").After(n.cfg.ElectionTimeout)
+			"retry after an election timeout; nothing was done").After(n.cfg.ElectionTimeout)
 	}
-	return fault.Newf(fault.NotLeader, "ask the leader; nothing was done",
+	return fault.Newf(fault.NotLeader, "send the request to the leader; nothing was done",
 		"control replica %d is not the leader, %d is", n.cfg.ID, n.leader)
 }
 
-// propose numbers an entry and appends it to the leader's own log.
+// propose assigns the next index and the current term to an entry and appends it to
+// the leader's log.
 func (n *Node) propose(entry *pb.Entry) {
 	entry.Index = n.log.last().index + 1
 	entry.Term = n.term
 	n.appendEntry(entry)
 }
 
-// appendEntry adds an entry at the end of the log. A membership is in force
-// from here on.
+// appendEntry adds an entry at the end of the log. A membership takes effect as
+// soon as it is appended.
 func (n *Node) appendEntry(entry *pb.Entry) {
 	n.log.append(entry)
 	if entry.GetKind() == pb.EntryKind_ENTRY_KIND_MEMBERSHIP {
-		n.members = append(n.members, placedMembership{entry.GetIndex(), entry.GetMembership()})
+		n.members = append(n.members, indexedMembership{entry.GetIndex(), entry.GetMembership()})
 		n.membershipChanged()
 	}
 }
 
-// membershipChanged brings what hangs on the membership in line with it.
+// membershipChanged updates the state that depends on the membership.
 func (n *Node) membershipChanged() {
 	for _, member := range n.members.current().GetMembers() {
-		n.learnDisk(member)
+		n.ensureWitness(member)
 	}
 	if n.role == Leader {
 		n.updateProgress()
@@ -259,7 +264,7 @@
 
 func (n *Node) cluster() uint64 { return n.members.current().GetCluster() }
 
-// self returns the membership's entry for this very disk, or nil.
+// self returns the membership entry for this replica's disk, or nil.
 func (n *Node) self() *pb.Member {
 	member := FindMember(n.members.current(), n.cfg.ID)
 	if member.GetDisk() != n.cfg.Disk.GetIdentity() {
@@ -268,18 +273,20 @@
 	return member
 }
 
-// send queues a message that must wait for what is being persisted.
+// send queues a message that must not be sent before the pending state is
+// persisted.
 func (n *Node) send(m *pb.Message) {
-	n.messages = append(n.messages, n.address(m))
+	n.messages = append(n.messages, n.setSender(m))
 }
 
-// sendEarly queues a message that promises nothing about the sender's disk.
+// sendEarly queues a message that makes no promise about what the sender has stored
+// and may be sent before anything is persisted.
 func (n *Node) sendEarly(m *pb.Message) {
-	n.early = append(n.early, n.address(m))
+	n.early = append(n.early, n.setSender(m))
 }
 
-// address fills in the sender and, unless set, the term.
-func (n *Node) address(m *pb.Message) *pb.Message {
+// setSender fills in the sender's identity and, unless it is set, the term.
+func (n *Node) setSender(m *pb.Message) *pb.Message {
 	m.From = n.cfg.ID
 	m.Cluster = n.cluster()
 	m.Disk = n.cfg.Disk.GetIdentity()
--- a/replica/progress.go
+++ b/replica/progress.go
@@ -6,30 +6,30 @@
 	pb "github.com/lilackeel/lilackeel/api/replica/v1"
 )
 
-// progress is what a leader knows about the log of another member.
+// progress is the leader's view of the log of another member.
 type progress struct {
 	disk uint64
-	// match is the last index known to be durable there.
+	// match is the highest index known to be durable at the member.
 	match uint64
-	// next is the first index to send.
+	// next is the index of the next entry to send.
 	next uint64
-	// probing sends one append at a time until next is known to fit.
+	// probing limits the leader to one append at a time until one is accepted.
 	probing   bool
 	probeSent bool
-	// inflight counts append messages that were not answered yet.
+	// inflight is the number of unacknowledged append messages.
 	inflight int
-	// snapshot is the index of a snapshot under way; 0 for none.
+	// snapshot is the index of the snapshot being sent; 0 for none.
 	snapshot     uint64
 	snapshotSent time.Duration
 	// sentCommit is the highest commit index sent.
 	sentCommit uint64
-	// heard is when the member last answered.
-	heard time.Duration
-	// round is the last read round that the member answered.
-	round uint64
+	// lastResponse is when the member last responded.
+	lastResponse time.Duration
+	// readRound is the last read round that the member answered.
+	readRound uint64
 }
 
-// probe starts over after match.
+// probe restarts replication after match, one append at a time.
 func (p *progress) probe() {
 	p.next = p.match + 1
 	p.probing = true
@@ -39,7 +39,7 @@
 	p.sentCommit = 0
 }
 
-// paused reports whether an answer must come before more is sent.
+// paused reports whether the leader must wait for a response before it sends more.
 func (p *progress) paused(maxInflight int) bool {
 	if p.probing {
 		return p.probeSent
@@ -47,7 +47,7 @@
 	return p.snapshot != 0 || p.inflight >= maxInflight
 }
 
-// updateProgress makes the progress fit the membership.
+// updateProgress adds and removes progress entries to match the membership.
 func (n *Node) updateProgress() {
 	current := n.members.current()
 	for id := range n.progress {
@@ -67,11 +67,11 @@
 
 func (n *Node) newProgress(member *pb.Member) *progress {
 	return &progress{
-		disk: member.GetDisk(), next: n.log.last().index + 1, probing: true, heard: n.now,
+		disk: member.GetDisk(), next: n.log.last().index + 1, probing: true, lastResponse: n.now,
 	}
 }
 
-// flushAppends sends each member what it lacks.
+// flushAppends sends each member the entries that it lacks.
 func (n *Node) flushAppends() {
 	for _, member := range n.members.current().GetMembers() {
 		pr := n.progress[member.GetId()]
@@ -83,8 +83,8 @@
 	}
 }
 
-// sendAppend sends one append or snapshot and reports whether another may
-// follow.
+// sendAppend sends one append message or snapshot and reports whether another
+// append may follow.
 func (n *Node) sendAppend(member *pb.Member, pr *progress) bool {
 	if pr.paused(n.cfg.MaxInflight) {
 		return false
@@ -94,7 +94,7 @@
 		n.sendSnapshot(member, pr)
 		return false
 	}
-	entries := n.log.bounded(pr.next, n.cfg.MaxAppendBytes)
+	entries := n.log.entriesFrom(pr.next, n.cfg.MaxAppendBytes)
 	if len(entries) == 0 && !pr.probing && pr.sentCommit >= n.log.committed {
 		return false
 	}
@@ -122,7 +122,7 @@
 	})
 }
 
-// advanceCommit commits the entries that a quorum of voters stores.
+// advanceCommit commits the entries that a quorum of voters has stored.
 func (n *Node) advanceCommit() {
 	candidate := n.quorumIndex()
 	term, ok := n.log.term(candidate)
@@ -132,15 +132,15 @@
 	n.setCommitted(candidate)
 }
 
-// quorumIndex returns the highest index that a quorum of voters stores.
+// quorumIndex returns the highest index that a quorum of voters has stored.
 func (n *Node) quorumIndex() uint64 {
 	all := voters(n.members.current())
 	best := uint64(0)
 	for _, candidate := range all {
-		index := n.matchOf(candidate)
+		index := n.matchIndex(candidate)
 		count := 0
 		for _, member := range all {
-			if n.matchOf(member) >= index {
+			if n.matchIndex(member) >= index {
 				count++
 			}
 		}
@@ -151,7 +151,7 @@
 	return best
 }
 
-func (n *Node) matchOf(member *pb.Member) uint64 {
+func (n *Node) matchIndex(member *pb.Member) uint64 {
 	if member.GetId() == n.cfg.ID {
 		return n.log.persisted
 	}
@@ -161,19 +161,19 @@
 	return 0
 }
 
-// setCommitted raises the commit index and reacts to a committed membership.
+// setCommitted raises the commit index and handles a membership that it commits.
 func (n *Node) setCommitted(index uint64) {
 	before := n.log.committed
 	n.log.committed = index
-	placed := n.members.index()
-	if placed > before && placed <= index {
-		n.forgetDisks()
+	membershipIndex := n.members.index()
+	if membershipIndex > before && membershipIndex <= index {
+		n.dropStaleWitnesses()
 	}
 	if n.role != Leader {
 		return
 	}
-	n.releaseHeldReads()
-	if placed <= index && !isVoter(n.self()) {
+	n.releaseDeferredReads()
+	if membershipIndex <= index && !isVoter(n.self()) {
 		n.becomeFollower(n.term, 0)
 	}
 }
--- a/replica/read.go
+++ b/replica/read.go
@@ -7,40 +7,40 @@
 	pb "github.com/lilackeel/lilackeel/api/replica/v1"
 )
 
-// ReadState is the answer to one ReadIndex.
+// ReadState is the result of a ReadIndex request.
 type ReadState struct {
 	// ID is the one that ReadIndex returned.
 	ID uint64
-	// Index must be applied before the state machine is read.
+	// Index is the index that must be applied before the state machine is read.
 	Index uint64
-	// Err is set when the read was given up; nothing was read.
+	// Err is set if the read was aborted. The caller must not read then.
 	Err error
 }
 
-// pendingRead is a read that waits for proof that its leader still leads.
+// pendingRead is a read that waits for a quorum to confirm the leader.
 type pendingRead struct {
 	id    uint64
 	from  uint64
 	index uint64
-	// round is the first round of heartbeats that proves it.
+	// round is the first round of heartbeats that can confirm the leader.
 	round uint64
 }
 
-// readQueue holds the reads of a leader and those forwarded to one.
+// readQueue holds the reads that wait at a leader and those forwarded to one.
 type readQueue struct {
-	next      uint64
-	round     uint64
-	held      []pendingRead // asked before the leader committed in its term
-	waiting   []pendingRead
-	unproved  bool // waiting has reads for which no round was started
-	forwarded map[uint64]bool
-	done      []ReadState
-}
-
-// ReadIndex asks for the index up to which the state machine must be applied so
-// that a read sees everything committed before now. The answer comes in
-// Ready.Reads. A follower asks its leader; that answer may be lost, so the
-// caller should give it up after a while with ForgetRead.
+	next        uint64
+	round       uint64
+	deferred    []pendingRead // requested before the leader committed an entry of its term
+	waiting     []pendingRead
+	roundNeeded bool // waiting has reads for which no round was started
+	forwarded   map[uint64]bool
+	results     []ReadState
+}
+
+// ReadIndex requests the index up to which the state machine must be applied so
+// that a read sees everything committed before the call. The result arrives in
+// Ready.Reads. A follower forwards the request to its leader. That response may be
+// lost, so the caller should abort the read after a timeout with CancelRead.
 func (n *Node) ReadIndex() (id uint64, err error) {
 	if n.fenced != nil {
 		return 0, n.fenced
@@ -59,20 +59,20 @@
 	return id, nil
 }
 
-// ForgetRead gives up a read for which no answer came.
+// CancelRead aborts a read that was forwarded and not answered.
 func (n *Node) CancelRead(id uint64) { delete(n.reads.forwarded, id) }
 
-// queueRead takes in a read at a leader. Until the leader has committed an entry
-// of its term it does not know what its predecessors committed.
+// queueRead queues a read at the leader. Until the leader has committed an entry of
+// its own term, it does not know the commit index of its predecessors.
 func (n *Node) queueRead(read pendingRead) {
 	if !n.committedInTerm() {
-		n.reads.held = append(n.reads.held, read)
+		n.reads.deferred = append(n.reads.deferred, read)
 		return
 	}
 	read.index = n.log.committed
 	read.round = n.reads.round + 1
 	n.reads.waiting = append(n.reads.waiting, read)
-	n.reads.unproved = true
+	n.reads.roundNeeded = true
 }
 
 func (n *Node) committedInTerm() bool {
@@ -80,33 +80,33 @@
 	return ok && term == n.term
 }
 
-func (n *Node) releaseHeldReads() {
-	if len(n.reads.held) == 0 || !n.committedInTerm() {
+func (n *Node) releaseDeferredReads() {
+	if len(n.reads.deferred) == 0 || !n.committedInTerm() {
 		return
 	}
-	held := n.reads.held
-	n.reads.held = nil
-	for _, read := range held {
+	deferred := n.reads.deferred
+	n.reads.deferred = nil
+	for _, read := range deferred {
 		n.queueRead(read)
 	}
 }
 
-// flushReads starts one round of heartbeats for all reads that came in since the
-// last one.
-func (n *Node) flushReads() {
-	if !n.reads.unproved {
+// startReadRound starts one round of heartbeats for all reads that were queued
+// since the last round.
+func (n *Node) startReadRound() {
+	if !n.reads.roundNeeded {
 		return
 	}
-	n.reads.unproved = false
+	n.reads.roundNeeded = false
 	n.reads.round++
 	n.sendHeartbeats()
 	n.nextHeartbeat = n.now + n.cfg.HeartbeatInterval
-	n.releaseReads()
+	n.answerConfirmedReads()
 }
 
-// releaseReads answers the reads whose round a quorum has answered.
-func (n *Node) releaseReads() {
-	proved := n.provedRound()
+// answerConfirmedReads answers the reads whose round a quorum has answered.
+func (n *Node) answerConfirmedReads() {
+	proved := n.confirmedRound()
 	for len(n.reads.waiting) > 0 && n.reads.waiting[0].round <= proved {
 		read := n.reads.waiting[0]
 		n.reads.waiting = n.reads.waiting[1:]
@@ -114,15 +114,15 @@
 	}
 }
 
-// provedRound returns the highest round that a quorum of voters has answered.
-func (n *Node) provedRound() uint64 {
+// confirmedRound returns the highest round that a quorum of voters has answered.
+func (n *Node) confirmedRound() uint64 {
 	all := voters(n.members.current())
 	best := uint64(0)
 	for _, candidate := range all {
-		round := n.roundOf(candidate)
+		round := n.answeredRound(candidate)
 		count := 0
 		for _, member := range all {
-			if n.roundOf(member) >= round {
+			if n.answeredRound(member) >= round {
 				count++
 			}
 		}
@@ -133,19 +133,19 @@
 	return best
 }
 
-func (n *Node) roundOf(member *pb.Member) uint64 {
+func (n *Node) answeredRound(member *pb.Member) uint64 {
 	if member.GetId() == n.cfg.ID {
 		return n.reads.round
 	}
 	if pr := n.progress[member.GetId()]; pr != nil {
-		return pr.round
+		return pr.readRound
 	}
 	return 0
 }
 
 func (n *Node) answerRead(read pendingRead) {
 	if read.from == n.cfg.ID {
-		n.reads.done = append(n.reads.done, ReadState{ID: read.id, Index: read.index})
+		n.reads.results = append(n.reads.results, ReadState{ID: read.id, Index: read.index})
 		return
 	}
 	n.sendEarly(&pb.Message{
@@ -155,7 +155,7 @@
 
 func (n *Node) refuseRead(read pendingRead) {
 	if read.from == n.cfg.ID {
-		n.reads.done = append(n.reads.done, ReadState{ID: read.id, Err: n.notLeader()})
+		n.reads.results = append(n.reads.results, ReadState{ID: read.id, Err: n.notLeader()})
 		return
 	}
 	n.send(&pb.Message{
@@ -163,19 +163,19 @@
 	})
 }
 
-// failReads gives up the reads of a leader that has stepped down.
+// failReads aborts the reads of a leader that has stepped down.
 func (n *Node) failReads() {
-	for _, read := range append(n.reads.held, n.reads.waiting...) {
+	for _, read := range append(n.reads.deferred, n.reads.waiting...) {
 		n.refuseRead(read)
 	}
-	n.reads.held, n.reads.waiting, n.reads.unproved = nil, nil, false
+	n.reads.deferred, n.reads.waiting, n.reads.roundNeeded = nil, nil, false
 	n.reads.round = 0
 }
 
-// failForwardedReads gives up the reads sent to a former leader.
+// failForwardedReads aborts the reads that were forwarded to a former leader.
 func (n *Node) failForwardedReads() {
 	for _, id := range slices.Sorted(maps.Keys(n.reads.forwarded)) {
-		n.reads.done = append(n.reads.done, ReadState{ID: id, Err: n.notLeader()})
+		n.reads.results = append(n.reads.results, ReadState{ID: id, Err: n.notLeader()})
 	}
 	clear(n.reads.forwarded)
 }
@@ -199,5 +199,5 @@
 	if m.GetReject() {
 		state.Err = n.notLeader()
 	}
-	n.reads.done = append(n.reads.done, state)
+	n.reads.results = append(n.reads.results, state)
 }
--- /dev/null
+++ b/replica/replacement.go
@@ -0,0 +1,88 @@
+package replica
+
+import (
+	pb "github.com/lilackeel/lilackeel/api/replica/v1"
+)
+
+// With Config.Voters set, the cluster maintains that number of voters itself:
+// unknown replicas with blank disks replace lost voters. Otherwise membership
+// changes are up to the operator.
+
+// addUnknownReplica adds an unknown replica with a blank disk as a learner: to
+// become a voter if there are too few voters, in place of an unresponsive voter, or
+// else as a standby.
+func (n *Node) addUnknownReplica(m *pb.Message) {
+	if n.cfg.Voters == 0 || m.GetAddr() == "" {
+		return
+	}
+	current := n.members.current()
+	learner := &pb.Member{
+		Id: m.GetFrom(), Addr: m.GetAddr(), Disk: m.GetDisk(), Incarnation: m.GetIncarnation(), Boot: m.GetBoot(),
+		Role: pb.Role_ROLE_LEARNER, Promote: true,
+	}
+	changed := current
+	switch unresponsive := n.unresponsiveVoter(); {
+	case plannedVoters(current) < n.cfg.Voters:
+	case unresponsive != nil:
+		changed = withoutMember(current, unresponsive.GetId())
+	case len(current.GetMembers())-plannedVoters(current) < n.cfg.Voters:
+		learner.Promote = false
+	default:
+		return
+	}
+	// This is refused while another change is in progress; the replica sends join
+	// again.
+	_, _, _ = n.proposeMembership(withMember(changed, learner))
+}
+
+// plannedVoters counts the voters and the learners that are to be promoted.
+func plannedVoters(membership *pb.Membership) int {
+	count := 0
+	for _, member := range membership.GetMembers() {
+		if isVoter(member) || member.GetPromote() {
+			count++
+		}
+	}
+	return count
+}
+
+// unresponsiveVoter returns a voter that has not responded for RepairAfter, so that
+// it may be replaced, or nil.
+func (n *Node) unresponsiveVoter() *pb.Member {
+	for _, member := range voters(n.members.current()) {
+		pr := n.progress[member.GetId()]
+		if member.GetId() != n.cfg.ID && pr != nil && n.now-pr.lastResponse >= n.cfg.RepairAfter {
+			return member
+		}
+	}
+	return nil
+}
+
+// replaceUnresponsiveVoter replaces a voter that has been unresponsive for a longer
+// time by a standby learner that has caught up. If the voter returns, its disk is
+// no longer a member and it must join with a blank one.
+func (n *Node) replaceUnresponsiveVoter() {
+	if n.cfg.Voters == 0 {
+		return
+	}
+	current := n.members.current()
+	unresponsive := n.unresponsiveVoter()
+	if unresponsive == nil || n.now-n.progress[unresponsive.GetId()].lastResponse < standbyTakeoverFactor*n.cfg.RepairAfter {
+		return
+	}
+	for _, member := range current.GetMembers() {
+		if isVoter(member) || member.GetPromote() || !n.caughtUp(member) {
+			continue
+		}
+		chosen := &pb.Member{
+			Id: member.GetId(), Addr: member.GetAddr(), Disk: member.GetDisk(), Incarnation: member.GetIncarnation(),
+			Boot: member.GetBoot(), Role: pb.Role_ROLE_LEARNER, Promote: true,
+		}
+		_, _, _ = n.proposeMembership(withMember(withoutMember(current, unresponsive.GetId()), chosen))
+		return
+	}
+}
+
+// standbyTakeoverFactor is how many times RepairAfter a voter must be unresponsive
+// before a standby replaces it. A restart takes less time than that.
+const standbyTakeoverFactor = 4
--- /dev/null
+++ b/replica/replacement_test.go
@@ -0,0 +1,132 @@
+package replica
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+
+	pb "github.com/lilackeel/lilackeel/api/replica/v1"
+	"github.com/lilackeel/lilackeel/proof"
+)
+
+// startSelfManaged returns a cluster that maintains three voters without an
+// operator, and its leader.
+func startSelfManaged(t *testing.T) (*sim, *host) {
+	s, _ := startCluster(t, 3)
+	s.voters = 3
+	for _, h := range s.hosts {
+		h.kill()
+		h.start()
+	}
+	s.until(20*simElection, "a leader", func() bool { return s.leader() != nil })
+	s.commit(s.leader)
+	return s, s.leader()
+}
+
+func (s *sim) role(id uint64) pb.Role {
+	leader := s.leader()
+	if leader == nil {
+		return pb.Role_ROLE_UNSPECIFIED
+	}
+	return FindMember(leader.node.Membership(), id).GetRole()
+}
+
+// A host is lost permanently, and a replica at a new address with a blank disk
+// replaces it. Once the new replica is a voter, the next host may be lost.
+func TestUnknownReplicaReplacesLostVoter(t *testing.T) {
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.LostDisk, proof.SecondLoss}, Step: "a host replaced at another address", Together: true,
+		Guard: "one change removes the unresponsive voter and adds the new replica"}.Log(t)
+	is := is.New(t)
+	s, leader := startSelfManaged(t)
+	lost, second := s.others(leader)[0], s.others(leader)[1]
+	lost.kill()
+	s.run(4 * simElection)
+	s.add(4, true)
+	s.until(10*simElection, "the new voter", func() bool { return s.role(4) == pb.Role_ROLE_VOTER })
+	is.Equal(s.role(lost.id), pb.Role_ROLE_UNSPECIFIED)
+	second.kill()
+	s.commit(s.leader)
+	s.checkHistory()
+}
+
+// A replica that joins while all voters are active becomes a standby, and replaces
+// a voter that fails. When that voter returns, its disk is refused and it joins
+// with a blank one.
+func TestStandbyReplacesUnresponsiveVoter(t *testing.T) {
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "a host replaced by a standby replica", Together: true,
+		Guard: "a standby has no vote while all voters are active"}.Log(t)
+	is := is.New(t)
+	s, leader := startSelfManaged(t)
+	s.add(4, true)
+	s.until(10*simElection, "the standby", func() bool { return s.role(4) == pb.Role_ROLE_LEARNER })
+	s.run(10 * simElection)
+	is.Equal(s.role(4), pb.Role_ROLE_LEARNER) // no fourth voter
+	lost := s.others(leader)[0]
+	lost.kill()
+	s.until(40*simElection, "the promotion of the standby", func() bool { return s.role(4) == pb.Role_ROLE_VOTER })
+	s.commit(s.leader)
+	lost.start()
+	s.until(20*simElection, "the refusal", func() bool { return lost.node.Err() != nil })
+	lost.join = true
+	lost.replace(s.blankDisk())
+	s.until(20*simElection, "the new standby", func() bool { return s.role(lost.id) == pb.Role_ROLE_LEARNER })
+	s.commit(s.leader)
+	s.checkHistory()
+}
+
+// Without Config.Voters, membership changes are up to the operator.
+func TestUnknownReplicaIsNotAddedWithoutVoterTarget(t *testing.T) {
+	is := is.New(t)
+	s, leader := startCluster(t, 3)
+	s.others(leader)[0].kill()
+	s.run(10 * simElection)
+	s.add(4, true)
+	s.run(20 * simElection)
+	is.Equal(s.role(4), pb.Role_ROLE_UNSPECIFIED)
+}
+
+// A replica loses its disk after its settings were changed to name only replicas
+// other than the leader. It must be added again nevertheless; otherwise the next
+// loss would leave one disk fewer than the first.
+func TestABlankDiskWhoseSettingsDoNotNameTheLeader(t *testing.T) {
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.LostDisk}, Step: "settings that do not name the leader", Together: true,
+		Guard: "a follower forwards the join message of a blank disk to the leader"}.Log(t)
+	is := is.New(t)
+	s, leader := startCluster(t, 5)
+	lost := s.others(leader)[0]
+	lost.peers = map[uint64]string{}
+	for _, h := range s.others(leader) {
+		lost.peers[h.id] = "a follower"
+	}
+	lost.kill()
+	s.run(8 * simElection)
+	lost.join = true
+	lost.replace(s.blankDisk())
+	s.until(20*simElection, "the new disk as a voter", func() bool {
+		member := FindMember(leader.node.Membership(), lost.id)
+		return member.GetDisk() == lost.disk.label.GetIdentity() && isVoter(member)
+	})
+	is.Equal(s.leader().id, leader.id)
+	s.commit(s.leader)
+	s.checkHistory()
+}
+
+// Two followers that take each other for the leader must not forward a join message
+// back and forth.
+func TestJoinIsForwardedOnce(t *testing.T) {
+	is := is.New(t)
+	s, leader := startCluster(t, 3)
+	follower := s.others(leader)[0].node
+	join := &pb.Message{Kind: pb.MessageKind_MESSAGE_KIND_JOIN, From: 9, To: follower.cfg.ID, Disk: 7, Addr: "host-9"}
+	follower.messages = nil
+	follower.handleJoin(join)
+	is.Equal(len(follower.messages), 1)
+	forwarded := follower.messages[0]
+	is.Equal(forwarded.GetTo(), leader.id)
+	is.Equal(forwarded.GetFrom(), uint64(9))
+	is.Equal(forwarded.GetDisk(), uint64(7))
+	is.Equal(join.GetTo(), follower.cfg.ID) // the sender's message is not modified
+	follower.messages = nil
+	follower.handleJoin(forwarded)
+	is.Equal(len(follower.messages), 0)
+}
--- a/replica/replicate.go
+++ b/replica/replicate.go
@@ -5,17 +5,17 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// followLeader notes that the leader of the current term was heard.
-func (n *Node) followLeader(leader uint64) {
+// recordLeaderContact registers a message from the leader of the current term.
+func (n *Node) recordLeaderContact(leader uint64) {
 	if n.role != Follower || n.leader != leader {
 		n.becomeFollower(n.term, leader)
 	}
-	n.heardLeader, n.heard = n.now, true
+	n.lastLeaderContact, n.leaderSeen = n.now, true
 	n.resetElectionTimer()
 }
 
 func (n *Node) handleAppend(m *pb.Message) {
-	n.followLeader(m.GetFrom())
+	n.recordLeaderContact(m.GetFrom())
 	if m.GetLogIndex() < n.log.committed {
 		n.acknowledge(m, n.log.committed)
 		return
@@ -35,7 +35,8 @@
 	n.acknowledge(m, last)
 }
 
-// mergeEntries appends what is new and drops what conflicts with it.
+// mergeEntries appends new entries and truncates the log where it conflicts with
+// them.
 func (n *Node) mergeEntries(entries []*pb.Entry) bool {
 	for _, entry := range entries {
 		term, ok := n.log.term(entry.GetIndex())
@@ -50,8 +51,8 @@
 	return true
 }
 
-// truncate drops the entries from index on. Committed entries never conflict
-// with those of a leader; should they, the replica stops rather than lose one.
+// truncate removes the entries from index on. Committed entries never conflict with
+// those of a leader; if they do, the replica stops rather than lose one.
 func (n *Node) truncate(index uint64) bool {
 	if index <= n.log.committed {
 		n.fence(fault.Newf(fault.Internal, "keep the data folders of all control replicas and report the defect",
@@ -63,7 +64,7 @@
 	return true
 }
 
-// acknowledge promises that the entries up to match are durable here.
+// acknowledge confirms that the entries up to match are durable here.
 func (n *Node) acknowledge(m *pb.Message, match uint64) {
 	n.send(&pb.Message{
 		Kind: pb.MessageKind_MESSAGE_KIND_APPEND_RESPONSE, To: m.GetFrom(), ToDisk: m.GetDisk(), LogIndex: match,
@@ -84,7 +85,7 @@
 	if n.role != Leader || pr == nil {
 		return
 	}
-	pr.heard = n.now
+	pr.lastResponse = n.now
 	pr.inflight = max(pr.inflight-1, 0)
 	if m.GetReject() {
 		n.handleReject(pr, m)
@@ -92,7 +93,7 @@
 	}
 	match := min(m.GetLogIndex(), n.log.last().index)
 	pr.match = max(pr.match, match)
-	n.witnessMatch(m.GetDisk(), pr.match)
+	n.recordWitnessMatch(m.GetDisk(), pr.match)
 	if pr.snapshot != 0 && pr.match >= pr.snapshot {
 		pr.probe()
 	}
@@ -103,10 +104,10 @@
 	}
 	pr.next = max(pr.next, pr.match+1)
 	n.advanceCommit()
-	n.finishTransfer()
+	n.maybeSendTimeoutNow()
 }
 
-// handleReject moves back to where the logs may agree.
+// handleReject moves next back to where the two logs may match.
 func (n *Node) handleReject(pr *progress, m *pb.Message) {
 	rejected := m.GetLogIndex()
 	if rejected <= pr.match || pr.probing && rejected != pr.next-1 {
@@ -117,8 +118,8 @@
 	pr.next = max(pr.match+1, min(hint+1, rejected))
 }
 
-// sendHeartbeats tells all members that the leader is alive, which read round
-// it is in and how far the log was sent.
+// sendHeartbeats sends each member the current read round and the index up to which
+// the log was sent to it.
 func (n *Node) sendHeartbeats() {
 	for _, member := range n.members.current().GetMembers() {
 		pr := n.progress[member.GetId()]
@@ -133,7 +134,7 @@
 }
 
 func (n *Node) handleHeartbeat(m *pb.Message) {
-	n.followLeader(m.GetFrom())
+	n.recordLeaderContact(m.GetFrom())
 	if commit := min(m.GetCommit(), n.log.last().index); commit > n.log.committed {
 		n.setCommitted(commit)
 	}
@@ -143,17 +144,17 @@
 	})
 }
 
-// handleHeartbeatResponse notes the read round. What was sent before the
-// heartbeat should have been acknowledged before the response: if not, a message
+// handleHeartbeatResponse records the read round. Appends sent before the heartbeat
+// should have been acknowledged before this response. If they were not, a message
 // was lost and the member is probed again.
 func (n *Node) handleHeartbeatResponse(m *pb.Message) {
 	pr := n.progress[m.GetFrom()]
 	if n.role != Leader || pr == nil {
 		return
 	}
-	pr.heard = n.now
-	pr.round = max(pr.round, m.GetEcho())
-	n.releaseReads()
+	pr.lastResponse = n.now
+	pr.readRound = max(pr.readRound, m.GetEcho())
+	n.answerConfirmedReads()
 	if pr.snapshot != 0 {
 		if n.now-pr.snapshotSent >= n.cfg.ElectionTimeout {
 			pr.probe()
@@ -172,7 +173,7 @@
 }
 
 func (n *Node) handleSnapshot(m *pb.Message) {
-	n.followLeader(m.GetFrom())
+	n.recordLeaderContact(m.GetFrom())
 	snapshot := m.GetSnapshot()
 	index := snapshot.GetIndex()
 	if index <= n.log.committed {
@@ -185,30 +186,30 @@
 		return
 	}
 	n.log.reset(position{index, snapshot.GetTerm()})
-	n.members = memberships{{snapshot.GetMembershipIndex(), snapshot.GetMembership()}}
+	n.members = membershipHistory{{snapshot.GetMembershipIndex(), snapshot.GetMembership()}}
 	n.snapshot = snapshot
-	n.incoming = snapshot
+	n.receivedSnapshot = snapshot
 	n.membershipChanged()
-	n.forgetDisks()
+	n.dropStaleWitnesses()
 	n.acknowledge(m, index)
 }
 
-// MembershipAt returns the membership in force at index, which must be applied,
-// and the index of the entry that set it, for a snapshot.
+// MembershipAt returns the membership in force at index, and the index of the entry
+// that set it, for a snapshot. The entry at index must have been applied.
 func (n *Node) MembershipAt(index uint64) (*pb.Membership, uint64) {
-	placed := n.members.at(index)
-	return placed.membership, placed.index
+	inForce := n.members.at(index)
+	return inForce.membership, inForce.index
 }
 
-// TermAt returns the term of the entry at index, or 0 if the log does not hold
-// it any more.
+// TermAt returns the term of the entry at index, or 0 if the entry has been
+// compacted.
 func (n *Node) TermAt(index uint64) uint64 {
 	term, _ := n.log.term(index)
 	return term
 }
 
-// Compact drops the entries that a durable snapshot replaces, except for a
-// trailing part.
+// Compact removes the entries covered by a durable snapshot, except for the last
+// Config.TrailingEntries of them.
 func (n *Node) Compact(snapshot *pb.Snapshot) {
 	if snapshot.GetIndex() <= n.snapshot.GetIndex() {
 		return
@@ -217,5 +218,5 @@
 	if snapshot.GetIndex() > n.cfg.TrailingEntries {
 		n.log.compact(snapshot.GetIndex() - n.cfg.TrailingEntries)
 	}
-	n.members = n.members.forget(n.log.base.index)
+	n.members = n.members.compact(n.log.base.index)
 }
--- a/replica/scenario_test.go
+++ b/replica/scenario_test.go
@@ -20,7 +20,7 @@
 	return s, s.leader()
 }
 
-// commit writes until a write is committed at the host that at returns.
+// commit proposes writes at the host that at returns until one is committed.
 func (s *sim) commit(at func() *host) {
 	s.t.Helper()
 	var op *operation
@@ -32,7 +32,7 @@
 	})
 }
 
-// others returns the hosts besides h in the order of their ids.
+// others returns the hosts other than h, in the order of their ids.
 func (s *sim) others(h *host) []*host {
 	var found []*host
 	for id := uint64(1); id <= uint64(len(s.hosts)); id++ {
@@ -43,9 +43,9 @@
 	return found
 }
 
-func (s *sim) untilWhole() {
+func (s *sim) untilHealthy() {
 	s.t.Helper()
-	s.until(60*simElection, "all voters whole", s.whole)
+	s.until(60*simElection, "all voters healthy", s.allVotersHealthy)
 }
 
 func TestCutOffLeaderCannotCommitOrRead(t *testing.T) {
@@ -62,19 +62,19 @@
 	is.True(!write.done)
 	is.True(!read.done)
 	is.True(old.node.role != Leader) // check-quorum
-	is.True(s.read(old) == nil)      // refused at once, with the remedy
+	is.True(s.read(old) == nil)      // refused immediately
 	_, _, err := old.node.Propose(nil)
 	is.Equal(fault.KindOf(err), fault.NoQuorum)
 	s.heal()
-	s.untilWhole()
+	s.untilHealthy()
 	s.read(other)
 	s.run(simElection)
 	s.checkHistory()
 }
 
-// The clock of a cut-off leader stands still, so that it goes on believing that
-// it was heard a moment ago. It must commit and read nothing all the same.
-func TestLeaderWhoseClockStandsStill(t *testing.T) {
+// The clock of an isolated leader stops, so that to the leader the last responses
+// stay recent. It must not commit or serve reads nevertheless.
+func TestLeaderWithStoppedClock(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutBothWays, proof.ClockStep}, Step: "write and read at a leader that is cut off", Together: true,
 		Guard: "reads confirmed by a quorum, not by the leader's clock"}.Log(t)
 	is := is.New(t)
@@ -89,13 +89,14 @@
 	is.True(!write.done)
 	is.True(!read.done)
 	s.heal()
-	s.untilWhole()
+	s.untilHealthy()
 	s.checkHistory()
 }
 
-// A leader that the others hear, but that does not hear them, must make room.
-func TestDeafLeaderStepsDown(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutOneWay}, Step: "leader that is heard and hears nobody",
+// A leader that the others receive messages from, but that receives none from them,
+// must step down.
+func TestLeaderThatReceivesNothingStepsDown(t *testing.T) {
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutOneWay}, Step: "leader that reaches the others and receives nothing from them",
 		Guard: "check-quorum"}.Log(t)
 	s, old := startCluster(t, 3)
 	for _, h := range s.others(old) {
@@ -105,35 +106,35 @@
 	s.commit(s.leader)
 }
 
-// A replica that comes back after a long cut must not depose a working leader.
-func TestReturningReplicaDoesNotDisturb(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutBothWays}, Step: "replica comes back after a long cut",
+// A replica that returns after a long partition must not depose a working leader.
+func TestReturningReplicaDoesNotDeposeLeader(t *testing.T) {
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutBothWays}, Step: "replica returns after a long partition",
 		Guard: "the pre-vote"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
 	term := leader.node.term
-	away := s.others(leader)[0]
-	s.isolate(away.id)
+	isolated := s.others(leader)[0]
+	s.isolate(isolated.id)
 	s.run(20 * simElection)
 	for range 3 * simSnapshot {
 		s.commit(s.leader)
 	}
 	s.heal()
-	s.untilWhole() // by snapshot: the log it needs is compacted
-	is.True(away.disk.snapshot != nil)
+	s.untilHealthy() // by snapshot, as the log it needs is compacted
+	is.True(isolated.disk.snapshot != nil)
 	is.Equal(s.leader(), leader)
 	is.Equal(leader.node.term, term)
 }
 
-// A vote in a term that the voter knew already survives its restart.
+// A vote in a term that the voter already knew survives its restart.
 func TestVoteSurvivesRestart(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart}, Step: "vote in a term that the voter knew",
-		Guard: "the vote is stored before it is given"}.Log(t)
+		Guard: "the vote is stored before it is sent"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
 	voter, rival := s.others(leader)[0], s.others(leader)[1]
-	s.intercept = func(m *pb.Message) bool { return !identityKind(m.Kind) }
-	s.run(2 * simElection) // stickiness is over
+	s.intercept = func(m *pb.Message) bool { return !isDiskMessage(m.Kind) }
+	s.run(2 * simElection) // no leader counts as active any more
 	term := voter.node.term + 10
 	request := func(from *host) *pb.Message {
 		last := from.node.log.last()
@@ -145,10 +146,10 @@
 	adopt := request(leader)
 	adopt.LogIndex, adopt.LogTerm = 0, 0 // refused, but the term is adopted
 	voter.node.Step(s.now, adopt)
-	voter.work()
+	voter.processReady()
 	is.Equal(voter.disk.hard.Term, term)
 	voter.node.Step(s.now, request(leader))
-	voter.work()
+	voter.processReady()
 	is.Equal(voter.node.vote, leader.id)
 	voter.start()
 	s.until(10*simElection, "admission", func() bool { return voter.node.Status().Admitted })
@@ -156,21 +157,21 @@
 	is.Equal(voter.node.vote, leader.id)
 }
 
-func identityKind(kind pb.MessageKind) bool {
+func isDiskMessage(kind pb.MessageKind) bool {
 	return kind >= pb.MessageKind_MESSAGE_KIND_JOIN
 }
 
-// An entry of an earlier term on a majority is not committed by that alone: a
-// leader with a newer entry may still overwrite it.
+// An entry of an earlier term is not committed merely by being stored on a
+// majority: a leader with a newer entry may still overwrite it.
 func TestEntryOfEarlierTermIsNotCommittedAlone(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutBothWays, proof.Lost}, Step: "commit of an entry of an earlier term", Together: true,
-		Guard: "only entries of the own term are committed by counting"}.Log(t)
+		Guard: "a leader commits by counting only entries of its own term"}.Log(t)
 	is := is.New(t)
 	s, first := startCluster(t, 3)
 	voter, second := s.others(first)[0], s.others(first)[1]
 	s.isolate(first.id)
-	first.node.Propose(make([]byte, 300)) // as large as an append message may be
-	first.work()
+	first.node.Propose(make([]byte, 300)) // above MaxAppendBytes, so sent alone
+	first.processReady()
 	index := first.node.log.last().index
 	lead := func(h, without *host) {
 		s.heal()
@@ -178,16 +179,16 @@
 		s.until(simElection/2, "another leader", func() bool {
 			if h.node.role != Leader {
 				h.node.campaign(true)
-				h.work()
+				h.processReady()
 			}
 			return s.leader() == h
 		})
 	}
-	s.intercept = func(m *pb.Message) bool { // the second leader's entry reaches no one
+	s.intercept = func(m *pb.Message) bool { // the second leader's entry reaches no other replica
 		return m.From == second.id && m.Kind == pb.MessageKind_MESSAGE_KIND_APPEND
 	}
 	lead(second, first)
-	s.intercept = func(m *pb.Message) bool { // the first one's old entry does, its new one does not
+	s.intercept = func(m *pb.Message) bool { // the first leader's old entry reaches the voter, its new one does not
 		return len(m.Entries) > 0 && m.Entries[0].Index > index && voter.node.log.last().index >= index
 	}
 	lead(first, second)
@@ -198,13 +199,14 @@
 	lead(second, first)
 	s.commit(s.leader)
 	s.heal()
-	s.untilWhole()
+	s.untilHealthy()
 }
 
-// A follower that does not hear the leader, but the others, must not depose it.
-func TestFollowerThatDoesNotHearTheLeader(t *testing.T) {
+// A follower that receives nothing from the leader, but reaches the other replicas,
+// must not depose the leader.
+func TestFollowerCutOffFromLeaderDoesNotDeposeIt(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutOneWay}, Step: "follower that the leader does not reach",
-		Guard: "the pre-vote, and its refusal by who hears a leader, each alone"}.Log(t)
+		Guard: "the pre-vote, and its refusal by replicas that hear from a leader, each alone"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
 	term := leader.node.term
@@ -214,13 +216,13 @@
 	is.Equal(leader.node.term, term)
 }
 
-// A lone voter has no one to ask for a vote, and must store its new term before
-// its learner sees it.
+// A single voter needs no other votes, but must store its new term before its
+// learner sees it.
 func TestSingleVoterWithLearner(t *testing.T) {
 	s, leader := startCluster(t, 1)
 	s.add(2, true)
 	leader.node.ProposeConfChange(ConfChange{Kind: AddLearner, ID: 2, Addr: "host-2"})
-	leader.work()
+	leader.processReady()
 	s.until(20*simElection, "the learner's log", func() bool { return s.hosts[2].value == leader.value })
 	leader.start()
 	s.commit(s.leader)
@@ -234,52 +236,52 @@
 	_, _, err := leader.node.ProposeConfChange(ConfChange{Kind: AddVoter, ID: 4, Addr: "host-4"})
 	is.NoErr(err)
 	_, _, err = leader.node.ProposeConfChange(ConfChange{Kind: Remove, ID: 3})
-	is.Equal(fault.KindOf(err), fault.Conflict) // the first is not committed
-	leader.work()
+	is.Equal(fault.KindOf(err), fault.Conflict) // the first change is not committed
+	leader.processReady()
 	s.until(20*simElection, "a fourth voter", func() bool { return len(voters(leader.node.Membership())) == 4 })
-	s.untilWhole()
+	s.untilHealthy()
 	index, _, err := leader.node.ProposeConfChange(ConfChange{Kind: Remove, ID: leader.id})
 	is.NoErr(err)
-	leader.work()
-	s.until(simElection/2, "the end of its term", func() bool { return leader.node.role == Follower })
-	is.Equal(leader.node.log.committed, index) // it stayed until it was removed
-	s.until(10*simElection, "a leader among the rest", func() bool { return s.leader() != nil })
+	leader.processReady()
+	s.until(simElection/2, "the leader steps down", func() bool { return leader.node.role == Follower })
+	is.Equal(leader.node.log.committed, index) // it led until its removal was committed
+	s.until(10*simElection, "a leader among the remaining voters", func() bool { return s.leader() != nil })
 	s.commit(s.leader)
 	is.True(FindMember(s.leader().node.Membership(), leader.id) == nil)
 }
 
-// A new leader does not know whether its predecessor's change is committed, and
-// makes none of its own before it has committed an entry.
-func TestNewLeaderChangesNothingBeforeItsFirstCommit(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Lost}, Step: "change of the members by a new leader",
-		Guard: "the wait for a commit in the own term"}.Log(t)
+// A new leader does not know whether its predecessor's membership change is
+// committed, and must refuse changes until it has committed an entry.
+func TestNewLeaderRefusesChangesBeforeFirstCommit(t *testing.T) {
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Lost}, Step: "membership change by a new leader",
+		Guard: "the wait for a commit in the leader's own term"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
 	s.intercept = func(m *pb.Message) bool { return m.Kind == pb.MessageKind_MESSAGE_KIND_APPEND }
 	leader.node.campaign(true)
-	leader.work()
+	leader.processReady()
 	s.until(simElection, "a second term", func() bool { return leader.node.role == Leader })
 	_, _, err := leader.node.ProposeConfChange(ConfChange{Kind: Remove, ID: 3})
 	is.Equal(fault.KindOf(err), fault.Conflict)
 }
 
-// A new leader that does not know of its predecessor's last commit must not serve
-// a read before it has committed an entry itself.
-func TestNewLeaderReadsNothingBeforeItsFirstCommit(t *testing.T) {
+// A new leader that does not know of its predecessor's last commit must not serve a
+// read before it has committed an entry itself.
+func TestNewLeaderServesNoReadBeforeFirstCommit(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutBothWays, proof.Lost}, Step: "read at a new leader", Together: true,
-		Guard: "reads held until a commit in the own term"}.Log(t)
+		Guard: "reads deferred until a commit in the leader's own term"}.Log(t)
 	is := is.New(t)
 	s, old := startCluster(t, 3)
 	next := s.others(old)[0]
 	write := s.write(old)
-	s.intercept = func(m *pb.Message) bool { // the entry gets through, its commit index does not
+	s.intercept = func(m *pb.Message) bool { // the entry is delivered, its commit index is not
 		return m.From == old.id && m.To == next.id && len(m.Entries) == 0
 	}
 	s.until(simElection/2, "the commit", func() bool { return write.done })
 	s.intercept = func(m *pb.Message) bool { return m.From == next.id && m.Kind == pb.MessageKind_MESSAGE_KIND_APPEND }
 	s.isolate(old.id)
 	next.node.campaign(true)
-	next.work()
+	next.processReady()
 	s.until(simElection/2, "another leader", func() bool { return s.leader() == next })
 	read := s.read(next)
 	s.run(2 * simHeartbeat)
@@ -289,10 +291,10 @@
 	is.Equal(read.value, write.value)
 }
 
-// A candidate that lacks a committed entry is not elected.
-func TestCandidateBehindIsNotElected(t *testing.T) {
+// A candidate that lacks a committed entry must not be elected.
+func TestCandidateWithStaleLogIsNotElected(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutBothWays}, Step: "vote for a candidate that lacks a committed entry",
-		Guard: "the candidate's log compared at a vote"}.Log(t)
+		Guard: "the comparison of logs before a vote"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
 	behind := s.others(leader)[0]
@@ -300,17 +302,18 @@
 	s.commit(s.leader)
 	s.heal()
 	behind.node.campaign(true)
-	behind.work()
+	behind.processReady()
 	s.until(10*simElection, "a leader", func() bool { return s.leader() != nil && s.leader().node.term >= behind.node.term })
 	is.True(s.leader() != behind)
-	s.untilWhole()
+	s.untilHealthy()
 }
 
-// An append that comes late, or before what the follower has compacted, is
-// answered with what is committed and changes nothing. Nor does one with a gap.
+// A late append, or one before the entries that the follower has compacted, is
+// answered with the commit index and changes nothing. An append that leaves a gap
+// changes nothing either.
 func TestLateAndMalformedAppends(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Late}, Step: "append of what is compacted",
-		Guard: "appends below the commit index answered, not merged"}.Log(t)
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Late}, Step: "append of compacted entries",
+		Guard: "appends below the commit index are answered, not merged"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
 	for range 3 * simSnapshot {
@@ -342,8 +345,8 @@
 	target := s.others(leader)[1]
 	is.NoErr(leader.node.TransferLeader(target.id))
 	_, _, err := leader.node.Propose(nil)
-	is.True(err != nil) // refused while the hand-over is under way
-	leader.work()
-	s.until(simElection/2, "the hand-over", func() bool { return target.node.role == Leader })
+	is.True(err != nil) // refused during the transfer
+	leader.processReady()
+	s.until(simElection/2, "the transfer", func() bool { return target.node.role == Leader })
 	s.commit(s.leader)
 }
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -19,7 +19,7 @@
 	simSnapshot  = 8 // entries between two snapshots
 )
 
-// disk is what survives a crash of a host.
+// disk is the state that survives a crash of a host.
 type disk struct {
 	label    pb.DiskLabel
 	hard     *pb.HardState
@@ -55,19 +55,19 @@
 	sim     *sim
 	id      uint64
 	join    bool
-	peers   map[uint64]string // those its settings name; the simulation's if nil
+	peers   map[uint64]string // from its settings; those of the simulation if nil
 	disk    *disk
 	node    *Node
 	frozen  bool
 	inbox   []*pb.Message
 	applied uint64
-	value   uint64 // the register
-	digest  uint64 // of all commands applied
+	value   uint64 // of the register
+	digest  uint64 // of all entries applied
 	writes  map[uint64]*operation
 	reads   map[uint64]*operation
-	ready   []*operation // reads that wait for applied
+	ready   []*operation // reads that wait until their index is applied
 	boots   int
-	clock   time.Duration // ahead of the network's time
+	clock   time.Duration // offset from the simulation's time
 }
 
 func (h *host) now() time.Duration { return h.sim.now + h.clock }
@@ -92,30 +92,30 @@
 	return last
 }
 
-// sim is a set of hosts in virtual time.
+// sim simulates a set of hosts and their network in virtual time.
 type sim struct {
-	t         testing.TB
-	seed      uint64
-	election  time.Duration
-	heartbeat time.Duration
-	rand      *rand.Rand
-	now       time.Duration
-	events    events
-	order     int
-	hosts     map[uint64]*host
-	peers     map[uint64]string
-	cuts      map[[2]uint64]bool // from, to
-	drop      float64
-	duplicate float64
-	delay     time.Duration // upper bound
-	crash     float64       // chance at each step of handling a Ready
-	leaders   map[uint64]uint64
-	digests   map[uint64]uint64 // of the commands up to an index, once applied anywhere
-	terms     map[uint64]uint64 // of the entry applied at an index
-	history   []*operation
-	nextValue uint64
-	voters    int                    // Config.Voters
-	intercept func(*pb.Message) bool // true loses the message
+	t          testing.TB
+	seed       uint64
+	election   time.Duration
+	heartbeat  time.Duration
+	rand       *rand.Rand
+	now        time.Duration
+	events     events
+	eventCount int
+	hosts      map[uint64]*host
+	peers      map[uint64]string
+	cuts       map[[2]uint64]bool // from, to
+	drop       float64
+	duplicate  float64
+	delay      time.Duration // upper bound per message
+	crash      float64       // probability at each step of handling a Ready
+	leaders    map[uint64]uint64
+	digests    map[uint64]uint64 // of the entries up to an index, once applied by any host
+	terms      map[uint64]uint64 // of the entry applied at an index
+	history    []*operation
+	nextValue  uint64
+	voters     int                    // Config.Voters
+	intercept  func(*pb.Message) bool // drops the message if it returns true
 }
 
 func newSim(t testing.TB, seed uint64, voters int) *sim {
@@ -147,7 +147,7 @@
 	h := &host{sim: s, id: id, join: join, disk: s.blankDisk()}
 	s.hosts[id] = h
 	h.start()
-	s.after(time.Duration(s.rand.Int64N(int64(s.heartbeat/2))), func() { s.tickLater(h) })
+	s.schedule(time.Duration(s.rand.Int64N(int64(s.heartbeat/2))), func() { s.scheduleTick(h) })
 	return h
 }
 
@@ -157,19 +157,19 @@
 	return d
 }
 
-func (s *sim) tickLater(h *host) {
-	s.after(s.heartbeat/2, func() {
+func (s *sim) scheduleTick(h *host) {
+	s.schedule(s.heartbeat/2, func() {
 		if h.node != nil && !h.frozen {
 			h.node.Tick(h.now())
-			h.work()
+			h.processReady()
 		}
-		s.tickLater(h)
+		s.scheduleTick(h)
 	})
 }
 
-func (s *sim) after(pause time.Duration, run func()) {
-	s.order++
-	heap.Push(&s.events, event{s.now + pause, s.order, run})
+func (s *sim) schedule(pause time.Duration, run func()) {
+	s.eventCount++
+	heap.Push(&s.events, event{s.now + pause, s.eventCount, run})
 }
 
 func (s *sim) run(d time.Duration) {
@@ -182,7 +182,8 @@
 	s.now = end
 }
 
-// until runs until ok holds and fails the test if it does not within limit.
+// until advances the time until ok returns true, and fails the test if that takes
+// longer than limit.
 func (s *sim) until(limit time.Duration, what string, ok func() bool) {
 	s.t.Helper()
 	for end := s.now + limit; !ok(); s.run(simHeartbeat / 4) {
@@ -194,7 +195,7 @@
 
 func (s *sim) send(messages []*pb.Message) {
 	for _, m := range messages {
-		if !s.hosts[m.GetFrom()].knows(m) {
+		if !s.hosts[m.GetFrom()].canAddress(m) {
 			continue
 		}
 		copies := 1
@@ -205,7 +206,7 @@
 			if s.rand.Float64() < s.drop {
 				continue
 			}
-			s.after(time.Duration(s.rand.Int64N(int64(s.delay))), func() { s.deliver(m) })
+			s.schedule(time.Duration(s.rand.Int64N(int64(s.delay))), func() { s.deliver(m) })
 		}
 	}
 }
@@ -220,22 +221,23 @@
 		return
 	}
 	h.node.Step(h.now(), m)
-	h.work()
+	h.processReady()
 }
 
-// start boots the host on its disk.
-// knows reports whether the host knows where another is. What it has passed on for a
-// blank disk, which names a cluster, is sent by others.
-func (h *host) knows(m *pb.Message) bool {
+// canAddress reports whether the host knows the address of a message's recipient. A
+// message of a host with a blank disk that names a cluster is a join message
+// forwarded by another host, which needs no address from this one.
+func (h *host) canAddress(m *pb.Message) bool {
 	if h == nil || h.peers == nil || h.node == nil {
 		return true
 	}
 	membership := h.node.Membership()
-	writer, _ := h.node.DiscoveredLeader()
-	passedOn := membership == nil && m.GetCluster() != 0
-	return passedOn || h.peers[m.GetTo()] != "" || writer == m.GetTo() || FindMember(membership, m.GetTo()) != nil
+	leader, _ := h.node.DiscoveredLeader()
+	forwarded := membership == nil && m.GetCluster() != 0
+	return forwarded || h.peers[m.GetTo()] != "" || leader == m.GetTo() || FindMember(membership, m.GetTo()) != nil
 }
 
+// start starts the host's node on its disk, with the next incarnation.
 func (h *host) start() {
 	h.disk.label.Incarnation++
 	h.boots++
@@ -256,7 +258,7 @@
 	h.node, h.frozen, h.inbox = node, false, nil
 	h.writes, h.reads, h.ready = map[uint64]*operation{}, map[uint64]*operation{}, nil
 	h.restore(h.disk.snapshot)
-	h.work()
+	h.processReady()
 }
 
 func (h *host) restore(snapshot *pb.Snapshot) {
@@ -268,7 +270,7 @@
 	}
 }
 
-// kill loses everything that is not on the disk.
+// kill stops the host, which loses everything that is not on its disk.
 func (h *host) kill() { h.node, h.frozen = nil, false }
 
 // replace starts the host on another disk.
@@ -277,19 +279,19 @@
 	h.start()
 }
 
-// wake lets a frozen host go on with all that has piled up.
-func (h *host) wake() {
+// resume unfreezes a host, which then handles the messages that have queued up.
+func (h *host) resume() {
 	inbox := h.inbox
 	h.frozen, h.inbox = false, nil
 	for _, m := range inbox {
 		if h.node != nil {
 			h.node.Step(h.now(), m)
-			h.work()
+			h.processReady()
 		}
 	}
 }
 
-// crashes decides whether the host dies at this step.
+// crashes kills the host with the probability sim.crash and reports whether it did.
 func (h *host) crashes() bool {
 	if h.sim.rand.Float64() >= h.sim.crash {
 		return false
@@ -298,16 +300,16 @@
 	return true
 }
 
-// work handles Readys, and may die at each step.
-func (h *host) work() {
+// processReady handles the node's Readys. The host may crash at each step.
+func (h *host) processReady() {
 	for h.node != nil && h.node.HasReady() {
 		ready := h.node.Ready()
 		for _, m := range ready.Early {
 			if m.Term > h.disk.hard.GetTerm() {
-				h.sim.fatalf("host %d shows term %d before it is stored", h.id, m.Term)
+				h.sim.fatalf("host %d sends term %d before it is stored", h.id, m.Term)
 			}
 			if countsInQuorum(m.Kind) {
-				h.sim.fatalf("host %d sends %v before it has stored anything", h.id, m.Kind)
+				h.sim.fatalf("host %d sends %v before its state is stored", h.id, m.Kind)
 			}
 		}
 		h.sim.send(ready.Early)
@@ -337,7 +339,7 @@
 	}
 }
 
-// apply checks that all hosts apply the same entries.
+// apply applies an entry and checks that all hosts apply the same entries.
 func (h *host) apply(entry *pb.Entry) {
 	s := h.sim
 	if entry.Index != h.applied+1 {
@@ -366,17 +368,17 @@
 	if h.applied < h.disk.snapshot.GetIndex()+simSnapshot {
 		return
 	}
-	membership, placed := h.node.MembershipAt(h.applied)
+	membership, membershipIndex := h.node.MembershipAt(h.applied)
 	data := binary.LittleEndian.AppendUint64(nil, h.value)
 	snapshot := &pb.Snapshot{
-		Index: h.applied, Term: h.node.TermAt(h.applied), Membership: membership, MembershipIndex: placed,
+		Index: h.applied, Term: h.node.TermAt(h.applied), Membership: membership, MembershipIndex: membershipIndex,
 		Data: binary.LittleEndian.AppendUint64(data, h.digest),
 	}
 	h.disk.saveSnapshot(snapshot)
 	h.node.Compact(snapshot)
 }
 
-// checkLeader checks that a term has one leader.
+// checkLeader checks that a term has at most one leader.
 func (h *host) checkLeader() {
 	if id, term, self := h.node.Leader(); self {
 		if known, ok := h.sim.leaders[term]; ok && known != id {
@@ -386,7 +388,7 @@
 	}
 }
 
-// leader returns the host that leads the highest term, or nil.
+// leader returns the host that leads in the highest term, or nil.
 func (s *sim) leader() *host {
 	var found *host
 	for id := uint64(1); id <= uint64(len(s.hosts)); id++ {
--- a/replica/status.go
+++ b/replica/status.go
@@ -4,50 +4,52 @@
 	pb "github.com/lilackeel/lilackeel/api/replica/v1"
 )
 
-// Status is a view of a node for operators and tests.
+// Status is a snapshot of a node's state for operators and tests.
 type Status struct {
 	// ID identifies the replica in the membership.
 	ID uint64
-	// Role is the part that it plays in Term.
+	// Role is the role of the replica in Term.
 	Role Role
-	// Term is the highest term that it knows of.
+	// Term is the highest term that the replica has seen.
 	Term uint64
-	// Leader is the id of the leader of Term; 0 if it is not known.
+	// Leader is the id of the leader of Term, or 0 if it is not known.
 	Leader uint64
-	// Admitted reports whether this start may vote and acknowledge.
+	// Admitted reports whether the replica may vote and acknowledge since its last
+	// start.
 	Admitted bool
 	// Voter reports whether the membership in force names this disk as a voter.
 	Voter bool
-	// Disk is the label of the data folder.
+	// Disk is the label of the data directory.
 	Disk *pb.DiskLabel
 	// Commit is the highest index known to be committed.
 	Commit uint64
-	// First and Last are the indexes of the first and the last entry that the log
-	// holds; First is Last+1 for none.
+	// First and Last are the indexes of the first and the last entry in the log.
+	// First is Last+1 if the log is empty.
 	First, Last uint64
-	// Snapshot is the index of the snapshot that a member far behind is sent; 0
-	// for none.
+	// Snapshot is the index of the latest snapshot, which is sent to members whose
+	// next entry has been compacted; 0 for none.
 	Snapshot uint64
-	// Membership is the one in force, which must not be changed.
+	// Membership is the one in force. It must not be modified.
 	Membership *pb.Membership
-	// MembershipCommitted is false while a change is under way.
+	// MembershipCommitted is false while a membership change is in progress.
 	MembershipCommitted bool
-	// Progress of the other members, at a leader.
+	// Progress is the leader's view of the other members; empty on other replicas.
 	Progress map[uint64]MemberProgress
 }
 
-// MemberProgress is what a leader knows about another member.
+// MemberProgress is the leader's view of another member.
 type MemberProgress struct {
 	// Match is the highest index known to be durable at the member.
 	Match uint64
-	// Active reports whether it has answered within an election timeout.
+	// Active reports whether the member has responded within an election timeout.
 	Active bool
 }
 
-// Admitted reports whether this start may vote and acknowledge.
+// Admitted reports whether this replica may vote and acknowledge since its last
+// start.
 func (n *Node) Admitted() bool { return n.admission.admitted }
 
-// Status returns a view of the node.
+// Status returns a snapshot of the node's state.
 func (n *Node) Status() Status {
 	status := Status{
 		ID: n.cfg.ID, Role: n.role, Term: n.term, Leader: n.leader,
@@ -63,22 +65,25 @@
 	return status
 }
 
-// Counters are what a node has done since it was made.
+// Counters are totals since the node was created.
 type Counters struct {
-	// PreVotes and Votes are the elections that it started, by phase. An election
-	// has a vote only after its pre-vote was won, or when it was told to stand.
+	// PreVotes and Votes count the elections that the node started, by phase. An
+	// election reaches the vote only after its pre-vote was won, or directly on a
+	// leadership transfer.
 	PreVotes, Votes uint64
-	// RefusedDisks is how often it refused a disk that is not what it was.
+	// RefusedDisks counts the refusals of disks that are outdated, copied or no
+	// longer members.
 	RefusedDisks uint64
 }
 
-// Counters returns what the node has done since it was made.
+// Counters returns the totals since the node was created.
 func (n *Node) Counters() Counters { return n.counters }
 
-// Leader returns the leader of the term, or 0 if it is not known.
+// Leader returns the leader of the current term, or 0 if it is not known, the term,
+// and whether this replica is the leader.
 func (n *Node) Leader() (id, term uint64, self bool) {
 	return n.leader, n.term, n.role == Leader
 }
 
-// Membership returns the membership in force, which must not be changed.
+// Membership returns the membership in force, which must not be modified.
 func (n *Node) Membership() *pb.Membership { return n.members.current() }
--- a/replica/wellformed.go
+++ b/replica/wellformed.go
@@ -4,30 +4,31 @@
 	pb "github.com/lilackeel/lilackeel/api/replica/v1"
 )
 
-// wellFormed reports whether a message is one that a correct replica could have
-// sent, so that the handlers may rely on its shape.
+// wellFormed reports whether a correct replica could have sent the message, so that
+// the handlers can rely on its structure.
 func wellFormed(m *pb.Message) bool {
-	if m == nil || m.GetFrom() == 0 || m.GetTerm() > maxNumber {
+	if m == nil || m.GetFrom() == 0 || m.GetTerm() > maxIndexOrTerm {
 		return false
 	}
-	if !followsOn(m.GetLogIndex(), m.GetLogTerm(), m.GetTerm(), m.GetEntries()) {
+	if !entriesContiguous(m.GetLogIndex(), m.GetLogTerm(), m.GetTerm(), m.GetEntries()) {
 		return false
 	}
 	if m.GetKind() != pb.MessageKind_MESSAGE_KIND_SNAPSHOT {
 		return true
 	}
 	snapshot := m.GetSnapshot()
-	return snapshot.GetIndex() > 0 && snapshot.GetIndex() <= maxNumber && snapshot.GetTerm() <= m.GetTerm() &&
+	return snapshot.GetIndex() > 0 && snapshot.GetIndex() <= maxIndexOrTerm && snapshot.GetTerm() <= m.GetTerm() &&
 		snapshot.GetMembershipIndex() <= snapshot.GetIndex() && wellFormedMembership(snapshot.GetMembership())
 }
 
-// maxNumber keeps indexes and terms away from overflow.
-const maxNumber = 1 << 62
+// maxIndexOrTerm limits indexes and terms so that arithmetic on them cannot
+// overflow.
+const maxIndexOrTerm = 1 << 62
 
-// followsOn reports whether entries continue the position without a gap, and
-// with terms that do not go back or beyond limit.
-func followsOn(index, term, limit uint64, entries []*pb.Entry) bool {
-	if index > maxNumber {
+// entriesContiguous reports whether entries follow the given index and term without
+// a gap, and with terms that neither decrease nor exceed limit.
+func entriesContiguous(index, term, limit uint64, entries []*pb.Entry) bool {
+	if index > maxIndexOrTerm {
 		return false
 	}
 	for _, entry := range entries {
--- a/replica/witness.go
+++ b/replica/witness.go
@@ -4,8 +4,9 @@
 	pb "github.com/lilackeel/lilackeel/api/replica/v1"
 )
 
-// learnDisk makes sure that there is a witness of a disk that a membership names.
-func (n *Node) learnDisk(member *pb.Member) {
+// ensureWitness creates or updates the witness record of a disk that a membership
+// names.
+func (n *Node) ensureWitness(member *pb.Member) {
 	disk := member.GetDisk()
 	if disk == 0 {
 		return
@@ -21,9 +22,9 @@
 	}
 }
 
-// forgetDisks drops the witnesses of disks that the committed membership in
-// force does not name.
-func (n *Node) forgetDisks() {
+// dropStaleWitnesses deletes the witness records of disks that the membership in
+// force, which is committed, does not name.
+func (n *Node) dropStaleWitnesses() {
 	for disk, witness := range n.witnesses {
 		if FindMember(n.members.current(), witness.GetId()).GetDisk() != disk {
 			delete(n.witnesses, disk)
@@ -31,9 +32,10 @@
 	}
 }
 
-// witnessTerm remembers the term of a message. Its sender stored the term before
-// it sent the message; only a pre-vote names a term that nobody has entered.
-func (n *Node) witnessTerm(m *pb.Message) {
+// recordWitnessTerm records the term of a message. Its sender persisted the term
+// before it sent the message, except for a pre-vote, whose term nobody has entered
+// yet.
+func (n *Node) recordWitnessTerm(m *pb.Message) {
 	witness := n.witnesses[m.GetDisk()]
 	if witness == nil || m.GetKind() == pb.MessageKind_MESSAGE_KIND_PRE_VOTE {
 		return
@@ -43,10 +45,10 @@
 	}
 }
 
-// witnessMatch remembers what a disk acknowledged to this leader. An entry
-// acknowledged in an earlier term may since have been overwritten, unless it was
-// committed.
-func (n *Node) witnessMatch(disk, match uint64) {
+// recordWitnessMatch records the index that a disk acknowledged to this leader. An
+// entry that was acknowledged in an earlier term may have been overwritten since,
+// unless it was committed.
+func (n *Node) recordWitnessMatch(disk, match uint64) {
 	witness := n.witnesses[disk]
 	if witness == nil {
 		return
@@ -59,9 +61,9 @@
 	witness.MatchTerm = n.term
 }
 
-// refusalOf returns the reason for which a replica that registers must not be
-// admitted, if there is one.
-func (n *Node) refusalOf(witness *pb.Witness, m *pb.Message) pb.Refusal {
+// refusalFor returns the reason to refuse a replica that registers, or
+// REFUSAL_UNSPECIFIED if it may be admitted.
+func (n *Node) refusalFor(witness *pb.Witness, m *pb.Message) pb.Refusal {
 	stored := m.GetLogIndex()
 	sameBoot := m.GetBoot() == witness.GetBoot()
 	switch {
@@ -81,19 +83,20 @@
 	return pb.Refusal_REFUSAL_UNSPECIFIED
 }
 
-// handleRegister answers a replica that has been started. A replica that is not
-// admitted itself answers too: what it stored is what counts.
+// handleRegister answers the registration of a replica that was started. A replica
+// that is not admitted itself answers too, because only its persisted records
+// matter.
 func (n *Node) handleRegister(m *pb.Message) {
 	if n.members.current() == nil {
 		return
 	}
 	member := FindMember(n.members.current(), m.GetFrom())
 	if member.GetDisk() != m.GetDisk() {
-		n.refuseStranger(m)
+		n.refuseNonMember(m)
 		return
 	}
 	witness := n.witnesses[m.GetDisk()]
-	if refusal := n.refusalOf(witness, m); refusal != pb.Refusal_REFUSAL_UNSPECIFIED {
+	if refusal := n.refusalFor(witness, m); refusal != pb.Refusal_REFUSAL_UNSPECIFIED {
 		n.refuse(m, refusal, 0)
 		return
 	}
@@ -101,7 +104,7 @@
 		witness.Incarnation = m.GetIncarnation()
 		witness.Boot = m.GetBoot()
 		witness.Term = max(witness.GetTerm(), m.GetTerm())
-		n.hardDirty = true
+		n.hardStateDirty = true
 		if n.role == Leader {
 			n.progress[member.GetId()] = n.newProgress(member)
 		}
@@ -111,8 +114,8 @@
 	})
 }
 
-// refuseStranger tells a disk that the committed membership has left it behind.
-func (n *Node) refuseStranger(m *pb.Message) {
+// refuseNonMember refuses a disk that the committed membership does not name.
+func (n *Node) refuseNonMember(m *pb.Message) {
 	committed := n.members.at(n.log.committed)
 	if FindMember(committed.membership, m.GetFrom()).GetDisk() != m.GetDisk() {
 		n.refuse(m, pb.Refusal_REFUSAL_NOT_MEMBER, committed.index)
@@ -127,13 +130,13 @@
 	})
 }
 
-// accepts judges the sender of a message that takes part in the protocol proper.
+// checkSender reports whether a message may be handled, given its sender. It covers
+// all messages except those about disks.
 //
-// Whether a request is honoured does not depend on the sender's memory: a
-// candidate needs an up-to-date log, a leader has been elected. A response
-// vouches for the sender's memory, so it counts only from a disk and a start
-// that are known.
-func (n *Node) accepts(m *pb.Message) bool {
+// Requests do not rely on what the sender has stored: a candidate needs an
+// up-to-date log, and a leader has been elected. A response does rely on it, so it
+// counts only from a disk and a start that are registered here.
+func (n *Node) checkSender(m *pb.Message) bool {
 	if n.self() == nil && n.role != Leader { // a leader may be removing itself
 		return fromLeader(m.GetKind())
 	}
@@ -145,22 +148,23 @@
 		n.refuse(m, pb.Refusal_REFUSAL_SUPERSEDED, 0)
 		return false
 	}
-	if witness != nil && !sameStart(witness, m) {
+	if witness != nil && !fromRegisteredStart(witness, m) {
 		n.send(&pb.Message{Kind: pb.MessageKind_MESSAGE_KIND_REGISTER_NEEDED, To: m.GetFrom(), ToDisk: m.GetDisk()})
 	}
-	return !countsInQuorum(m.GetKind()) || n.knows(m)
+	return !countsInQuorum(m.GetKind()) || n.isRegistered(m)
 }
 
-// knows reports whether the membership names the sender's disk and its start is
-// the one that has registered here.
-func (n *Node) knows(m *pb.Message) bool {
+// isRegistered reports whether the membership names the sender's disk and the
+// message comes from its registered start.
+func (n *Node) isRegistered(m *pb.Message) bool {
 	member := FindMember(n.members.current(), m.GetFrom())
 	witness := n.witnesses[m.GetDisk()]
-	return member.GetDisk() == m.GetDisk() && witness != nil && sameStart(witness, m)
+	return member.GetDisk() == m.GetDisk() && witness != nil && fromRegisteredStart(witness, m)
 }
 
-// sameStart reports whether a message comes from the start that has registered.
-func sameStart(witness *pb.Witness, m *pb.Message) bool {
+// fromRegisteredStart reports whether a message comes from the start that the
+// witness record names.
+func fromRegisteredStart(witness *pb.Witness, m *pb.Message) bool {
 	return witness.GetIncarnation() == m.GetIncarnation() && witness.GetBoot() == m.GetBoot()
 }
 
@@ -172,7 +176,7 @@
 	return false
 }
 
-// countsInQuorum reports whether messages of this kind count in a quorum.
+// countsInQuorum reports whether messages of this kind count towards a quorum.
 func countsInQuorum(kind pb.MessageKind) bool {
 	switch kind {
 	case pb.MessageKind_MESSAGE_KIND_PRE_VOTE_RESPONSE, pb.MessageKind_MESSAGE_KIND_VOTE_RESPONSE,
