--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -8,15 +8,15 @@
 	"github.com/lilackeel/lilackeel/call"
 )
 
-// BenchmarkRequest is what one request costs an entry that remembers no request, and one that
-// remembers as many as it may.
+// BenchmarkRequest measures the cost of one request at an entry that tracks no requests, and at one
+// that tracks the maximum.
 func BenchmarkRequest(b *testing.B) {
 	body := make([]byte, 4<<10)
-	for _, known := range []int{0, maxRequests} {
-		b.Run(strconv.Itoa(known), func(b *testing.B) {
+	for _, tracked := range []int{0, maxRequests} {
+		b.Run(strconv.Itoa(tracked), func(b *testing.B) {
 			tracker := NewTracker()
-			for i := range known {
-				tracker.RecordCrash(time.Second, named(strconv.Itoa(i)), "e"+strconv.Itoa(i/10))
+			for i := range tracked {
+				tracker.RecordCrash(time.Second, fp(strconv.Itoa(i)), "e"+strconv.Itoa(i/10))
 			}
 			for b.Loop() {
 				f := call.FingerprintOf("crew", "POST", "/draft", body)
@@ -27,25 +27,25 @@
 	}
 }
 
-// BenchmarkCrashReport is what one end under a request costs where as many are remembered as may be.
+// BenchmarkCrashReport measures the cost of recording one crash with the tracker full.
 func BenchmarkCrashReport(b *testing.B) {
 	tracker := NewTracker()
 	i := 0
 	for b.Loop() {
 		i++
-		tracker.RecordCrash(time.Second, named(strconv.Itoa(i)), "e"+strconv.Itoa(i/10))
+		tracker.RecordCrash(time.Second, fp(strconv.Itoa(i)), "e"+strconv.Itoa(i/10))
 	}
 }
 
-// BenchmarkAttempt is what noting an attempt costs a request, while some requests are suspects.
+// BenchmarkAttempt measures the cost of recording an attempt while some requests are suspects.
 func BenchmarkAttempt(b *testing.B) {
-	t := NewTracker()
+	tracker := NewTracker()
 	for i := range 100 {
-		t.RecordCrash(0, named(strconv.Itoa(i)), "e")
+		tracker.RecordCrash(0, fp(strconv.Itoa(i)), "e")
 	}
-	f := named("good")
+	f := fp("good")
 	for b.Loop() {
-		t.AttemptStarted(0, f)
-		t.AttemptEnded(0, f)
+		tracker.AttemptStarted(0, f)
+		tracker.AttemptEnded(0, f)
 	}
 }
--- a/quarantine/codec.go
+++ b/quarantine/codec.go
@@ -7,18 +7,19 @@
 	"github.com/lilackeel/lilackeel/call"
 )
 
-// ToProto encodes reports with their ages at now.
+// ToProto encodes reports, with their times as ages relative to now.
 func ToProto(now time.Duration, reports []CrashReport) []*agentv1.CrashReport {
 	messages := make([]*agentv1.CrashReport, 0, len(reports))
-	for _, s := range reports {
+	for _, report := range reports {
 		messages = append(messages, &agentv1.CrashReport{
-			Request: s.Request[:], Run: s.Run, AgeMs: max(now-s.At, 0).Milliseconds(), Cleared: s.Cleared,
+			Request: report.Request[:], Run: report.Run, AgeMs: max(now-report.At, 0).Milliseconds(), Cleared: report.Cleared,
 		})
 	}
 	return messages
 }
 
-// FromProto decodes reports by the reader's own clock. What is malformed is left out.
+// FromProto decodes reports, with their ages relative to the reader's own now. Malformed reports
+// are skipped.
 func FromProto(now time.Duration, messages []*agentv1.CrashReport) []CrashReport {
 	reports := make([]CrashReport, 0, len(messages))
 	for _, m := range messages {
@@ -33,14 +34,14 @@
 	return reports
 }
 
-// Publish stores the reports of an entry.
+// Publish evicts stale reports and stores those of an entry.
 func (r *Registry) Publish(now time.Duration, messages []*agentv1.CrashReport) {
 	r.EvictStale(now)
 	r.Add(FromProto(now, messages)...)
 }
 
-// Read is Since for a reader elsewhere.
+// Read is Since with the reports encoded for a remote reader.
 func (r *Registry) Read(now time.Duration, position uint64) ([]*agentv1.CrashReport, uint64) {
-	found, next := r.Since(position)
-	return ToProto(now, found), next
+	reports, next := r.Since(position)
+	return ToProto(now, reports), next
 }
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,24 +1,25 @@
-// Package quarantine keeps a request from endpoints once the processes that ran it have
-// ended under it.
+// Package quarantine refuses requests that repeatedly crash the endpoint processes that run them.
 //
-// The same request comes again under other ids, from a caller that tries again, at any entry.
-// What it did before is known by its fingerprint. When a process ends, each request that it
-// was running becomes a suspect: the one that ended it, and those that were in flight with it.
-// One crash proves nothing, so that suspects are judged by what else they do:
+// Callers retry such a request under a new request id and through any entry, so it is recognised by
+// its fingerprint. When a process crashes, every request that it was running becomes a suspect: the
+// one that caused the crash and those that were in flight with it. Since one crash proves nothing,
+// the rest of a suspect's record decides:
 //
-//   - a request that completes anywhere is exonerated of all its crashes so far;
-//   - a crash is attributed to the suspect with the most crashes, if that one is held;
-//   - where processes end for other reasons, a request is held after more crashes;
-//   - a request that also completes is held if far more processes end under it than its part of what
-//     is in flight explains, so that one which ends some of its runs is kept out as well.
+//   - a request that completes on any endpoint is cleared of all its crashes so far;
+//   - a crash is attributed to the suspect with the most crashes, once that one has enough of them;
+//   - where processes also crash for other reasons, more crashes are required before a hold;
+//   - a request that completes at times is still held if far more processes crash while running it
+//     than its share of the requests in flight explains, so that a request that crashes only some of
+//     its runs is held as well.
 //
-// A request that remains is held: refused without being run, for a time that grows with each
-// further end. After that it may run again, so that a mistake ends.
+// A held request is refused without being run. The hold grows with each further crash and then
+// expires, so that a request held by mistake can run again.
 //
-// Entries publish their crash reports at some of the hosts whose load reports all entries read
-// (Registry), and merge those of others (Tracker.Merge). The control replicas have no part in it.
+// Entries publish their crash reports to some of the hosts whose load reports all entries read
+// (Registry) and merge the reports of other entries (Tracker.Merge). The control replicas are not
+// involved.
 //
-// All times are durations since an arbitrary start, monotonic. Nothing here blocks.
+// All times are monotonic durations since an arbitrary start. Nothing here blocks.
 package quarantine
 
 import (
@@ -30,35 +31,37 @@
 )
 
 const (
-	// fewestEnds is how many processes must have ended under a request before it is held:
-	// two may fall together, since what is cut with another request is tried again with it.
-	fewestEnds = 3
-	// mostEnds bounds what is asked for where processes end for other reasons.
-	mostEnds = 5
-	// tolerated is the chance that a request which does nothing meets as many ends.
-	tolerated = 1e-4
-	// firstHold is how long a request is held; each further end makes it holdGrowth times as
-	// long, up to longestHold.
-	firstHold   = time.Minute
-	holdGrowth  = 4
-	longestHold = time.Hour
-	// memory is how long a crash report counts at least.
-	memory = 10 * time.Minute
-	// maxRequests bounds the requests that are remembered, maxRuns the runs of each.
+	// minCrashes is the number of crashes before a request is held. Two may be a coincidence:
+	// requests that are interrupted by the same crash are retried together.
+	minCrashes = 3
+	// maxRequiredCrashes caps the number of crashes required where processes crash for other
+	// reasons.
+	maxRequiredCrashes = 5
+	// maxFalseHoldChance is the accepted probability that a harmless request meets the required
+	// number of crashes.
+	maxFalseHoldChance = 1e-4
+	// initialHold is the first hold of a request. Each further crash multiplies the hold by
+	// holdMultiplier, up to maxHold.
+	initialHold    = time.Minute
+	holdMultiplier = 4
+	maxHold        = time.Hour
+	// reportRetention is the minimum time for which a crash report is kept.
+	reportRetention = 10 * time.Minute
+	// maxRequests bounds the tracked requests, maxRuns the crashed runs kept for each.
 	maxRequests = 1024
 	maxRuns     = 12
 )
 
-// CrashReport says that a run of an endpoint's process has ended under a request.
+// CrashReport records that one run of an endpoint's process ended while running a request.
 type CrashReport struct {
 	Request call.Fingerprint
-	// Run is RunOf the run's name.
+	// Run is the hash of the run's name, as returned by HashRun.
 	Run uint64
-	// At is when the process ended.
+	// At is when the process crashed.
 	At time.Duration
-	// Cleared is true once the request has been exonerated of this crash.
+	// Cleared is true once the request is known not to have caused this crash.
 	Cleared bool
 }
 
-// RunOf shortens the name of one run of an endpoint's process.
+// HashRun returns the hash of the name of one run of an endpoint's process.
 func HashRun(name string) uint64 { return xxhash.Sum64String(name) }
--- a/quarantine/exposure.go
+++ b/quarantine/exposure.go
@@ -8,119 +8,123 @@
 )
 
 const (
-	// recurring is how many processes must have ended under a request before it is looked at
-	// although it has also completed.
-	recurring = 3
-	// chanceBar is the chance at or below which as many ends under a request are not an accident.
-	chanceBar = 3e-3
-	// assumedAttempts is how many attempts at a request are assumed besides those that there were:
-	// one that is seldom sent by this entry may be sent by others.
-	assumedAttempts = 0.5
-	// leastShare is the part of the ends since its first one that a request must have been at:
-	// where processes end for other reasons, many requests meet some of the ends.
-	leastShare = 0.6
-	// leastEnding is the part of its own runs that must have ended.
-	leastEnding = 0.05
+	// minRecurringCrashes is the number of crashes from which a request is examined although it
+	// has also completed.
+	minRecurringCrashes = 3
+	// significanceLevel is the probability at or below which a number of crashes is not taken for
+	// coincidence.
+	significanceLevel = 3e-3
+	// priorAttempts is the number of attempts assumed in addition to the observed ones, since a
+	// request that this entry seldom sends may be sent by others.
+	priorAttempts = 0.5
+	// minCrashShare is the share of all crashes since a request's first one that must have hit the
+	// request: where processes crash for other reasons, many requests are hit by some crashes.
+	minCrashShare = 0.6
+	// minCrashRatio is the share of a request's own attempts that must have ended in a crash.
+	minCrashRatio = 0.05
 )
 
-// exposure adds up for how long attempts are in flight.
+// exposure sums up the time for which attempts are in flight.
 type exposure struct {
 	inFlight int
-	// begun counts the attempts.
-	begun int
-	// seconds are the attempts' times until at.
-	seconds float64
-	at      time.Duration
+	// starts is the number of attempts.
+	starts int
+	// seconds is the sum of the attempts' times in flight up to updatedAt.
+	seconds   float64
+	updatedAt time.Duration
 }
 
-// change notes that attempts have begun, or ended if by is negative.
-func (e *exposure) change(now time.Duration, by int) {
-	e.seconds, e.at = e.until(now), max(e.at, now)
-	e.inFlight = max(e.inFlight+by, 0)
-	e.begun += max(by, 0)
+// add records that attempts have started, or ended if delta is negative.
+func (e *exposure) add(now time.Duration, delta int) {
+	e.seconds, e.updatedAt = e.total(now), max(e.updatedAt, now)
+	e.inFlight = max(e.inFlight+delta, 0)
+	e.starts += max(delta, 0)
 }
 
-// mean is how long an attempt is in flight in the mean, in seconds.
-func (e *exposure) mean(now time.Duration) float64 { return e.until(now) / float64(max(e.begun, 1)) }
+// mean returns the mean time in flight of an attempt, in seconds.
+func (e *exposure) mean(now time.Duration) float64 { return e.total(now) / float64(max(e.starts, 1)) }
 
-// until returns the attempts' times, in seconds.
-func (e *exposure) until(now time.Duration) float64 {
-	return e.seconds + float64(e.inFlight)*max(now-e.at, 0).Seconds()
+// total returns the sum of the attempts' times in flight up to now, in seconds.
+func (e *exposure) total(now time.Duration) float64 {
+	return e.seconds + float64(e.inFlight)*max(now-e.updatedAt, 0).Seconds()
 }
 
-// Sent notes that an attempt at a request begins. Left has to follow.
-func (t *Tracker) AttemptStarted(now time.Duration, f call.Fingerprint) { t.expose(now, f, 1) }
+// AttemptStarted records the start of an attempt at a request. AttemptEnded must follow.
+func (t *Tracker) AttemptStarted(now time.Duration, f call.Fingerprint) { t.updateExposure(now, f, 1) }
 
-// Left notes that an attempt at a request has ended, in whatever way.
-func (t *Tracker) AttemptEnded(now time.Duration, f call.Fingerprint) { t.expose(now, f, -1) }
+// AttemptEnded records that an attempt at a request has ended, whatever its result.
+func (t *Tracker) AttemptEnded(now time.Duration, f call.Fingerprint) { t.updateExposure(now, f, -1) }
 
-func (t *Tracker) expose(now time.Duration, f call.Fingerprint, by int) {
+func (t *Tracker) updateExposure(now time.Duration, f call.Fingerprint, delta int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.exposure.change(now, by)
+	t.exposure.add(now, delta)
 	r := t.requests[f]
 	if r == nil {
 		return
 	}
-	r.exposure.change(now, by)
+	r.exposure.add(now, delta)
 }
 
-// part is the part of what this entry has in flight that is attempts at a request, since the
-// request's first end. The lock is held.
-func (t *Tracker) part(now time.Duration, r *record) float64 {
-	assumed := assumedAttempts * t.exposure.mean(now)
-	all := t.exposure.until(now) - r.exposedBefore
-	if all <= 0 {
+// exposureShare returns a request's share of the time in flight of all attempts of this entry since
+// the request's first crash. The lock is held.
+func (t *Tracker) exposureShare(now time.Duration, r *record) float64 {
+	prior := priorAttempts * t.exposure.mean(now)
+	total := t.exposure.total(now) - r.priorExposure
+	if total <= 0 {
 		return 1
 	}
-	return min((r.exposure.until(now)+assumed)/(all+assumed), 1)
+	return min((r.exposure.total(now)+prior)/(total+prior), 1)
 }
 
-// incriminated reports whether processes end under a request far more often than under others,
-// although it also completes: it may end them by chance, or under some condition only. The lock
-// is held.
-func (t *Tracker) incriminated(now time.Duration, r *record, ends int) bool {
-	if ends < recurring || float64(ends) < leastEnding*float64(r.exposure.begun) {
+// exceedsChance reports whether processes crash far more often while running a request than its
+// share of the requests in flight explains. This finds requests that also complete, because they
+// crash a process at random or under some condition only. The lock is held.
+func (t *Tracker) exceedsChance(now time.Duration, r *record, crashes int) bool {
+	if crashes < minRecurringCrashes || float64(crashes) < minCrashRatio*float64(r.exposure.starts) {
 		return false
 	}
-	met := t.metSince(r.oldest())
-	if float64(ends) < leastShare*float64(len(met)) {
+	suspectCounts := t.suspectCountsSince(r.firstCrash())
+	if float64(crashes) < minCrashShare*float64(len(suspectCounts)) {
 		return false
 	}
-	elsewhere := math.Log1p(-t.part(now, r))
+	// A crashed run with n suspects includes the request by coincidence with probability
+	// 1-(1-share)^n.
+	logOthers := math.Log1p(-t.exposureShare(now, r))
 	expected := 0.0
-	for _, suspects := range met {
-		expected += -math.Expm1(float64(suspects) * elsewhere)
+	for _, count := range suspectCounts {
+		expected += -math.Expm1(float64(count) * logOthers)
 	}
-	return atLeast(ends, expected) <= chanceBar
+	return poissonTail(crashes, expected) <= significanceLevel
 }
 
-// metSince returns, for each process that has ended since a time, how many requests it was
-// running; the lock is held.
-func (t *Tracker) metSince(first time.Duration) []int {
-	var met []int
-	for run, suspects := range t.runs {
-		if t.endOf(run) >= first {
-			met = append(met, len(suspects))
+// suspectCountsSince returns, for each run that has crashed since a time, the number of requests
+// that it was running. The lock is held.
+func (t *Tracker) suspectCountsSince(since time.Duration) []int {
+	var counts []int
+	for run, suspectsOfRun := range t.suspects {
+		if t.crashTime(run) >= since {
+			counts = append(counts, len(suspectsOfRun))
 		}
 	}
-	return met
+	return counts
 }
 
-// endOf returns when a run has ended; the lock is held.
-func (t *Tracker) endOf(run uint64) time.Duration {
-	for f := range t.runs[run] {
-		return t.requests[f].ends[run]
+// crashTime returns when a run crashed. The lock is held.
+func (t *Tracker) crashTime(run uint64) time.Duration {
+	for f := range t.suspects[run] {
+		return t.requests[f].crashes[run]
 	}
 	return 0
 }
 
-// atLeast is the chance of so many events or more where mean are expected, by Poisson's law.
-func atLeast(events int, mean float64) float64 {
-	term, fewer := math.Exp(-mean), 0.0
+// poissonTail returns the probability of at least this many events in a Poisson distribution with
+// the given mean.
+func poissonTail(events int, mean float64) float64 {
+	term, below := math.Exp(-mean), 0.0
 	for i := range events {
-		fewer += term
+		below += term
 		term *= mean / float64(i+1)
 	}
-	return max(1-fewer, 0)
+	return max(1-below, 0)
 }
--- a/quarantine/rate.go
+++ b/quarantine/rate.go
@@ -6,35 +6,37 @@
 )
 
 const (
-	// rateMemory is the time after which what was noted counts for 1/e.
-	rateMemory = time.Minute
-	// assumedRuns is how many runs without an end are taken as noted before the first.
-	assumedRuns = 100.0
+	// rateDecayTime is the time after which an observation has the weight 1/e.
+	rateDecayTime = time.Minute
+	// priorRuns is the number of runs without a crash that are assumed before the first
+	// observation.
+	priorRuns = 100.0
 )
 
-// rate is how often processes end under requests that are not known to end any: how many runs
-// there were of late, and how many of these were the first that a request met an end in.
-type rate struct {
-	runs, ends float64
-	at         time.Duration
+// crashRate is the rate at which processes crash while running requests that are not known to cause
+// crashes: the recent number of runs, with exponential decay, and how many of these were the first
+// crash of their request.
+type crashRate struct {
+	runs, crashes float64
+	updatedAt     time.Duration
 }
 
-func (r *rate) note(now time.Duration, ended bool) {
-	kept := math.Exp(-float64(max(now-r.at, 0)) / float64(rateMemory))
-	r.runs, r.ends, r.at = r.runs*kept+1, r.ends*kept, now
-	if ended {
-		r.ends++
+func (r *crashRate) observe(now time.Duration, crashed bool) {
+	decay := math.Exp(-float64(max(now-r.updatedAt, 0)) / float64(rateDecayTime))
+	r.runs, r.crashes, r.updatedAt = r.runs*decay+1, r.crashes*decay, now
+	if crashed {
+		r.crashes++
 	}
 }
 
-// needed is how many ends a request must have met: so many that one which does nothing hardly
-// ever meets as many at this rate.
-func (r *rate) needed(now time.Duration) int {
-	kept := math.Exp(-float64(max(now-r.at, 0)) / float64(rateMemory))
-	chance := r.ends * kept / (r.runs*kept + assumedRuns)
-	needed := fewestEnds
-	for needed < mostEnds && math.Pow(chance, float64(needed)) > tolerated {
-		needed++
+// requiredCrashes returns the number of crashes before a request is held: so many that at this rate
+// a harmless request hardly ever meets as many.
+func (r *crashRate) requiredCrashes(now time.Duration) int {
+	decay := math.Exp(-float64(max(now-r.updatedAt, 0)) / float64(rateDecayTime))
+	probability := r.crashes * decay / (r.runs*decay + priorRuns)
+	required := minCrashes
+	for required < maxRequiredCrashes && math.Pow(probability, float64(required)) > maxFalseHoldChance {
+		required++
 	}
-	return needed
+	return required
 }
--- a/quarantine/refusal.go
+++ b/quarantine/refusal.go
@@ -7,12 +7,12 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// Refusal returns the fault of a request that is held now, nil for one that may run.
+// Refusal returns the error for a request that is held now, nil for one that may run.
 func (t *Tracker) Refusal(now time.Duration, f call.Fingerprint) *fault.Error {
 	hold := t.HoldRemaining(now, f)
 	if hold <= 0 {
 		return nil
 	}
-	return fault.New(fault.Quarantined, "the endpoints that ran this request ended under it",
-		"change the request; the same one may run again after the time given").After(hold)
+	return fault.New(fault.Quarantined, "the request is quarantined: endpoint processes crashed while running it",
+		"change the request, or send it again after the time given").After(hold)
 }
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// maxReports bounds the reports that a registry holds.
+	// maxReports bounds the reports that a registry stores.
 	maxReports = 1024
-	// maxRead bounds the reports that are read at once.
-	maxRead = 64
+	// maxBatch bounds the reports returned by one read.
+	maxBatch = 64
 )
 
-// Registry holds crash reports for readers, each of which reads from its own position. It is safe
-// for concurrent use; its lock is a leaf.
+// Registry stores crash reports for readers, each of which reads from its own position. It is safe
+// for concurrent use. No other lock is acquired while its lock is held.
 type Registry struct {
 	mu sync.Mutex
-	// stored are the newest, in order; next numbers the one after the last.
-	stored []storedReport
-	next   uint64
-	// present finds the number of what is stored.
-	present map[reportKey]uint64
-	changed chan struct{}
+	// stored holds the newest reports by sequence number; nextSequence is that of the next report.
+	stored       []storedReport
+	nextSequence uint64
+	// sequences maps the keys of the stored reports to their sequence numbers.
+	sequences map[reportKey]uint64
+	changed   chan struct{}
 }
 
 type storedReport struct {
 	CrashReport
-	number uint64
+	sequence uint64
 }
 
 // reportKey identifies a report.
@@ -41,34 +41,35 @@
 
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
-	return &Registry{present: map[reportKey]uint64{}, next: 1, changed: make(chan struct{}, 1)}
+	return &Registry{sequences: map[reportKey]uint64{}, nextSequence: 1, changed: make(chan struct{}, 1)}
 }
 
-// Add stores reports that are new. A cleared report replaces the one that it clears.
+// Add stores the reports that are new. A cleared report replaces the uncleared one of the same
+// crash.
 func (r *Registry) Add(reports ...CrashReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, s := range reports {
-		r.add(s)
+	for _, report := range reports {
+		r.add(report)
 	}
 }
 
-func (r *Registry) add(s CrashReport) {
-	key := reportKey{s.Request, s.Run, s.Cleared}
-	_, same := r.present[key]
-	_, cleared := r.present[reportKey{s.Request, s.Run, true}]
-	if same || cleared {
+func (r *Registry) add(report CrashReport) {
+	key := reportKey{report.Request, report.Run, report.Cleared}
+	_, known := r.sequences[key]
+	_, cleared := r.sequences[reportKey{report.Request, report.Run, true}]
+	if known || cleared {
 		return
 	}
-	if s.Cleared {
-		r.remove(reportKey{s.Request, s.Run, false})
+	if report.Cleared {
+		r.remove(reportKey{report.Request, report.Run, false})
 	}
 	if len(r.stored) >= maxReports {
 		r.remove(r.stored[0].key())
 	}
-	r.stored = append(r.stored, storedReport{s, r.next})
-	r.present[key] = r.next
-	r.next++
+	r.stored = append(r.stored, storedReport{report, r.nextSequence})
+	r.sequences[key] = r.nextSequence
+	r.nextSequence++
 	select {
 	case r.changed <- struct{}{}:
 	default:
@@ -78,50 +79,50 @@
 func (p *storedReport) key() reportKey { return reportKey{p.Request, p.Run, p.Cleared} }
 
 func (r *Registry) remove(key reportKey) {
-	number, there := r.present[key]
-	if !there {
+	sequence, found := r.sequences[key]
+	if !found {
 		return
 	}
-	delete(r.present, key)
-	i, _ := slices.BinarySearchFunc(r.stored, number, func(p storedReport, n uint64) int {
-		if p.number < n {
+	delete(r.sequences, key)
+	i, _ := slices.BinarySearchFunc(r.stored, sequence, func(p storedReport, n uint64) int {
+		if p.sequence < n {
 			return -1
 		}
-		return int(min(p.number-n, 1))
+		return int(min(p.sequence-n, 1))
 	})
 	r.stored = slices.Delete(r.stored, i, i+1)
 }
 
-// Since returns the reports after a position that a reader has read to, zero for the
-// beginning, and the next position. Of many it returns a part.
+// Since returns up to maxBatch reports after a reader's position, zero for the beginning, and the
+// reader's next position.
 func (r *Registry) Since(position uint64) ([]CrashReport, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var found []CrashReport
+	var reports []CrashReport
 	for _, p := range r.stored {
-		if p.number <= position {
+		if p.sequence <= position {
 			continue
 		}
-		if len(found) == maxRead {
-			return found, position
+		if len(reports) == maxBatch {
+			return reports, position
 		}
-		found, position = append(found, p.CrashReport), p.number
+		reports, position = append(reports, p.CrashReport), p.sequence
 	}
-	return found, position
+	return reports, position
 }
 
-// Changed receives after reports were stored. One receiver is notified.
+// Changed returns a channel that receives after reports have been stored. It notifies one receiver.
 func (r *Registry) Changed() <-chan struct{} { return r.changed }
 
-// Forget evicts reports older than memory.
+// EvictStale evicts the reports older than reportRetention.
 func (r *Registry) EvictStale(now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stored = slices.DeleteFunc(r.stored, func(p storedReport) bool {
-		if now-p.At <= memory {
+		if now-p.At <= reportRetention {
 			return false
 		}
-		delete(r.present, p.key())
+		delete(r.sequences, p.key())
 		return true
 	})
 }
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -9,91 +9,93 @@
 	"github.com/lilackeel/lilackeel/call"
 )
 
-// Tracker is what one entry knows of requests under which processes have ended. It is safe for
-// concurrent use. Its lock is held while that of its registry is taken, and no other.
+// Tracker holds what one entry knows of requests that were running when processes crashed. It is
+// safe for concurrent use. Its registry's lock is the only one acquired while its own lock is held.
 type Tracker struct {
-	// known is the number of tracked requests: most of the time there is none.
-	known atomic.Int64
+	// trackedCount is the number of tracked requests. It is zero most of the time, and then lookups
+	// need no lock.
+	trackedCount atomic.Int64
 
 	mu       sync.Mutex
 	requests map[call.Fingerprint]*record
-	// runs holds the suspects of each run that has ended.
-	runs map[uint64]map[call.Fingerprint]bool
-	// confirmed are the suspects with enough crashes to be their cause.
-	confirmed map[call.Fingerprint]*record
-	// registry holds the reports of this entry.
-	registry *Registry
-	rate     rate
-	// exposure is that of all attempts of this entry.
+	// suspects holds the requests that each crashed run was running.
+	suspects map[uint64]map[call.Fingerprint]bool
+	// confirmedCauses are the requests with at least minCrashes uncleared crashes.
+	confirmedCauses map[call.Fingerprint]*record
+	// registry stores the reports that this entry publishes.
+	registry  *Registry
+	crashRate crashRate
+	// exposure covers all attempts of this entry.
 	exposure exposure
-	// recurring are the requests with several ends, whether they have completed since or not.
+	// recurring are the requests with at least minRecurringCrashes crashes, whether they have
+	// completed since or not.
 	recurring map[call.Fingerprint]*record
 }
 
 // record is what is known of one request.
 type record struct {
-	// ends are the runs that have ended under the request, with their times.
-	ends map[uint64]time.Duration
-	// cleared are those of which it has been cleared.
-	cleared map[uint64]bool
-	// refuted are those of cleared in which the process has not ended.
-	refuted map[uint64]bool
-	// exposure is that of this entry's attempts at it since its first end, and exposedBefore the
-	// attempt times of all its attempts until then.
+	// crashes maps the runs that crashed while running the request to the times of the crashes.
+	crashes map[uint64]time.Duration
+	// clearedRuns are those whose crashes the request has been cleared of.
+	clearedRuns map[uint64]bool
+	// refutedRuns are those of clearedRuns whose process turned out not to have crashed.
+	refutedRuns map[uint64]bool
+	// exposure covers this entry's attempts at the request since its first crash, and
+	// priorExposure is the time in flight of all of the entry's attempts until then, in seconds.
 	exposure      exposure
-	exposedBefore float64
-	// until is the end of its hold, zero if it is not held.
-	until time.Duration
+	priorExposure float64
+	// heldUntil is the end of the hold, zero if the request is not held.
+	heldUntil time.Duration
 }
 
-// Change is the effect of a crash report.
+// CrashResult is the state of a request after a recorded crash.
 type CrashResult struct {
-	// Ends is the number of processes that have ended under the request.
+	// Crashes is the number of crashes that the request has not been cleared of.
 	Crashes int
-	// Hold is for how long the request is held from now on; zero if it is not.
+	// Hold is the time for which the request is held from now on, zero if it is not held.
 	Hold time.Duration
 }
 
 // NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
-	return &Tracker{requests: map[call.Fingerprint]*record{}, runs: map[uint64]map[call.Fingerprint]bool{}, confirmed: map[call.Fingerprint]*record{}, recurring: map[call.Fingerprint]*record{}, registry: NewRegistry()}
+	return &Tracker{requests: map[call.Fingerprint]*record{}, suspects: map[uint64]map[call.Fingerprint]bool{}, confirmedCauses: map[call.Fingerprint]*record{}, recurring: map[call.Fingerprint]*record{}, registry: NewRegistry()}
 }
 
-// Published returns the reports of this entry, for others.
+// LocalReports returns the registry of the reports that this entry publishes.
 func (t *Tracker) LocalReports() *Registry { return t.registry }
 
-// Held returns for how long a request is held, zero if it may run.
+// HoldRemaining returns the time for which a request is still held, zero if it may run.
 func (t *Tracker) HoldRemaining(now time.Duration, f call.Fingerprint) time.Duration {
-	if t.known.Load() == 0 {
+	if t.trackedCount.Load() == 0 {
 		return 0
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.requests[f]; r != nil {
-		return max(r.until-now, 0)
+		return max(r.heldUntil-now, 0)
 	}
 	return 0
 }
 
-// Ended notes that the process of a named run has ended under a request.
+// RecordCrash records that the process of a run crashed while running a request.
 func (t *Tracker) RecordCrash(now time.Duration, f call.Fingerprint, run string) CrashResult {
-	s := CrashReport{Request: f, Run: HashRun(run), At: now}
-	t.registry.Add(s)
+	report := CrashReport{Request: f, Run: HashRun(run), At: now}
+	t.registry.Add(report)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.merge(now, s)
+	t.merge(now, report)
 	r := t.requests[f]
-	t.rate.note(now, len(r.ends) == 1)
-	return CrashResult{Crashes: len(r.ends) - len(r.cleared), Hold: max(r.until-now, 0)}
+	t.crashRate.observe(now, len(r.crashes) == 1)
+	return CrashResult{Crashes: len(r.crashes) - len(r.clearedRuns), Hold: max(r.heldUntil-now, 0)}
 }
 
-// Completed notes that a request which was sent at a time has completed on a named run: what
-// ended elsewhere ended for another reason. It returns the number of crashes of which the request
-// is exonerated.
+// RecordCompletion records that a request, sent at the given time, has completed on a run. The
+// crashes of other runs are then taken to have had another cause. It returns the number of crashes
+// that the request is cleared of.
 func (t *Tracker) RecordCompletion(now, sent time.Duration, f call.Fingerprint, run string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.rate.note(now, false)
+	t.crashRate.observe(now, false)
 	if len(t.requests) == 0 {
 		return 0
 	}
@@ -103,38 +105,38 @@
 		return 0
 	}
 	cleared := 0
-	for ended, at := range r.ends {
-		if t.clear(now, f, ended, at) {
+	for crashedRun, at := range r.crashes {
+		if t.clear(now, f, crashedRun, at) {
 			cleared++
 		}
 	}
 	return cleared
 }
 
-// refuteCrash clears the suspects of a run that has answered what was sent to it later: it had
-// not ended, only accepted no connection for a moment. The lock is held.
+// refuteCrash clears the suspects of a run that has responded to a request sent after its reported
+// crash: the process had not crashed but only refused connections for a moment. The lock is held.
 func (t *Tracker) refuteCrash(now, sent time.Duration, run uint64) {
-	for f := range t.runs[run] {
-		if at := t.requests[f].ends[run]; at < sent {
-			t.requests[f].refuted[run] = true
+	for f := range t.suspects[run] {
+		if at := t.requests[f].crashes[run]; at < sent {
+			t.requests[f].refutedRuns[run] = true
 			t.clear(now, f, run, at)
 		}
 	}
 }
 
-// clear exonerates a request of one crash, and reports whether it was not cleared before; the lock
-// is held.
+// clear clears a request of one crash and reports whether it had not been cleared of it before. The
+// lock is held.
 func (t *Tracker) clear(now time.Duration, f call.Fingerprint, run uint64, at time.Duration) bool {
-	if t.requests[f].cleared[run] {
+	if t.requests[f].clearedRuns[run] {
 		return false
 	}
-	s := CrashReport{Request: f, Run: run, At: at, Cleared: true}
-	t.registry.Add(s)
-	t.merge(now, s)
+	report := CrashReport{Request: f, Run: run, At: at, Cleared: true}
+	t.registry.Add(report)
+	t.merge(now, report)
 	return true
 }
 
-// Merge merges the reports of others. It returns the requests that are held since.
+// Merge merges the reports of other entries. It returns the requests that are newly held.
 func (t *Tracker) Merge(now time.Duration, reports []CrashReport) []call.Fingerprint {
 	if len(reports) == 0 {
 		return nil
@@ -142,183 +144,184 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var held []call.Fingerprint
-	for _, s := range reports {
-		before := t.requests[s.Request].heldAt(now)
-		t.merge(now, s)
-		if !before && t.requests[s.Request].heldAt(now) {
-			held = append(held, s.Request)
+	for _, report := range reports {
+		wasHeld := t.requests[report.Request].isHeld(now)
+		t.merge(now, report)
+		if !wasHeld && t.requests[report.Request].isHeld(now) {
+			held = append(held, report.Request)
 		}
 	}
 	return held
 }
 
-// Snapshot returns the reports on requests with several crashes, at most so many, for a host that
-// may have lost them.
-func (t *Tracker) Snapshot(most int) []CrashReport {
+// Snapshot returns at most limit reports, on requests with several crashes, for a host that may
+// have lost them.
+func (t *Tracker) Snapshot(limit int) []CrashReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var known []CrashReport
+	var reports []CrashReport
 	for f, r := range t.requests {
-		if len(r.ends) < 2 || len(known)+len(r.ends) > most {
+		if len(r.crashes) < 2 || len(reports)+len(r.crashes) > limit {
 			continue
 		}
-		for run, at := range r.ends {
-			known = append(known, CrashReport{Request: f, Run: run, At: at, Cleared: r.cleared[run]})
+		for run, at := range r.crashes {
+			reports = append(reports, CrashReport{Request: f, Run: run, At: at, Cleared: r.clearedRuns[run]})
 		}
 	}
-	return known
+	return reports
 }
 
-// Len returns the number of requests that are remembered, and of those that are held.
+// Len returns the number of tracked requests and the number of held ones.
 func (t *Tracker) Len(now time.Duration) (requests, held int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.requests {
-		if r.heldAt(now) {
+		if r.isHeld(now) {
 			held++
 		}
 	}
 	return len(t.requests), held
 }
 
-// merge merges one report; the lock is held.
-func (t *Tracker) merge(now time.Duration, s CrashReport) {
-	r := t.requests[s.Request]
+// merge merges one report. The lock is held.
+func (t *Tracker) merge(now time.Duration, report CrashReport) {
+	r := t.requests[report.Request]
 	if r == nil {
-		t.makeRoom()
+		t.evictIfFull()
 		r = &record{
-			ends: map[uint64]time.Duration{}, cleared: map[uint64]bool{}, refuted: map[uint64]bool{},
-			exposedBefore: t.exposure.until(now), exposure: exposure{at: now},
+			crashes: map[uint64]time.Duration{}, clearedRuns: map[uint64]bool{}, refutedRuns: map[uint64]bool{},
+			priorExposure: t.exposure.total(now), exposure: exposure{updatedAt: now},
 		}
-		t.requests[s.Request] = r
-		t.known.Store(int64(len(t.requests)))
+		t.requests[report.Request] = r
+		t.trackedCount.Store(int64(len(t.requests)))
 	}
-	if _, seen := r.ends[s.Run]; !seen {
-		t.forgetRun(s.Request, r.oldestOf(maxRuns))
-		r.ends[s.Run] = s.At
-		if t.runs[s.Run] == nil {
-			t.runs[s.Run] = map[call.Fingerprint]bool{}
+	if _, seen := r.crashes[report.Run]; !seen {
+		t.removeRun(report.Request, r.oldestRunIfFull(maxRuns))
+		r.crashes[report.Run] = report.At
+		if t.suspects[report.Run] == nil {
+			t.suspects[report.Run] = map[call.Fingerprint]bool{}
 		}
-		t.runs[s.Run][s.Request] = true
+		t.suspects[report.Run][report.Request] = true
 	}
-	if s.Cleared {
-		r.cleared[s.Run] = true
+	if report.Cleared {
+		r.clearedRuns[report.Run] = true
 	}
-	t.judge(now, s.Request)
-	t.attribute(now, s.Request)
-	t.judgeRecurring(now)
+	t.updateHold(now, report.Request)
+	t.attribute(now, report.Request)
+	t.updateRecurringHolds(now)
 }
 
-// judgeRecurring decides anew about the requests with several ends: a further end under others
-// speaks for them. The lock is held.
-func (t *Tracker) judgeRecurring(now time.Duration) {
+// updateRecurringHolds reevaluates the requests with several crashes, since a further crash that
+// hits only other requests counts in their favour. The lock is held.
+func (t *Tracker) updateRecurringHolds(now time.Duration) {
 	for f := range t.recurring {
-		t.judge(now, f)
+		t.updateHold(now, f)
 	}
 }
 
-// attribute attributes the crashes of a request to it alone, if it is confirmed or was; the lock
-// is held.
+// attribute updates whether a request is a confirmed cause. If it is or was one, the other suspects
+// of its crashes are reevaluated. The lock is held.
 func (t *Tracker) attribute(now time.Duration, f call.Fingerprint) {
-	r, was := t.requests[f], t.confirmed[f] != nil
-	if r.open() >= fewestEnds {
-		t.confirmed[f] = r
+	r, wasConfirmed := t.requests[f], t.confirmedCauses[f] != nil
+	if r.uncleared() >= minCrashes {
+		t.confirmedCauses[f] = r
 	} else {
-		delete(t.confirmed, f)
+		delete(t.confirmedCauses, f)
 	}
-	if !was && t.confirmed[f] == nil {
+	if !wasConfirmed && t.confirmedCauses[f] == nil {
 		return
 	}
-	for run := range r.ends {
-		for other := range t.runs[run] {
+	for run := range r.crashes {
+		for other := range t.suspects[run] {
 			if other != f {
-				t.judge(now, other)
+				t.updateHold(now, other)
 			}
 		}
 	}
 }
 
-// judge decides anew whether a request is held; the lock is held.
-func (t *Tracker) judge(now time.Duration, f call.Fingerprint) {
+// updateHold reevaluates whether a request is held. The lock is held.
+func (t *Tracker) updateHold(now time.Duration, f call.Fingerprint) {
 	r := t.requests[f]
-	open, all, newest := 0, 0, time.Duration(0)
-	for run, at := range r.ends {
-		if r.refuted[run] || t.explained(run, f, r) {
+	uncleared, total, last := 0, 0, time.Duration(0)
+	for run, at := range r.crashes {
+		if r.refutedRuns[run] || t.attributedToOther(run, f, r) {
 			continue
 		}
-		all++
-		newest = max(newest, at)
-		if !r.cleared[run] {
-			open++
+		total++
+		last = max(last, at)
+		if !r.clearedRuns[run] {
+			uncleared++
 		}
 	}
-	if all >= recurring {
+	if total >= minRecurringCrashes {
 		t.recurring[f] = r
 	} else {
 		delete(t.recurring, f)
 	}
-	r.until = 0
-	if needed := t.rate.needed(now); open >= needed {
-		r.until = newest + holdFor(open-needed)
-	} else if t.incriminated(now, r, all) {
-		r.until = newest + holdFor(all-recurring)
+	r.heldUntil = 0
+	if required := t.crashRate.requiredCrashes(now); uncleared >= required {
+		r.heldUntil = last + holdDuration(uncleared-required)
+	} else if t.exceedsChance(now, r, total) {
+		r.heldUntil = last + holdDuration(total-minRecurringCrashes)
 	}
 }
 
-// explained reports whether the end of a run is attributed to another request: one that is
-// confirmed and has more crashes than this one.
-func (t *Tracker) explained(run uint64, f call.Fingerprint, r *record) bool {
-	own := r.open()
-	for other, theirs := range t.confirmed {
-		_, there := theirs.ends[run]
-		if other != f && there && !theirs.cleared[run] && theirs.open() > own {
+// attributedToOther reports whether the crash of a run is attributed to another request: a
+// confirmed cause with more uncleared crashes than this one. The lock is held.
+func (t *Tracker) attributedToOther(run uint64, f call.Fingerprint, r *record) bool {
+	own := r.uncleared()
+	for other, otherRecord := range t.confirmedCauses {
+		_, crashed := otherRecord.crashes[run]
+		if other != f && crashed && !otherRecord.clearedRuns[run] && otherRecord.uncleared() > own {
 			return true
 		}
 	}
 	return false
 }
 
-// holdFor is how long a request is held after so many ends more than were needed.
-func holdFor(further int) time.Duration {
-	hold := firstHold
-	for range further {
-		hold = min(hold*holdGrowth, longestHold)
+// holdDuration returns the length of a hold after this many crashes more than required.
+func holdDuration(extra int) time.Duration {
+	hold := initialHold
+	for range extra {
+		hold = min(hold*holdMultiplier, maxHold)
 	}
 	return hold
 }
 
-// heldAt reports whether the request is held; a request that is not known is not.
-func (r *record) heldAt(now time.Duration) bool { return r != nil && r.until > now }
+// isHeld reports whether the request is held. A nil record is not.
+func (r *record) isHeld(now time.Duration) bool { return r != nil && r.heldUntil > now }
 
-// open is the number of ends that the request has not been cleared of.
-func (r *record) open() int { return len(r.ends) - len(r.cleared) }
+// uncleared returns the number of crashes that the request has not been cleared of.
+func (r *record) uncleared() int { return len(r.crashes) - len(r.clearedRuns) }
 
-// newest is when a process last ended under the request.
-func (r *record) newest() time.Duration {
-	var newest time.Duration
-	for _, at := range r.ends {
-		newest = max(newest, at)
+// lastCrash returns the time of the request's last crash.
+func (r *record) lastCrash() time.Duration {
+	var last time.Duration
+	for _, at := range r.crashes {
+		last = max(last, at)
 	}
-	return newest
+	return last
 }
 
-// oldest is when a process first ended under the request.
-func (r *record) oldest() time.Duration {
-	oldest := time.Duration(math.MaxInt64)
-	for _, at := range r.ends {
-		oldest = min(oldest, at)
+// firstCrash returns the time of the request's first crash.
+func (r *record) firstCrash() time.Duration {
+	first := time.Duration(math.MaxInt64)
+	for _, at := range r.crashes {
+		first = min(first, at)
 	}
-	return oldest
+	return first
 }
 
-// oldestOf returns the oldest run if there are as many as most, zero otherwise.
-func (r *record) oldestOf(most int) uint64 {
-	if len(r.ends) < most {
+// oldestRunIfFull returns the run with the oldest crash if there are at least limit runs, zero
+// otherwise.
+func (r *record) oldestRunIfFull(limit int) uint64 {
+	if len(r.crashes) < limit {
 		return 0
 	}
 	var oldest uint64
-	for run, at := range r.ends {
-		if oldest == 0 || at < r.ends[oldest] {
+	for run, at := range r.crashes {
+		if oldest == 0 || at < r.crashes[oldest] {
 			oldest = run
 		}
 	}
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -10,159 +10,160 @@
 	"github.com/lilackeel/lilackeel/call"
 )
 
-func named(name string) call.Fingerprint { return call.FingerprintOf("crew", "POST", "/"+name, nil) }
+func fp(name string) call.Fingerprint { return call.FingerprintOf("crew", "POST", "/"+name, nil) }
 
-// played is a tracker that has seen so many requests complete that crashes are rare.
-func played(now time.Duration) *Tracker {
-	b := NewTracker()
+// newTrackerWithHistory returns a tracker that has seen enough completions for crashes to be rare.
+func newTrackerWithHistory(now time.Duration) *Tracker {
+	tracker := NewTracker()
 	for range 1000 {
-		b.RecordCompletion(now, now, named("good"), "runs on")
+		tracker.RecordCompletion(now, now, fp("good"), "runs on")
 	}
-	return b
+	return tracker
 }
 
-func TestARequestIsHeldAfterThreeEnds(t *testing.T) {
+func TestRequestIsHeldAfterThreeCrashes(t *testing.T) {
 	is := is.New(t)
-	b, bad := played(0), named("bad")
-	is.Equal(b.RecordCrash(1*time.Second, bad, "e1"), CrashResult{Crashes: 1})
-	is.Equal(b.RecordCrash(1*time.Second, bad, "e1"), CrashResult{Crashes: 1}) // one crash, reported twice
-	is.Equal(b.RecordCrash(2*time.Second, bad, "e2"), CrashResult{Crashes: 2})
-	is.Equal(b.RecordCrash(3*time.Second, bad, "e3"), CrashResult{Crashes: 3, Hold: firstHold})
-	is.Equal(b.HoldRemaining(13*time.Second, bad), firstHold-10*time.Second)
-	is.Equal(b.HoldRemaining(13*time.Second, named("good")), time.Duration(0))
-	// It may run again after the hold, which grows with each further end.
-	is.Equal(b.HoldRemaining(3*time.Second+firstHold, bad), time.Duration(0))
-	is.Equal(b.RecordCrash(70*time.Second, bad, "e4"), CrashResult{Crashes: 4, Hold: holdGrowth * firstHold})
+	tracker, bad := newTrackerWithHistory(0), fp("bad")
+	is.Equal(tracker.RecordCrash(1*time.Second, bad, "e1"), CrashResult{Crashes: 1})
+	is.Equal(tracker.RecordCrash(1*time.Second, bad, "e1"), CrashResult{Crashes: 1}) // the same crash, reported twice
+	is.Equal(tracker.RecordCrash(2*time.Second, bad, "e2"), CrashResult{Crashes: 2})
+	is.Equal(tracker.RecordCrash(3*time.Second, bad, "e3"), CrashResult{Crashes: 3, Hold: initialHold})
+	is.Equal(tracker.HoldRemaining(13*time.Second, bad), initialHold-10*time.Second)
+	is.Equal(tracker.HoldRemaining(13*time.Second, fp("good")), time.Duration(0))
+	// It may run again after the hold, which grows with each further crash.
+	is.Equal(tracker.HoldRemaining(3*time.Second+initialHold, bad), time.Duration(0))
+	is.Equal(tracker.RecordCrash(70*time.Second, bad, "e4"), CrashResult{Crashes: 4, Hold: holdMultiplier * initialHold})
 }
 
-func TestARequestThatRunsToItsEndIsCleared(t *testing.T) {
+func TestCompletionClearsARequest(t *testing.T) {
 	is := is.New(t)
-	b, other, unlucky := played(0), played(0), named("unlucky")
+	tracker, other, unlucky := newTrackerWithHistory(0), newTrackerWithHistory(0), fp("unlucky")
 	for i := range 3 {
-		b.RecordCrash(time.Second, unlucky, "e"+strconv.Itoa(i))
+		tracker.RecordCrash(time.Second, unlucky, "e"+strconv.Itoa(i))
 	}
-	reports, position := b.LocalReports().Since(0)
+	reports, position := tracker.LocalReports().Since(0)
 	is.Equal(other.Merge(time.Second, reports), []call.Fingerprint{unlucky})
 	is.True(other.HoldRemaining(2*time.Second, unlucky) > 0)
-	is.Equal(b.RecordCompletion(3*time.Second, 3*time.Second, unlucky, "e7"), 3)
-	is.Equal(b.HoldRemaining(3*time.Second, unlucky), time.Duration(0))
-	reports, _ = b.LocalReports().Since(position)
+	is.Equal(tracker.RecordCompletion(3*time.Second, 3*time.Second, unlucky, "e7"), 3)
+	is.Equal(tracker.HoldRemaining(3*time.Second, unlucky), time.Duration(0))
+	reports, _ = tracker.LocalReports().Since(position)
 	other.Merge(3*time.Second, reports)
-	is.Equal(other.HoldRemaining(3*time.Second, unlucky), time.Duration(0)) // at the other entry too
-	is.Equal(b.RecordCrash(4*time.Second, unlucky, "e9").Crashes, 1)        // counted from anew
+	is.Equal(other.HoldRemaining(3*time.Second, unlucky), time.Duration(0)) // cleared at the other entry too
+	is.Equal(tracker.RecordCrash(4*time.Second, unlucky, "e9").Crashes, 1)  // the count starts again
 }
 
-// TestWhatWasCutWithAnotherIsNotHeld has a request on the same endpoints as one that ends them,
-// twice by chance and once more for it to be held as well.
-func TestWhatWasCutWithAnotherIsNotHeld(t *testing.T) {
+// Guards against holding a request that twice runs by coincidence on the endpoint that another
+// request crashes. A third crash that the two share makes them indistinguishable, and both are
+// held; a fourth crash of one of them alone releases the other.
+func TestCoincidentalSuspectIsNotHeld(t *testing.T) {
 	is := is.New(t)
-	b, bad, unlucky := played(0), named("bad"), named("unlucky")
+	tracker, bad, unlucky := newTrackerWithHistory(0), fp("bad"), fp("unlucky")
 	for _, run := range []string{"e1", "e2"} {
-		b.RecordCrash(time.Second, bad, run)
-		b.RecordCrash(time.Second, unlucky, run)
+		tracker.RecordCrash(time.Second, bad, run)
+		tracker.RecordCrash(time.Second, unlucky, run)
 	}
-	b.RecordCrash(2*time.Second, bad, "e3")
-	is.True(b.HoldRemaining(2*time.Second, bad) > 0)
-	b.RecordCrash(2*time.Second, bad, "e4")
-	b.RecordCrash(3*time.Second, unlucky, "e5") // its own third, of which two are explained
-	is.Equal(b.HoldRemaining(3*time.Second, unlucky), time.Duration(0))
+	tracker.RecordCrash(2*time.Second, bad, "e3")
+	is.True(tracker.HoldRemaining(2*time.Second, bad) > 0)
+	tracker.RecordCrash(2*time.Second, bad, "e4")
+	tracker.RecordCrash(3*time.Second, unlucky, "e5") // its third, of which two are attributed to the other request
+	is.Equal(tracker.HoldRemaining(3*time.Second, unlucky), time.Duration(0))
 
-	both := played(0)
+	inseparable := newTrackerWithHistory(0)
 	for _, run := range []string{"e1", "e2", "e3"} {
-		both.RecordCrash(time.Second, bad, run)
-		both.RecordCrash(time.Second, unlucky, run)
+		inseparable.RecordCrash(time.Second, bad, run)
+		inseparable.RecordCrash(time.Second, unlucky, run)
 	}
-	is.True(both.HoldRemaining(time.Second, unlucky) > 0) // nothing tells them apart
-	both.RecordCrash(70*time.Second, bad, "e4")
-	is.Equal(both.HoldRemaining(time.Second, unlucky), time.Duration(0)) // now it does
+	is.True(inseparable.HoldRemaining(time.Second, unlucky) > 0) // the two cannot be told apart
+	inseparable.RecordCrash(70*time.Second, bad, "e4")
+	is.Equal(inseparable.HoldRemaining(time.Second, unlucky), time.Duration(0)) // now they can
 }
 
-// TestMoreEndsAreNeededWhereProcessesEndAnyway has a third of all runs end with their endpoint,
-// whatever they are.
-func TestMoreEndsAreNeededWhereProcessesEndAnyway(t *testing.T) {
+// Guards against holding harmless requests where a third of all runs end in a crash, whatever the
+// request.
+func TestMoreCrashesAreRequiredWhereCrashesAreFrequent(t *testing.T) {
 	is := is.New(t)
-	b, run := NewTracker(), 0
+	tracker, run := NewTracker(), 0
 	for i := range 300 {
 		run++
-		b.RecordCrash(time.Second, named("r"+strconv.Itoa(i)), "e"+strconv.Itoa(run))
-		b.RecordCompletion(time.Second, time.Second, named("s"+strconv.Itoa(i)), "runs on")
-		b.RecordCompletion(time.Second, time.Second, named("t"+strconv.Itoa(i)), "runs on")
+		tracker.RecordCrash(time.Second, fp("r"+strconv.Itoa(i)), "e"+strconv.Itoa(run))
+		tracker.RecordCompletion(time.Second, time.Second, fp("s"+strconv.Itoa(i)), "runs on")
+		tracker.RecordCompletion(time.Second, time.Second, fp("t"+strconv.Itoa(i)), "runs on")
 	}
-	unlucky := named("unlucky")
+	unlucky := fp("unlucky")
 	for i := range 3 {
-		is.Equal(b.RecordCrash(time.Second, unlucky, "u"+strconv.Itoa(i)).Hold, time.Duration(0))
+		is.Equal(tracker.RecordCrash(time.Second, unlucky, "u"+strconv.Itoa(i)).Hold, time.Duration(0))
 	}
-	// One that goes on is held all the same.
-	b.RecordCrash(time.Second, unlucky, "u8")
-	is.True(b.RecordCrash(time.Second, unlucky, "u9").Hold > 0)
+	// With further crashes the request is held nevertheless.
+	tracker.RecordCrash(time.Second, unlucky, "u8")
+	is.True(tracker.RecordCrash(time.Second, unlucky, "u9").Hold > 0)
 }
 
-func TestTheTrackerIsBoundedAndForgets(t *testing.T) {
+func TestTrackerIsBoundedAndEvictsStaleRequests(t *testing.T) {
 	is := is.New(t)
-	b, bad := NewTracker(), named("bad")
+	tracker, bad := NewTracker(), fp("bad")
 	for _, run := range []string{"e1", "e2", "e3"} {
-		b.RecordCrash(0, bad, run)
+		tracker.RecordCrash(0, bad, run)
 	}
 	for i := range 3 * maxRequests {
-		b.RecordCrash(time.Duration(i), named(strconv.Itoa(i)), "rack")
-		b.RecordCrash(time.Duration(i), bad, "x"+strconv.Itoa(i))
+		tracker.RecordCrash(time.Duration(i), fp(strconv.Itoa(i)), "rack")
+		tracker.RecordCrash(time.Duration(i), bad, "x"+strconv.Itoa(i))
 	}
-	requests, _ := b.Len(time.Second)
+	requests, _ := tracker.Len(time.Second)
 	is.Equal(requests, maxRequests)
-	is.True(b.HoldRemaining(time.Second, bad) > 0) // what matters stays
-	is.True(len(b.requests[bad].ends) <= maxRuns)
-	is.True(len(b.runs) <= maxRequests*maxRuns)
-	is.True(len(b.registry.stored) <= maxReports && len(b.registry.present) <= maxReports)
-	b.EvictStale(3 * longestHold)
-	requests, _ = b.Len(3 * longestHold)
+	is.True(tracker.HoldRemaining(time.Second, bad) > 0) // the request with the most crashes is not evicted
+	is.True(len(tracker.requests[bad].crashes) <= maxRuns)
+	is.True(len(tracker.suspects) <= maxRequests*maxRuns)
+	is.True(len(tracker.registry.stored) <= maxReports && len(tracker.registry.sequences) <= maxReports)
+	tracker.EvictStale(3 * maxHold)
+	requests, _ = tracker.Len(3 * maxHold)
 	is.Equal(requests, 0)
-	is.Equal(len(b.runs), 0)
-	is.Equal(len(b.registry.stored)+len(b.registry.present), 0)
+	is.Equal(len(tracker.suspects), 0)
+	is.Equal(len(tracker.registry.stored)+len(tracker.registry.sequences), 0)
 }
 
-func TestReadersOfARegistryGetEverythingOnce(t *testing.T) {
+func TestRegistryReaderGetsEachReportOnce(t *testing.T) {
 	is := is.New(t)
 	registry := NewRegistry()
-	for i := range 3 * maxRead {
-		registry.Add(CrashReport{Request: named(strconv.Itoa(i)), Run: 1})
-		registry.Add(CrashReport{Request: named(strconv.Itoa(i)), Run: 1}) // reported by a second entry
+	for i := range 3 * maxBatch {
+		registry.Add(CrashReport{Request: fp(strconv.Itoa(i)), Run: 1})
+		registry.Add(CrashReport{Request: fp(strconv.Itoa(i)), Run: 1}) // reported by a second entry as well
 	}
 	seen := map[call.Fingerprint]int{}
 	position := uint64(0)
 	for {
 		found, next := registry.Since(position)
-		is.True(len(found) <= maxRead)
+		is.True(len(found) <= maxBatch)
 		if len(found) == 0 {
 			break
 		}
 		position = next
-		for _, s := range found {
-			seen[s.Request]++
+		for _, report := range found {
+			seen[report.Request]++
 		}
 	}
-	is.Equal(len(seen), 3*maxRead)
+	is.Equal(len(seen), 3*maxBatch)
 	for _, times := range seen {
 		is.Equal(times, 1)
 	}
-	// A cleared report is read, and the one that it clears is not read any more.
-	registry.Add(CrashReport{Request: named("0"), Run: 1, Cleared: true})
-	registry.Add(CrashReport{Request: named("0"), Run: 1})
+	// A cleared report replaces the uncleared one and is read.
+	registry.Add(CrashReport{Request: fp("0"), Run: 1, Cleared: true})
+	registry.Add(CrashReport{Request: fp("0"), Run: 1})
 	found, _ := registry.Since(position)
-	is.Equal(found, []CrashReport{{Request: named("0"), Run: 1, Cleared: true}})
-	is.Equal(len(registry.stored), 3*maxRead)
+	is.Equal(found, []CrashReport{{Request: fp("0"), Run: 1, Cleared: true}})
+	is.Equal(len(registry.stored), 3*maxBatch)
 }
 
-// TestAnEndpointThatAnswersHasNotEnded has an endpoint that refused a connection while it was
-// crowded, and answers what is sent to it later.
-func TestAnEndpointThatAnswersHasNotEnded(t *testing.T) {
+// Guards against taking an overloaded endpoint that refused connections for a crashed one although
+// it responds to requests that are sent later.
+func TestLaterResponseRefutesACrash(t *testing.T) {
 	is := is.New(t)
-	b, unlucky := played(0), named("unlucky")
+	tracker, unlucky := newTrackerWithHistory(0), fp("unlucky")
 	for i := range 3 {
-		b.RecordCrash(time.Second, unlucky, "e"+strconv.Itoa(i))
+		tracker.RecordCrash(time.Second, unlucky, "e"+strconv.Itoa(i))
 	}
-	is.True(b.HoldRemaining(time.Second, unlucky) > 0)
-	b.RecordCompletion(2*time.Second, 500*time.Millisecond, named("sent before"), "e1")
-	is.True(b.HoldRemaining(2*time.Second, unlucky) > 0) // the answer was on its way
-	b.RecordCompletion(2*time.Second, 1500*time.Millisecond, named("sent after"), "e1")
-	is.Equal(b.HoldRemaining(2*time.Second, unlucky), time.Duration(0))
+	is.True(tracker.HoldRemaining(time.Second, unlucky) > 0)
+	tracker.RecordCompletion(2*time.Second, 500*time.Millisecond, fp("sent before"), "e1")
+	is.True(tracker.HoldRemaining(2*time.Second, unlucky) > 0) // the response may have been under way
+	tracker.RecordCompletion(2*time.Second, 1500*time.Millisecond, fp("sent after"), "e1")
+	is.Equal(tracker.HoldRemaining(2*time.Second, unlucky), time.Duration(0))
 }
