--- a/ratelimit/arbiter.go
+++ b/ratelimit/arbiter.go
@@ -6,90 +6,94 @@
 )
 
 const (
-	// choiceMemory is how long a host remembers which choice of a sender it is.
-	choiceMemory = 10 * time.Second
-	// memory is how long nothing may be heard of an endpoint before it is forgotten, and
-	// maxEndpoints the number of endpoints that are remembered.
-	memory       = 10 * time.Minute
-	maxEndpoints = 4096
+	// choiceRetention is how long a host remembers its rank in the order of preference of a sender
+	// that has asked it for a permit.
+	choiceRetention = 10 * time.Second
+	// endpointRetention is how long an endpoint is kept after it was last heard of, and
+	// maxEndpoints bounds the number of endpoints.
+	endpointRetention = 10 * time.Minute
+	maxEndpoints      = 4096
 )
 
-// choiceParts are the parts of a limit that a host lets pass by which choice of the senders it
-// is. All of them together stay below one and a half times the limit, however the senders are
-// cut off from hosts.
-var choiceParts = [...]float64{1, 0.3, 0.1}
+// choiceShares are the shares of a limit that a host grants, by its rank in the senders' order of
+// preference. Their sum stays below one and a half times the limit, whichever hosts the senders are
+// partitioned from.
+var choiceShares = [...]float64{1, 0.3, 0.1}
 
-// Choices is how many hosts may be asked for a permit, one after the other.
-const MaxPermitHosts = len(choiceParts)
+// MaxPermitHosts is the number of hosts that a sender may ask for a permit, one after the other.
+const MaxPermitHosts = len(choiceShares)
 
-// Named is the limit of one endpoint, or of one run of its process.
+// EndpointLimit is the limit of an endpoint, or of one run of its process.
 type EndpointLimit struct {
 	Endpoint string
 	Limit    Limit
 }
 
-// Arbiter lets the requests of all entries to endpoints that name limits pass, one by one. It
-// is safe for concurrent use; its lock is a leaf.
+// Arbiter enforces the limits of endpoints across all entries by granting a permit for each
+// request. It is safe for concurrent use. No other lock is acquired while its lock is held.
 type Arbiter struct {
 	mu        sync.Mutex
-	endpoints map[string]*arbitrated
-	// changes counts the changes of any limit.
-	changes uint64
+	endpoints map[string]*limitedEndpoint
+	// revision counts the changes of all limits.
+	revision uint64
 }
 
-// arbitrated is an endpoint whose requests an arbiter lets pass.
-type arbitrated struct {
+// limitedEndpoint is the state of an endpoint that advertises a limit, or did.
+type limitedEndpoint struct {
 	limit  Limit
 	bucket Bucket
-	// asked is when the arbiter was last asked as each choice of a sender, touched when
-	// anything was last heard of the endpoint.
-	asked   [MaxPermitHosts]time.Duration
-	touched time.Duration
-	// change numbers the last change of the limit.
-	change uint64
+	// lastAsked is when a permit was last requested, by the arbiter's rank in the sender's order of
+	// preference; lastSeen is when the endpoint was last heard of.
+	lastAsked [MaxPermitHosts]time.Duration
+	lastSeen  time.Duration
+	// revision is the arbiter's revision at the last change of the limit.
+	revision uint64
 }
 
-// Permit is the answer to the wish to send a request.
+// Permit is the response to a request for permission to send one request.
 type Permit struct {
-	// Granted is true if it may be sent now; Wait is after which time to ask again otherwise.
+	// Granted is true if the request may be sent now; otherwise Wait is the time after which to ask
+	// again.
 	Granted bool
 	Wait    time.Duration
-	// Limit is the latest that the arbiter knows.
+	// Limit is the latest limit that the arbiter knows.
 	Limit Limit
 }
 
-// NewArbiter returns an arbiter that knows of no limit.
-func NewArbiter() *Arbiter { return &Arbiter{endpoints: map[string]*arbitrated{}} }
+// NewArbiter returns an arbiter without limits.
+func NewArbiter() *Arbiter { return &Arbiter{endpoints: map[string]*limitedEndpoint{}} }
 
-// Learn takes in the limit of an endpoint. It returns false if that is known, or overtaken.
-func (a *Arbiter) Learn(now time.Duration, n EndpointLimit) bool {
+// Learn updates the limit of an endpoint. It returns false if the limit is already known or
+// superseded.
+func (a *Arbiter) Learn(now time.Duration, l EndpointLimit) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	_, changed := a.learn(now, n)
+	_, changed := a.learn(now, l)
 	return changed
 }
 
-// learn returns the endpoint, nil if it is not known to name a limit; the lock is held.
-func (a *Arbiter) learn(now time.Duration, n EndpointLimit) (e *arbitrated, changed bool) {
-	e = a.endpoints[n.Endpoint]
+// learn is Learn and also returns the endpoint, nil if it has never advertised a limit. The lock is
+// held.
+func (a *Arbiter) learn(now time.Duration, l EndpointLimit) (e *limitedEndpoint, changed bool) {
+	e = a.endpoints[l.Endpoint]
 	switch {
-	case e == nil && !n.Limit.Limited():
+	case e == nil && !l.Limit.Limited():
 		return nil, false
 	case e == nil:
-		a.forget(now)
-		a.makeRoom(now)
-		e = &arbitrated{}
-		a.endpoints[n.Endpoint] = e
-	case !n.Limit.Supersedes(e.limit):
-		e.touched = now
+		a.evictStale(now)
+		a.evictIfFull(now)
+		e = &limitedEndpoint{}
+		a.endpoints[l.Endpoint] = e
+	case !l.Limit.Supersedes(e.limit):
+		e.lastSeen = now
 		return e, false
 	}
-	a.changes++
-	e.limit, e.change, e.touched = n.Limit, a.changes, now
+	a.revision++
+	e.limit, e.revision, e.lastSeen = l.Limit, a.revision, now
 	return e, true
 }
 
-// Limit returns what an endpoint names; limited is false if it names no limit.
+// Limit returns the limit that an endpoint advertises; limited is false if it advertises none.
 func (a *Arbiter) Limit(endpoint string) (limit Limit, limited bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -100,73 +104,73 @@
 	return e.limit, true
 }
 
-// Ask asks to send a request under the limit that the sender knows; choice says which choice of
-// the sender the arbiter is, 0 for the first.
-func (a *Arbiter) Acquire(now time.Duration, n EndpointLimit, choice int) Permit {
+// Acquire requests a permit to send one request, under the limit that the sender knows. choice is
+// the arbiter's rank in the sender's order of preference, 0 for the first.
+func (a *Arbiter) Acquire(now time.Duration, l EndpointLimit, choice int) Permit {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	e, _ := a.learn(now, n)
+	e, _ := a.learn(now, l)
 	if e == nil {
-		return Permit{Granted: true, Limit: n.Limit}
+		return Permit{Granted: true, Limit: l.Limit}
 	}
 	if !e.limit.Limited() {
 		return Permit{Granted: true, Limit: e.limit}
 	}
-	e.asked[min(max(choice, 0), MaxPermitHosts-1)] = now
-	e.bucket.SetRate(now, e.limit.Rate*e.part(now))
+	e.lastAsked[min(max(choice, 0), MaxPermitHosts-1)] = now
+	e.bucket.SetRate(now, e.limit.Rate*e.share(now))
 	granted, wait := e.bucket.Take(now)
 	return Permit{Granted: granted, Wait: wait, Limit: e.limit}
 }
 
-// part is the part of the limit that is let pass here.
-func (e *arbitrated) part(now time.Duration) float64 {
-	for choice, asked := range e.asked {
-		if asked > 0 && now-asked <= choiceMemory {
-			return choiceParts[choice]
+// share returns the share of the limit that this arbiter may grant.
+func (e *limitedEndpoint) share(now time.Duration) float64 {
+	for choice, lastAsked := range e.lastAsked {
+		if lastAsked > 0 && now-lastAsked <= choiceRetention {
+			return choiceShares[choice]
 		}
 	}
-	return choiceParts[MaxPermitHosts-1]
+	return choiceShares[MaxPermitHosts-1]
 }
 
-// Since returns the limits that have changed after a position that a reader has read to, zero
-// for the beginning, and the next position.
+// Since returns the limits that have changed after a reader's position, zero for the beginning, and
+// the reader's next position.
 func (a *Arbiter) Since(position uint64) ([]EndpointLimit, uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if position == a.changes {
+	if position == a.revision {
 		return nil, position
 	}
-	var found []EndpointLimit
-	next := a.changes
+	var changed []EndpointLimit
+	next := a.revision
 	for name, e := range a.endpoints {
-		if e.change <= position {
+		if e.revision <= position {
 			continue
 		}
-		found = append(found, EndpointLimit{name, e.limit})
+		changed = append(changed, EndpointLimit{name, e.limit})
 	}
-	return found, next
+	return changed, next
 }
 
-// forget drops the endpoints of which nothing has been heard for long; the lock is held.
-func (a *Arbiter) forget(now time.Duration) {
+// evictStale evicts the endpoints not heard of for endpointRetention. The lock is held.
+func (a *Arbiter) evictStale(now time.Duration) {
 	for name, e := range a.endpoints {
-		if now-e.touched > memory {
+		if now-e.lastSeen > endpointRetention {
 			delete(a.endpoints, name)
 		}
 	}
 }
 
-// makeRoom drops the endpoint that was heard of the longest ago if there is no room for one
-// more; the lock is held.
-func (a *Arbiter) makeRoom(now time.Duration) {
+// evictIfFull evicts the least recently heard of endpoint if there is no room for one more. The
+// lock is held.
+func (a *Arbiter) evictIfFull(now time.Duration) {
 	if len(a.endpoints) < maxEndpoints {
 		return
 	}
 	var oldest string
-	least := now
+	oldestSeen := now
 	for name, e := range a.endpoints {
-		if oldest == "" || e.touched < least {
-			oldest, least = name, e.touched
+		if oldest == "" || e.lastSeen < oldestSeen {
+			oldest, oldestSeen = name, e.lastSeen
 		}
 	}
 	delete(a.endpoints, oldest)
--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// BenchmarkAsk is what one question for a permit costs a host, and BenchmarkClosed what an entry
-// pays for each choice of an endpoint while so many endpoints name limits.
-func BenchmarkAsk(b *testing.B) {
+// BenchmarkAcquire measures the cost of one permit request at a host.
+func BenchmarkAcquire(b *testing.B) {
 	a := NewArbiter()
 	now := time.Duration(0)
 	for b.Loop() {
@@ -17,7 +16,9 @@
 	}
 }
 
-func BenchmarkClosed(b *testing.B) {
+// BenchmarkBlocked measures the cost of listing the blocked endpoints, which an entry does for each
+// choice of an endpoint, with different numbers of limited endpoints.
+func BenchmarkBlocked(b *testing.B) {
 	for _, limited := range []int{0, 10, 250} {
 		b.Run(strconv.Itoa(limited), func(b *testing.B) {
 			table := NewTable()
--- a/ratelimit/codec.go
+++ b/ratelimit/codec.go
@@ -6,19 +6,20 @@
 	agentv1 "github.com/lilackeel/lilackeel/api/agent/v1"
 )
 
-// ToProto encodes a limit with its ages at now.
-func ToProto(now time.Duration, n EndpointLimit) *agentv1.RateLimit {
+// ToProto encodes a limit, with its times as ages relative to now.
+func ToProto(now time.Duration, l EndpointLimit) *agentv1.RateLimit {
 	message := &agentv1.RateLimit{
-		Endpoint: n.Endpoint, SentAgeMs: max(now-n.Limit.SentAt, 0).Milliseconds(), AgeMs: max(now-n.Limit.ReceivedAt, 0).Milliseconds(),
+		Endpoint: l.Endpoint, SentAgeMs: max(now-l.Limit.SentAt, 0).Milliseconds(), AgeMs: max(now-l.Limit.ReceivedAt, 0).Milliseconds(),
 	}
-	if n.Limit.Limited() {
-		message.Rate = &n.Limit.Rate
+	if l.Limit.Limited() {
+		message.Rate = &l.Limit.Rate
 	}
 	return message
 }
 
-// FromProto decodes a limit by the reader's own clock. ok is false for one that is malformed.
-func FromProto(now time.Duration, m *agentv1.RateLimit) (n EndpointLimit, ok bool) {
+// FromProto decodes a limit, with its ages relative to the reader's own now. ok is false if it is
+// malformed.
+func FromProto(now time.Duration, m *agentv1.RateLimit) (l EndpointLimit, ok bool) {
 	if m.GetEndpoint() == "" || m.GetAgeMs() < 0 || m.GetSentAgeMs() < m.GetAgeMs() || !(m.GetRate() >= 0) {
 		return EndpointLimit{}, false
 	}
--- a/ratelimit/doc.go
+++ b/ratelimit/doc.go
@@ -1,7 +1,8 @@
-// Package ratelimit keeps the rate limits that endpoints name.
+// Package ratelimit enforces the rate limits that endpoints advertise.
 //
-// An endpoint in need names in its answers how many requests a second it takes from all
-// entries together, for as long as it says so. Table holds what an entry knows of it.
+// An endpoint that needs to limit its load advertises in its responses how many requests per second
+// it accepts from all entries together. The limit holds for as long as responses advertise it.
+// Table holds the limits that one entry knows, Arbiter enforces them for all entries.
 //
-// All times are durations since an arbitrary start, monotonic. Nothing here blocks.
+// All times are monotonic durations since an arbitrary start. Nothing here blocks.
 package ratelimit
--- a/ratelimit/limit.go
+++ b/ratelimit/limit.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Unlimited is the rate of an endpoint that names no limit.
+// Unlimited is the rate of an endpoint that advertises no limit.
 var Unlimited = math.Inf(1)
 
-// Parse reads the limit that an answer names, in requests a second; the empty text is
-// Unlimited. ok is false for what is no limit.
+// Parse parses the limit that a response advertises, in requests per second. The empty text is
+// Unlimited. ok is false for an invalid limit.
 func Parse(text string) (rate float64, ok bool) {
 	text = strings.TrimSpace(text)
 	if text == "" {
@@ -24,29 +24,30 @@
 	return rate, true
 }
 
-// Feedback is what an answer says of the requests that its endpoint takes.
+// Feedback is what a response says about the requests that its endpoint accepts.
 type Feedback struct {
 	// Sent is when the request was sent.
 	Sent time.Duration
-	// Rate is the limit that the answer names, as it stands there; empty for none.
+	// Rate is the advertised limit as it stands in the response, unparsed; empty for none.
 	Rate string
-	// Pause is for how long the endpoint wants nothing more from this sender; zero for no pause.
+	// Pause is the time for which the endpoint asks this sender to send nothing more, zero for
+	// none.
 	Pause time.Duration
-	// Leaving is true if the endpoint says that it is about to stop.
+	// Leaving is true if the endpoint announces that it is about to stop.
 	Leaving bool
-	// Rejected is true if the endpoint has not taken the request.
+	// Rejected is true if the endpoint did not accept the request.
 	Rejected bool
 }
 
-// Limit is the rate that an endpoint named at some time between Since, when the request was
-// sent, and At, when its answer came.
+// Limit is a rate that an endpoint advertised in a response. The endpoint chose it at some time
+// between SentAt, when the request was sent, and ReceivedAt, when the response was received.
 type Limit struct {
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate               float64
 	SentAt, ReceivedAt time.Duration
 }
 
-// Limited reports whether the endpoint names a limit.
+// Limited reports whether the rate is limited.
 func (l Limit) Limited() bool { return !math.IsInf(l.Rate, 1) }
 
 // String returns the rate, or "none".
@@ -57,8 +58,8 @@
 	return strconv.FormatFloat(l.Rate, 'g', -1, 64)
 }
 
-// Supersedes reports whether l is newer than known and says something else. Answers overtake
-// each other: of two whose order is not certain the stricter one counts.
+// Supersedes reports whether l has another rate than known and replaces it. Responses may be
+// reordered: of two limits whose order is uncertain, the stricter one counts.
 func (l Limit) Supersedes(known Limit) bool {
 	switch {
 	case l.Rate == known.Rate:
--- a/ratelimit/limit_test.go
+++ b/ratelimit/limit_test.go
@@ -21,35 +21,35 @@
 	}
 }
 
-// Guards against an answer that was on its way longer undoing a stricter limit.
-func TestAnOvertakenAnswerDoesNotLoosenALimit(t *testing.T) {
+// Guards against a delayed response with an older limit replacing a stricter one.
+func TestReorderedResponseDoesNotLoosenALimit(t *testing.T) {
 	is := is.New(t)
-	at := func(rate float64, since, came int) Limit {
-		return Limit{Rate: rate, SentAt: time.Duration(since) * time.Second, ReceivedAt: time.Duration(came) * time.Second}
+	limitAt := func(rate float64, sentAt, receivedAt int) Limit {
+		return Limit{Rate: rate, SentAt: time.Duration(sentAt) * time.Second, ReceivedAt: time.Duration(receivedAt) * time.Second}
 	}
 	table := NewTable()
-	_, changed := table.Update("e1", at(Unlimited, 0, 1))
-	is.True(!changed) // nothing to know
-	_, changed = table.Update("e1", at(2, 1, 3))
+	_, changed := table.Update("e1", limitAt(Unlimited, 0, 1))
+	is.True(!changed) // no limit is known and none is advertised
+	_, changed = table.Update("e1", limitAt(2, 1, 3))
 	is.True(changed)
-	_, changed = table.Update("e1", at(Unlimited, 2, 5))
-	is.True(!changed) // sent before the limit was known: it may be the older word
-	_, changed = table.Update("e1", at(1, 2, 4))
+	_, changed = table.Update("e1", limitAt(Unlimited, 2, 5))
+	is.True(!changed) // sent before the limit was received, so it may be older
+	_, changed = table.Update("e1", limitAt(1, 2, 4))
 	is.True(changed) // stricter
-	is.True(limitedSend(table, false))
-	is.True(limitedSend(table, true))
-	change, changed := table.Update("e1", at(Unlimited, 5, 6))
+	is.True(recordLimitedSend(table, false))
+	is.True(recordLimitedSend(table, true))
+	change, changed := table.Update("e1", limitAt(Unlimited, 5, 6))
 	is.True(changed)
 	is.Equal(change.Sent, 2)
 	is.Equal(change.Retries, 1)
 	is.Equal(table.LimitedCount(), 0)
-	is.True(!limitedSend(table, false))
-	_, changed = table.Update("e1", at(1, 2, 4))
-	is.True(!changed) // older than the withdrawal
+	is.True(!recordLimitedSend(table, false))
+	_, changed = table.Update("e1", limitAt(1, 2, 4))
+	is.True(!changed) // older than the withdrawal of the limit
 }
 
-// limitedSend sends one request to e1 and reports whether that names a limit.
-func limitedSend(table *Table, again bool) bool {
-	limited, _ := table.RecordSent(0, "e1", again)
+// recordLimitedSend records one request to e1 and reports whether e1 advertises a limit.
+func recordLimitedSend(table *Table, retry bool) bool {
+	limited, _ := table.RecordSent(0, "e1", retry)
 	return limited
 }
--- a/ratelimit/pause.go
+++ b/ratelimit/pause.go
@@ -3,53 +3,54 @@
 import "time"
 
 // probeInterval is the time between two requests to an endpoint whose pause has ended, until it
-// takes one: all that wait for the end would otherwise come at once, and be rejected together.
+// accepts one. Without it all waiting requests would be sent at once and be rejected together.
 const probeInterval = 250 * time.Millisecond
 
-// Pause is the time for which an endpoint that has rejected a request wants nothing more from its
-// sender. After its end the endpoint gets one request at a time until it takes one. The zero
-// value is no pause; it is not safe for concurrent use.
+// Pause is the time for which an endpoint that has rejected a request asks its sender to send
+// nothing more. After it the endpoint is probed with single requests, probeInterval apart, until it
+// accepts one. The zero value is no pause. It is not safe for concurrent use.
 type Pause struct {
-	// until is the end of the pause, next the time before which no further probe is sent.
-	until, next time.Duration
-	// probing is true from the beginning of a pause until the endpoint has taken a request.
+	// until is the end of the pause, nextProbe the earliest time of the next probe.
+	until, nextProbe time.Duration
+	// probing is true from the start of a pause until the endpoint has accepted a request.
 	probing bool
 }
 
-// Extend begins a pause, or prolongs it: each rejection counts by itself.
+// Extend starts a pause or extends it. The latest end that any rejection asked for counts.
 func (p *Pause) Extend(now, pause time.Duration) {
 	p.until = max(p.until, now+pause)
 	p.probing = true
 }
 
-// Active reports whether the endpoint has not taken a request since it asked for the pause.
+// Active reports whether the endpoint has asked for a pause and has not accepted a request since.
 func (p *Pause) Active() bool { return p.probing }
 
-// Opens returns when a request may be sent, zero if one may be now.
+// BlockedUntil returns the time from which a request may be sent, zero if one may be sent now.
 func (p *Pause) BlockedUntil(now time.Duration) time.Duration {
-	opens := p.until
+	until := p.until
 	if p.probing {
-		opens = max(opens, p.next)
+		until = max(until, p.nextProbe)
 	}
-	if opens <= now {
+	if until <= now {
 		return 0
 	}
-	return opens
+	return until
 }
 
-// Take lets a request pass if one may be sent now.
+// Take reports whether a request may be sent now. While the endpoint is probed, it counts the
+// request as the probe.
 func (p *Pause) Take(now time.Duration) bool {
 	if p.BlockedUntil(now) > 0 {
 		return false
 	}
 	if p.probing {
-		p.next = now + probeInterval
+		p.nextProbe = now + probeInterval
 	}
 	return true
 }
 
-// Taken notes that the endpoint has not rejected a request that was sent at a time. One that was
-// sent before the pause ended says nothing of what it takes now.
+// RecordAccepted records that the endpoint did not reject a request sent at the given time. A
+// request sent before the end of the pause does not show that the endpoint accepts requests again.
 func (p *Pause) RecordAccepted(sent time.Duration) {
 	if sent >= p.until {
 		p.probing = false
--- a/ratelimit/pause_test.go
+++ b/ratelimit/pause_test.go
@@ -7,19 +7,20 @@
 	"github.com/matryer/is"
 )
 
-func TestAPauseEndsWithAProbe(t *testing.T) {
+// Guards against a pause that ends before the endpoint has accepted a probe.
+func TestPauseEndsWithAProbe(t *testing.T) {
 	is := is.New(t)
 	var p Pause
 	is.True(p.Take(time.Second))
 	is.True(p.Take(time.Second))
 	p.Extend(time.Second, 2*time.Second)
-	p.Extend(1100*time.Millisecond, time.Second) // the longer one counts
+	p.Extend(1100*time.Millisecond, time.Second) // the later end counts
 	is.Equal(p.BlockedUntil(2900*time.Millisecond), 3*time.Second)
 	is.True(!p.Take(2900 * time.Millisecond))
-	p.RecordAccepted(900 * time.Millisecond) // the answer to an earlier request
+	p.RecordAccepted(900 * time.Millisecond) // sent before the end of the pause
 	is.True(p.Active())
 	is.True(p.Take(3 * time.Second))
-	is.True(!p.Take(3 * time.Second)) // one at a time
+	is.True(!p.Take(3 * time.Second)) // one probe per interval
 	is.True(p.Take(3*time.Second + probeInterval))
 	p.RecordAccepted(3 * time.Second)
 	is.True(!p.Active())
@@ -27,8 +28,9 @@
 	is.True(p.Take(3*time.Second + probeInterval))
 }
 
-// Guards against requests beyond a pause in an entry's table, where limits are kept too.
-func TestATableKeepsPausesAndLimits(t *testing.T) {
+// Guards against an entry's table that allows requests during a pause, and against a pause and a
+// limit of the same endpoint ending each other.
+func TestTableEnforcesPausesAndLimits(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	admission := func(now time.Duration, id string) Admission {
@@ -55,6 +57,6 @@
 	is.True(table.MarkLeaving("e3"))
 	is.True(!table.MarkLeaving("e3"))
 	is.Equal(admission(time.Hour, "e3"), Blocked)
-	is.Equal(table.BlockedUntil(0, "e3"), time.Duration(0)) // never
+	is.Equal(table.BlockedUntil(0, "e3"), time.Duration(0)) // zero also for an endpoint that never accepts requests again
 	is.Equal(table.Restrictions(0), map[string]Restriction{"e3": {Leaving: true}})
 }
--- a/ratelimit/retryafter.go
+++ b/ratelimit/retryafter.go
@@ -8,20 +8,19 @@
 	"time"
 )
 
-// maxPushback bounds what an endpoint may ask for, against overflow.
-const maxPushback = time.Hour
+// maxPause bounds the pause that an endpoint can ask for, to avoid overflow.
+const maxPause = time.Hour
 
-// RetryAfter reads for how long the endpoint that gave an answer wants nothing more from its
-// sender: the Retry-After of a 503 (RFC 9110, section 10.2.3), in seconds, which may be a
-// fraction, or as a date, which counts from the answer's own Date. ok is false for any other
-// answer.
+// RetryAfter returns the pause that a response asks its sender for: the Retry-After of a 503 (RFC
+// 9110, section 10.2.3), in seconds, which may be fractional, or as a date, relative to the
+// response's own Date. ok is false for any other response.
 func RetryAfter(status int, header http.Header) (pause time.Duration, ok bool) {
 	text := strings.TrimSpace(header.Get("Retry-After"))
 	if status != http.StatusServiceUnavailable || text == "" {
 		return 0, false
 	}
 	if seconds, err := strconv.ParseFloat(text, 64); err == nil {
-		return bounded(seconds)
+		return clampPause(seconds)
 	}
 	until, err := http.ParseTime(text)
 	if err != nil {
@@ -31,12 +30,12 @@
 	if err != nil {
 		return 0, false
 	}
-	return bounded(until.Sub(sent).Seconds())
+	return clampPause(until.Sub(sent).Seconds())
 }
 
-func bounded(seconds float64) (pause time.Duration, ok bool) {
+func clampPause(seconds float64) (pause time.Duration, ok bool) {
 	if math.IsNaN(seconds) || seconds <= 0 {
 		return 0, false
 	}
-	return time.Duration(min(seconds, maxPushback.Seconds()) * float64(time.Second)), true
+	return time.Duration(min(seconds, maxPause.Seconds()) * float64(time.Second)), true
 }
--- a/ratelimit/turns_test.go
+++ b/ratelimit/retryschedule_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against refused callers who are all asked to come back at the same moment.
-func TestRefusedCallersGetTurns(t *testing.T) {
+// Guards against asking all refused callers to retry at the same time.
+func TestRefusedCallersGetSeparateTurns(t *testing.T) {
 	is := is.New(t)
 	var turns RetrySchedule
 	soonest, latest := time.Second, 3*time.Second
@@ -16,6 +16,6 @@
 		t.Log(i)
 		is.Equal(turns.Next(soonest, latest, 2), want*time.Millisecond)
 	}
-	// Turns that have passed are not given again.
+	// Turns in the past are not given.
 	is.Equal(turns.Next(10*time.Second, 12*time.Second, 2), 10*time.Second)
 }
--- a/ratelimit/table.go
+++ b/ratelimit/table.go
@@ -5,59 +5,60 @@
 	"time"
 )
 
-// Turns gives refused senders turns, one after the other, so that each comes back when a
-// request may be sent. The zero value is ready; it is not safe for concurrent use.
+// RetrySchedule gives refused senders successive turns, so that each retries when a request may be
+// sent. The zero value is ready for use. It is not safe for concurrent use.
 type RetrySchedule struct{ next time.Duration }
 
-// Next returns the next turn, not before soonest and not after latest, where requests may be
-// sent at a rate.
+// Next returns the next turn, not before soonest and not after latest. Turns are spaced for the
+// given rate, in requests per second.
 func (t *RetrySchedule) Next(soonest, latest time.Duration, rate float64) time.Duration {
 	turn := min(max(t.next, soonest), latest)
-	t.next = turn + time.Duration(float64(time.Second)/max(rate, leastRate))
+	t.next = turn + time.Duration(float64(time.Second)/max(rate, minRate))
 	return turn
 }
 
-// Table holds the limits that endpoints name, as one entry knows them, by the endpoints' ids.
-// It is safe for concurrent use; its lock is a leaf.
+// Table holds, by endpoint id, the limits and pauses of endpoints that one entry knows. It is safe
+// for concurrent use. No other lock is acquired while its lock is held.
 type Table struct {
 	mu        sync.Mutex
 	endpoints map[string]*record
 }
 
-// record is what is known of one endpoint that names a limit or has asked for a pause, or did.
+// record is the state of one endpoint.
 type record struct {
 	limit Limit
-	// pause is what the endpoint has asked for.
+	// pause is the pause that the endpoint has asked for.
 	pause Pause
-	// leaving is set once the endpoint has said that it is about to stop.
+	// leaving is set once the endpoint has announced that it is about to stop.
 	leaving bool
-	// meanwhile counts the requests that were sent in the pause, meanwhileAgain those of them
-	// that were further attempts.
-	meanwhile, meanwhileAgain int
-	// sent and again count the requests that were sent since the limit was named, and those
-	// of them that were further attempts.
-	sent, again int
-	// opens is the time before which nothing may be sent for other reasons; asking counts the
-	// questions for a permit that are under way.
-	opens  time.Duration
-	asking int
+	// sentInPause counts the requests that were sent during the pause, retriesInPause the retries
+	// among them.
+	sentInPause, retriesInPause int
+	// sent counts the requests that were sent under the current limit, retries the retries among
+	// them.
+	sent, retries int
+	// notBefore is the time before which nothing may be sent for reasons other than the pause;
+	// pendingPermits counts the permit requests in flight.
+	notBefore      time.Duration
+	pendingPermits int
 }
 
-// maxAsking bounds the questions for permits of one endpoint that are under way at once.
-const maxAsking = 4
+// maxPendingPermits bounds the permit requests in flight for one endpoint.
+const maxPendingPermits = 4
 
-// Change is a change of what an endpoint names.
+// LimitChange is a change of the limit that an endpoint advertises.
 type LimitChange struct {
 	From, To Limit
-	// Sent and Again count what this entry has sent under the former limit: all requests, and
-	// those of them that were further attempts.
+	// Sent counts the requests that this entry has sent under the previous limit, Retries the
+	// retries among them.
 	Sent, Retries int
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{endpoints: map[string]*record{}} }
 
-// Note takes in what an endpoint names. changed is false if it is known already, or overtaken.
+// Update updates the limit that an endpoint advertises. changed is false if the limit is already
+// known or superseded.
 func (t *Table) Update(id string, limit Limit) (change LimitChange, changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -66,7 +67,7 @@
 		if !limit.Limited() {
 			return LimitChange{}, false
 		}
-		t.record(id).limit = limit
+		t.getOrCreate(id).limit = limit
 		return LimitChange{From: Limit{Rate: Unlimited}, To: limit}, true
 	}
 	if !limit.Supersedes(r.limit) {
@@ -75,13 +76,13 @@
 		}
 		return LimitChange{}, false
 	}
-	change = LimitChange{From: r.limit, To: limit, Sent: r.sent, Retries: r.again}
-	r.limit, r.sent, r.again, r.opens, r.asking = limit, 0, 0, 0, 0
+	change = LimitChange{From: r.limit, To: limit, Sent: r.sent, Retries: r.retries}
+	r.limit, r.sent, r.retries, r.notBefore, r.pendingPermits = limit, 0, 0, 0, 0
 	return change, true
 }
 
-// record returns the record of an endpoint, made at its first use; the lock is held.
-func (t *Table) record(id string) *record {
+// getOrCreate returns the record of an endpoint and creates it on first use. The lock is held.
+func (t *Table) getOrCreate(id string) *record {
 	r := t.endpoints[id]
 	if r == nil {
 		r = &record{limit: Limit{Rate: Unlimited}}
@@ -90,31 +91,31 @@
 	return r
 }
 
-// Pushback is a pause that an endpoint has asked for, with what this entry has sent in the
-// former one.
+// PreviousPause describes the previous pause of an endpoint that asks for a new one.
 type PreviousPause struct {
-	// Former is true if the endpoint had asked for a pause before.
+	// Exists is true if the endpoint had asked for a pause before.
 	Exists bool
-	// Sent and Again count the requests in the former pause: all, and the further attempts.
+	// Sent counts the requests that this entry has sent during the previous pause, Retries the
+	// retries among them.
 	Sent, Retries int
 }
 
-// PushedBack notes that an endpoint wants nothing for a pause. begun is false if that only
-// prolongs a pause.
-func (t *Table) RecordPushback(now time.Duration, id string, pause time.Duration) (former PreviousPause, begun bool) {
+// RecordPushback records that an endpoint has asked for a pause. started is false if this only
+// extends a pause.
+func (t *Table) RecordPushback(now time.Duration, id string, pause time.Duration) (previous PreviousPause, started bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.record(id)
-	begun = now >= r.pause.until
-	if begun {
-		former = PreviousPause{Exists: r.pause.until > 0, Sent: r.meanwhile, Retries: r.meanwhileAgain}
-		r.meanwhile, r.meanwhileAgain = 0, 0
+	r := t.getOrCreate(id)
+	started = now >= r.pause.until
+	if started {
+		previous = PreviousPause{Exists: r.pause.until > 0, Sent: r.sentInPause, Retries: r.retriesInPause}
+		r.sentInPause, r.retriesInPause = 0, 0
 	}
 	r.pause.Extend(now, pause)
-	return former, begun
+	return previous, started
 }
 
-// Taken notes that an endpoint has not rejected a request that was sent at a time.
+// RecordAccepted records that an endpoint did not reject a request sent at the given time.
 func (t *Table) RecordAccepted(id string, sent time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -123,37 +124,39 @@
 	}
 }
 
-// Leaving notes that an endpoint is about to stop. It reports whether that is news.
+// MarkLeaving records that an endpoint is about to stop. It reports whether this was not known
+// before.
 func (t *Table) MarkLeaving(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.record(id)
-	news := !r.leaving
+	r := t.getOrCreate(id)
+	changed := !r.leaving
 	r.leaving = true
-	return news
+	return changed
 }
 
-// Shut notes that nothing may be sent to an endpoint before opens.
-func (t *Table) BlockUntil(id string, opens time.Duration) {
+// BlockUntil blocks requests to an endpoint until the given time.
+func (t *Table) BlockUntil(id string, until time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.record(id)
-	r.opens = max(r.opens, opens)
+	r := t.getOrCreate(id)
+	r.notBefore = max(r.notBefore, until)
 }
 
-// Admission says whether a request may be sent to an endpoint.
+// Admission is the decision whether a request may be sent to an endpoint.
 type Admission int
 
 const (
-	// Open: it may be sent.
+	// Allowed: the request may be sent.
 	Allowed Admission = iota
-	// Shut: nothing may be sent now.
+	// Blocked: no request may be sent now.
 	Blocked
-	// Ask: it may be sent with a permit, since the endpoint names a limit.
+	// PermitRequired: the request needs a permit, since the endpoint advertises a limit.
 	PermitRequired
 )
 
-// Begin decides whether a request may be sent to an endpoint. After Ask, End has to follow.
+// Admit decides whether a request may be sent to an endpoint. After PermitRequired, FinishPermit
+// must follow.
 func (t *Table) Admit(now time.Duration, id string) (Limit, Admission) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,79 +164,80 @@
 	switch {
 	case r == nil:
 		return Limit{Rate: Unlimited}, Allowed
-	case r.leaving, r.opensAt(now) > 0:
+	case r.leaving, r.blockedUntil(now) > 0:
 		return r.limit, Blocked
-	case r.limit.Limited() && r.asking >= maxAsking:
+	case r.limit.Limited() && r.pendingPermits >= maxPendingPermits:
 		return r.limit, Blocked
 	}
 	r.pause.Take(now)
 	if !r.limit.Limited() {
 		return r.limit, Allowed
 	}
-	r.asking++
+	r.pendingPermits++
 	return r.limit, PermitRequired
 }
 
-// opensAt returns when a request may be sent, zero if one may be now.
-func (r *record) opensAt(now time.Duration) time.Duration {
-	opens := max(r.opens, r.pause.BlockedUntil(now))
-	if opens <= now {
+// blockedUntil returns the time from which a request may be sent, zero if one may be sent now.
+func (r *record) blockedUntil(now time.Duration) time.Duration {
+	until := max(r.notBefore, r.pause.BlockedUntil(now))
+	if until <= now {
 		return 0
 	}
-	return opens
+	return until
 }
 
-// End ends what Begin has begun: nothing is to be sent before opens.
-func (t *Table) FinishPermit(id string, opens time.Duration) {
+// FinishPermit ends a permit request that followed from Admit, and blocks requests before
+// notBefore.
+func (t *Table) FinishPermit(id string, notBefore time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.endpoints[id]; r != nil {
-		r.asking = max(r.asking-1, 0)
-		r.opens = max(r.opens, opens)
+		r.pendingPermits = max(r.pendingPermits-1, 0)
+		r.notBefore = max(r.notBefore, notBefore)
 	}
 }
 
-// Closed returns the endpoints to which nothing may be sent now, in no order.
+// Blocked returns the endpoints to which nothing may be sent now, in no particular order.
 func (t *Table) Blocked(now time.Duration) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var closed []string
+	var blocked []string
 	for id, r := range t.endpoints {
-		if r.leaving || r.opensAt(now) > 0 {
-			closed = append(closed, id)
+		if r.leaving || r.blockedUntil(now) > 0 {
+			blocked = append(blocked, id)
 		}
 	}
-	return closed
+	return blocked
 }
 
-// Reserve says why an endpoint does not take requests as usual.
+// Restriction says why an endpoint does not accept requests as usual.
 type Restriction struct {
-	// Leaving is true for one that is about to stop and gets nothing any more.
+	// Leaving is true if the endpoint is about to stop and gets no more requests.
 	Leaving bool
-	// Opens is when one that has asked for a pause, and has taken no request since, may be sent
-	// one; zero for now.
+	// BlockedUntil is the time from which an endpoint that has asked for a pause, and has accepted
+	// no request since, may be sent one; zero if it may be sent one now.
 	BlockedUntil time.Duration
 }
 
-// Reserves returns the endpoints that do not take requests as usual, but for those that only name
-// a limit.
+// Restrictions returns the endpoints that are leaving, or have asked for a pause and accepted no
+// request since. Endpoints that only advertise a limit are not included.
 func (t *Table) Restrictions(now time.Duration) map[string]Restriction {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var reserves map[string]Restriction
+	var restrictions map[string]Restriction
 	for id, r := range t.endpoints {
 		if !r.leaving && !r.pause.Active() {
 			continue
 		}
-		if reserves == nil {
-			reserves = map[string]Restriction{}
+		if restrictions == nil {
+			restrictions = map[string]Restriction{}
 		}
-		reserves[id] = Restriction{Leaving: r.leaving, BlockedUntil: r.opensAt(now)}
+		restrictions[id] = Restriction{Leaving: r.leaving, BlockedUntil: r.blockedUntil(now)}
 	}
-	return reserves
+	return restrictions
 }
 
-// InPause reports whether an endpoint has asked for a pause that has not ended.
+// InPause reports whether an endpoint is in a pause that it has asked for.
 func (t *Table) InPause(now time.Duration, id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -241,17 +245,18 @@
 	return r != nil && now < r.pause.until
 }
 
-// Opens returns when something may be sent to an endpoint, zero if it may now or never.
+// BlockedUntil returns the time from which a request may be sent to an endpoint, zero if one may be
+// sent now, or never again since the endpoint is leaving.
 func (t *Table) BlockedUntil(now time.Duration, id string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.endpoints[id]; r != nil && !r.leaving {
-		return r.opensAt(now)
+		return r.blockedUntil(now)
 	}
 	return 0
 }
 
-// Limit returns what an endpoint names; limited is false if it names no limit.
+// Limit returns the limit that an endpoint advertises; limited is false if it advertises none.
 func (t *Table) Limit(id string) (limit Limit, limited bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -262,22 +267,22 @@
 	return r.limit, r.limit.Limited()
 }
 
-// All returns the endpoints that name a limit, in no order.
+// LimitedEndpoints returns the endpoints that advertise a limit, in no particular order.
 func (t *Table) LimitedEndpoints() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var all []string
+	var limited []string
 	for id, r := range t.endpoints {
 		if r.limit.Limited() {
-			all = append(all, id)
+			limited = append(limited, id)
 		}
 	}
-	return all
+	return limited
 }
 
-// Sent notes that a request is sent to an endpoint. It reports whether that names a limit, and
-// whether it has asked for a pause that has not ended.
-func (t *Table) RecordSent(now time.Duration, id string, again bool) (limited, paused bool) {
+// RecordSent records that a request is sent to an endpoint. It reports whether the endpoint
+// advertises a limit, and whether it is in a pause.
+func (t *Table) RecordSent(now time.Duration, id string, retry bool) (limited, paused bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.endpoints[id]
@@ -286,27 +291,27 @@
 	}
 	limited, paused = r.limit.Limited(), now < r.pause.until
 	if limited {
-		count(&r.sent, &r.again, again)
+		countAttempt(&r.sent, &r.retries, retry)
 	}
 	if paused {
-		count(&r.meanwhile, &r.meanwhileAgain, again)
+		countAttempt(&r.sentInPause, &r.retriesInPause, retry)
 	}
 	return limited, paused
 }
 
-func count(all, further *int, again bool) {
-	*all++
-	if again {
-		*further++
+func countAttempt(total, retries *int, retry bool) {
+	*total++
+	if retry {
+		*retries++
 	}
 }
 
-// Forget drops what is known of an endpoint that has left or started anew.
+// Forget deletes the state of an endpoint that has been removed or restarted.
 func (t *Table) Forget(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.endpoints, id)
 }
 
-// Limited returns the number of endpoints that name a limit.
+// LimitedCount returns the number of endpoints that advertise a limit.
 func (t *Table) LimitedCount() int { return len(t.LimitedEndpoints()) }
--- a/ratelimit/world_test.go
+++ b/ratelimit/world_test.go
@@ -11,69 +11,71 @@
 	"github.com/matryer/is"
 )
 
-// design says how the entries of a world keep a limit together.
-type design int
+// strategy is the way in which the entries of a simulation enforce a limit together.
+type strategy int
 
 const (
-	// alone: each entry keeps the whole limit for itself.
-	alone design = iota
-	// shares: each keeps an equal part of it.
+	// alone: each entry enforces the whole limit on its own.
+	alone strategy = iota
+	// shares: each entry enforces an equal share of the limit.
 	shares
-	// permits: each asks a host before it sends.
+	// permits: each entry asks a host for a permit before it sends a request.
 	permits
 )
 
 const (
-	// oneWay is the time of a message, runTime that between a request's arrival and the head
-	// of its answer.
-	oneWay, runTime = 2 * time.Millisecond, 60 * time.Millisecond
-	// askTimeout is how long a host is waited for, awayTime how long one that did not answer
-	// is left out, reportTime the longest time between two reports.
-	askTimeout, awayTime, reportTime = 50 * time.Millisecond, time.Second, 200 * time.Millisecond
-	// toldTime is how long an entry must have known the limit for its requests to count, and
+	// messageDelay is the delay of a message, serviceTime the time between the arrival of a request
+	// and the head of its response.
+	messageDelay, serviceTime = 2 * time.Millisecond, 60 * time.Millisecond
+	// permitTimeout is the timeout of a permit request, hostBackoff the time for which a host that
+	// did not respond is skipped, maxReportInterval the longest time between two reports.
+	permitTimeout, hostBackoff, maxReportInterval = 50 * time.Millisecond, time.Second, 200 * time.Millisecond
+	// propagationTime is how long an entry must have known the limit for its requests to count, and
 	// window the time in which they are counted.
-	toldTime, window = 500 * time.Millisecond, 4 * time.Second
-	// namedTime is how long after the first naming the count begins.
-	namedTime = 3 * time.Second
+	propagationTime, window = 500 * time.Millisecond, 4 * time.Second
+	// settlingTime is the time after the first advertised limit before counting starts.
+	settlingTime = 3 * time.Second
 )
 
-// world plays entries before one endpoint in virtual time.
-type world struct {
-	rng     *rand.Rand
-	design  design
-	now     time.Duration
-	queue   []event
-	entries []*worldEntry
-	hosts   []*worldHost
-	// rate is what the endpoint names now, run names the run of its process.
+// simulation simulates entries and one endpoint behind them in virtual time.
+type simulation struct {
+	rng      *rand.Rand
+	strategy strategy
+	now      time.Duration
+	queue    []event
+	entries  []*simulatedEntry
+	hosts    []*simulatedHost
+	// rate is the limit that the endpoint advertises now, run numbers the run of its process.
 	rate float64
 	run  int
-	// named is when it first named a limit, limits all that it has named since.
-	named   time.Duration
-	limits  []worldLimit
-	arrived []time.Duration
-	counted []time.Duration
+	// limitedSince is when the present run first advertised a limit, limits holds all limits that
+	// the endpoint has advertised.
+	limitedSince    time.Duration
+	limits          []advertisedLimit
+	arrivals        []time.Duration
+	countedArrivals []time.Duration
 }
 
-type worldLimit struct {
+type advertisedLimit struct {
 	from time.Duration
 	rate float64
 }
 
-type worldEntry struct {
+type simulatedEntry struct {
 	table  *Table
 	bucket Bucket
-	// told is when the entry learnt the limit of the present run, negative before.
-	told   time.Duration
-	wishes float64
-	down   bool
-	// cut says which hosts it does not reach, away until when one is left out.
-	cut  []bool
-	away []time.Duration
-	read []uint64
+	// limitLearntAt is when the entry learnt of a limit of the present run, negative before.
+	limitLearntAt time.Duration
+	demand        float64
+	down          bool
+	// unreachable marks the hosts that the entry cannot reach, skippedUntil is the time until which
+	// each host is skipped, positions are the positions read to in the hosts' limits.
+	unreachable  []bool
+	skippedUntil []time.Duration
+	positions    []uint64
 }
 
-type worldHost struct {
+type simulatedHost struct {
 	arbiter *Arbiter
 	frozen  bool
 }
@@ -83,217 +85,219 @@
 	do func()
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	e := event{w.now + d, do}
-	i, _ := slices.BinarySearchFunc(w.queue, e, func(a, b event) int {
+// schedule schedules do to run after d.
+func (s *simulation) schedule(d time.Duration, do func()) {
+	e := event{s.now + d, do}
+	i, _ := slices.BinarySearchFunc(s.queue, e, func(a, b event) int {
 		if a.at <= b.at {
 			return -1
 		}
 		return 1
 	})
-	w.queue = slices.Insert(w.queue, i, e)
+	s.queue = slices.Insert(s.queue, i, e)
 }
 
-// newWorld has entries that wish to send so many requests a second to the endpoint together,
-// the first ones more than the others.
-func newWorld(seed uint64, d design, entries int, wishes, skew float64) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 2)), design: d, rate: Unlimited}
+// newSimulation returns a simulation whose entries together have demand requests per second for the
+// endpoint, the first entries more than the others, by a power law with exponent skew.
+func newSimulation(seed uint64, st strategy, entries int, demand, skew float64) *simulation {
+	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 2)), strategy: st, rate: Unlimited}
 	weights, sum := make([]float64, entries), 0.0
 	for i := range weights {
 		weights[i] = math.Pow(float64(i+1), -skew)
 		sum += weights[i]
 	}
 	for range 3 {
-		w.hosts = append(w.hosts, &worldHost{arbiter: NewArbiter()})
+		sim.hosts = append(sim.hosts, &simulatedHost{arbiter: NewArbiter()})
 	}
 	for i := range entries {
-		e := &worldEntry{wishes: wishes * weights[i] / sum}
-		w.entries = append(w.entries, e)
-		w.start(e)
-		w.wish(e)
-		for h := range w.hosts {
-			w.report(e, h)
+		e := &simulatedEntry{demand: demand * weights[i] / sum}
+		sim.entries = append(sim.entries, e)
+		sim.startEntry(e)
+		sim.generateRequests(e)
+		for h := range sim.hosts {
+			sim.sendReports(e, h)
 		}
 	}
-	return w
+	return sim
 }
 
-// start gives an entry an empty memory.
-func (w *world) start(e *worldEntry) {
-	e.table, e.bucket, e.told, e.down = NewTable(), Bucket{}, -1, false
-	e.cut, e.away, e.read = make([]bool, len(w.hosts)), make([]time.Duration, len(w.hosts)), make([]uint64, len(w.hosts))
+// startEntry starts an entry without state.
+func (s *simulation) startEntry(e *simulatedEntry) {
+	e.table, e.bucket, e.limitLearntAt, e.down = NewTable(), Bucket{}, -1, false
+	e.unreachable, e.skippedUntil, e.positions = make([]bool, len(s.hosts)), make([]time.Duration, len(s.hosts)), make([]uint64, len(s.hosts))
 }
 
-// wish has an entry wish to send a request, again and again.
-func (w *world) wish(e *worldEntry) {
-	w.after(time.Duration(w.rng.ExpFloat64()/e.wishes*float64(time.Second)), func() {
+// generateRequests keeps generating the requests of an entry.
+func (s *simulation) generateRequests(e *simulatedEntry) {
+	s.schedule(time.Duration(s.rng.ExpFloat64()/e.demand*float64(time.Second)), func() {
 		if !e.down {
-			w.send(e)
+			s.send(e)
 		}
-		w.wish(e)
+		s.generateRequests(e)
 	})
 }
 
-// report has a host report to an entry, again and again.
-func (w *world) report(e *worldEntry, h int) {
-	w.after(reportTime/2+time.Duration(w.rng.Float64()*float64(reportTime/2)), func() {
-		if host := w.hosts[h]; !host.frozen && !e.cut[h] && !e.down {
-			var found []EndpointLimit
-			found, e.read[h] = host.arbiter.Since(e.read[h])
-			for _, n := range found {
-				if n.Endpoint == w.name() {
-					w.learn(e, n.Limit)
+// sendReports keeps sending the reports of a host to an entry.
+func (s *simulation) sendReports(e *simulatedEntry, h int) {
+	s.schedule(maxReportInterval/2+time.Duration(s.rng.Float64()*float64(maxReportInterval/2)), func() {
+		if host := s.hosts[h]; !host.frozen && !e.unreachable[h] && !e.down {
+			var limits []EndpointLimit
+			limits, e.positions[h] = host.arbiter.Since(e.positions[h])
+			for _, l := range limits {
+				if l.Endpoint == s.runName() {
+					s.learn(e, l.Limit)
 				}
 			}
 		}
-		w.report(e, h)
+		s.sendReports(e, h)
 	})
 }
 
-func (w *world) name() string { return fmt.Sprint("e/", w.run) }
+func (s *simulation) runName() string { return fmt.Sprint("e/", s.run) }
 
-// learn has an entry take a limit in, and pass it on if it is news.
-func (w *world) learn(e *worldEntry, limit Limit) {
-	if _, changed := e.table.Update(w.name(), limit); !changed {
+// learn updates the limit at an entry, and forwards it to a host if it has changed.
+func (s *simulation) learn(e *simulatedEntry, limit Limit) {
+	if _, changed := e.table.Update(s.runName(), limit); !changed {
 		return
 	}
-	if e.told < 0 && limit.Limited() {
-		e.told = w.now
+	if e.limitLearntAt < 0 && limit.Limited() {
+		e.limitLearntAt = s.now
 	}
-	part := map[design]float64{alone: 1, shares: 1 / float64(len(w.entries)), permits: 1}[w.design]
-	e.bucket.SetRate(w.now, limit.Rate*part)
-	if w.design != permits {
+	share := map[strategy]float64{alone: 1, shares: 1 / float64(len(s.entries)), permits: 1}[s.strategy]
+	e.bucket.SetRate(s.now, limit.Rate*share)
+	if s.strategy != permits {
 		return
 	}
-	for h := range w.hosts {
-		if !e.cut[h] && !w.hosts[h].frozen {
-			w.after(oneWay, func() { w.hosts[h].arbiter.Learn(w.now, EndpointLimit{w.name(), limit}) })
+	for h := range s.hosts {
+		if !e.unreachable[h] && !s.hosts[h].frozen {
+			s.schedule(messageDelay, func() { s.hosts[h].arbiter.Learn(s.now, EndpointLimit{s.runName(), limit}) })
 			return
 		}
 	}
 }
 
-// send sends a request if the entry's design lets it.
-func (w *world) send(e *worldEntry) {
-	limit, admission := e.table.Admit(w.now, w.name())
+// send sends a request if the entry's strategy allows it.
+func (s *simulation) send(e *simulatedEntry) {
+	limit, admission := e.table.Admit(s.now, s.runName())
 	switch {
 	case admission == Allowed:
-		w.dispatch(e)
+		s.dispatch(e)
 	case admission == Blocked:
-	case w.design == permits:
-		w.ask(e, limit, 0)
+	case s.strategy == permits:
+		s.requestPermit(e, limit, 0)
 	default:
-		granted, wait := e.bucket.Take(w.now)
-		e.table.FinishPermit(w.name(), w.now+wait)
+		granted, wait := e.bucket.Take(s.now)
+		e.table.FinishPermit(s.runName(), s.now+wait)
 		if granted {
-			w.dispatch(e)
+			s.dispatch(e)
 		}
 	}
 }
 
-// ask asks the hosts in turn.
-func (w *world) ask(e *worldEntry, limit Limit, h int) {
-	for h < len(w.hosts) && e.away[h] > w.now {
+// requestPermit requests a permit from the hosts in turn, starting with host h.
+func (s *simulation) requestPermit(e *simulatedEntry, limit Limit, h int) {
+	for h < len(s.hosts) && e.skippedUntil[h] > s.now {
 		h++
 	}
-	if h == len(w.hosts) {
-		e.table.FinishPermit(w.name(), w.now+awayTime/2)
+	if h == len(s.hosts) {
+		e.table.FinishPermit(s.runName(), s.now+hostBackoff/2)
 		return
 	}
-	run, table := w.name(), e.table
-	if e.cut[h] || w.hosts[h].frozen {
-		w.after(askTimeout, func() {
-			e.away[h] = w.now + awayTime
-			w.ask(e, limit, h+1)
+	run, table := s.runName(), e.table
+	if e.unreachable[h] || s.hosts[h].frozen {
+		s.schedule(permitTimeout, func() {
+			e.skippedUntil[h] = s.now + hostBackoff
+			s.requestPermit(e, limit, h+1)
 		})
 		return
 	}
-	w.after(oneWay, func() {
-		p := w.hosts[h].arbiter.Acquire(w.now, EndpointLimit{run, limit}, h)
-		w.after(oneWay, func() {
-			if e.table != table || run != w.name() || e.down {
+	s.schedule(messageDelay, func() {
+		p := s.hosts[h].arbiter.Acquire(s.now, EndpointLimit{run, limit}, h)
+		s.schedule(messageDelay, func() {
+			if e.table != table || run != s.runName() || e.down {
 				return
 			}
-			w.learn(e, p.Limit)
-			e.table.FinishPermit(run, w.now+p.Wait)
+			s.learn(e, p.Limit)
+			e.table.FinishPermit(run, s.now+p.Wait)
 			if p.Granted {
-				w.dispatch(e)
+				s.dispatch(e)
 			}
 		})
 	})
 }
 
-// dispatch sends a request and brings its answer back.
-func (w *world) dispatch(e *worldEntry) {
-	sent, run, table := w.now, w.name(), e.table
-	w.after(oneWay, func() {
-		w.arrived = append(w.arrived, w.now)
-		if e.told >= 0 && w.now-e.told >= toldTime {
-			w.counted = append(w.counted, w.now)
+// dispatch delivers a request to the endpoint and its response to the entry.
+func (s *simulation) dispatch(e *simulatedEntry) {
+	sent, run, table := s.now, s.runName(), e.table
+	s.schedule(messageDelay, func() {
+		s.arrivals = append(s.arrivals, s.now)
+		if e.limitLearntAt >= 0 && s.now-e.limitLearntAt >= propagationTime {
+			s.countedArrivals = append(s.countedArrivals, s.now)
 		}
-		w.after(runTime, func() {
-			rate := w.rate
-			w.after(oneWay, func() {
-				if run == w.name() && e.table == table && !e.down {
-					w.learn(e, Limit{Rate: rate, SentAt: sent, ReceivedAt: w.now})
+		s.schedule(serviceTime, func() {
+			rate := s.rate
+			s.schedule(messageDelay, func() {
+				if run == s.runName() && e.table == table && !e.down {
+					s.learn(e, Limit{Rate: rate, SentAt: sent, ReceivedAt: s.now})
 				}
 			})
 		})
 	})
 }
 
-// set has the endpoint name another limit.
-func (w *world) set(rate float64) {
-	w.rate = rate
-	w.limits = append(w.limits, worldLimit{w.now, rate})
-	if w.named == 0 && !math.IsInf(rate, 1) {
-		w.named = w.now
+// setLimit changes the limit that the endpoint advertises.
+func (s *simulation) setLimit(rate float64) {
+	s.rate = rate
+	s.limits = append(s.limits, advertisedLimit{s.now, rate})
+	if s.limitedSince == 0 && !math.IsInf(rate, 1) {
+		s.limitedSince = s.now
 	}
 }
 
-// play plays until a time.
-func (w *world) play(until time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		e := w.queue[0]
-		w.queue = w.queue[1:]
-		w.now = e.at
+// runUntil advances the simulation to the given time.
+func (s *simulation) runUntil(until time.Duration) {
+	for len(s.queue) > 0 && s.queue[0].at <= until {
+		e := s.queue[0]
+		s.queue = s.queue[1:]
+		s.now = e.at
 		e.do()
 	}
-	w.now = until
+	s.now = until
 }
 
-// worst returns by how much the count of any window goes beyond what is allowed: one and a half
-// times the greatest limit in force during it or the time that news takes before it, and five.
-func (w *world) worst() float64 {
-	worst := math.Inf(-1)
+// worstExcess returns the greatest excess of the number of requests in a window over the allowed
+// number: five more than one and a half times the highest limit in force during the window or the
+// propagationTime before it.
+func (s *simulation) worstExcess() float64 {
+	excess := math.Inf(-1)
 	begin := 0
-	for i, at := range w.counted {
-		for at-w.counted[begin] >= window {
+	for i, at := range s.countedArrivals {
+		for at-s.countedArrivals[begin] >= window {
 			begin++
 		}
-		if w.named == 0 || at-window < w.named+namedTime {
+		if s.limitedSince == 0 || at-window < s.limitedSince+settlingTime {
 			continue
 		}
-		worst = max(worst, float64(i-begin+1)-(1.5*w.most(at-window-toldTime, at)*window.Seconds()+5))
+		excess = max(excess, float64(i-begin+1)-(1.5*s.maxLimit(at-window-propagationTime, at)*window.Seconds()+5))
 	}
-	return worst
+	return excess
 }
 
-// most is the greatest limit in force between two times.
-func (w *world) most(from, to time.Duration) float64 {
-	most := 0.0
-	for i, l := range w.limits {
-		if l.from < to && (i+1 == len(w.limits) || w.limits[i+1].from > from) {
-			most = max(most, l.rate)
+// maxLimit returns the highest limit in force between two times.
+func (s *simulation) maxLimit(from, to time.Duration) float64 {
+	limit := 0.0
+	for i, l := range s.limits {
+		if l.from < to && (i+1 == len(s.limits) || s.limits[i+1].from > from) {
+			limit = max(limit, l.rate)
 		}
 	}
-	return most
+	return limit
 }
 
-// used is the part of a limit that has been used between two times.
-func (w *world) used(rate float64, from, to time.Duration) float64 {
+// utilization returns the share of a limit that was used between two times.
+func (s *simulation) utilization(rate float64, from, to time.Duration) float64 {
 	count := 0
-	for _, at := range w.arrived {
+	for _, at := range s.arrivals {
 		if at >= from && at < to {
 			count++
 		}
@@ -301,92 +305,92 @@
 	return float64(count) / (rate * (to - from).Seconds())
 }
 
-// scenario is what befalls a world.
+// scenario is a sequence of faults and limit changes in a simulation.
 type scenario struct {
-	name string
-	run  func(w *world)
+	name  string
+	apply func(sim *simulation)
 }
 
 var scenarios = []scenario{
-	{"calm", func(w *world) { w.after(5*time.Second, func() { w.set(limitOf(w)) }) }},
-	{"changing", func(w *world) {
+	{"calm", func(sim *simulation) { sim.schedule(5*time.Second, func() { sim.setLimit(configuredLimit(sim)) }) }},
+	{"changing", func(sim *simulation) {
 		for i, rate := range []float64{1, 0.4, 4, Unlimited, 2, 0, 1} {
-			w.after(time.Duration(5+10*i)*time.Second, func() { w.set(rate) })
+			sim.schedule(time.Duration(5+10*i)*time.Second, func() { sim.setLimit(rate) })
 		}
 	}},
-	{"hosts frozen, entries cut from them", func(w *world) {
-		w.after(5*time.Second, func() { w.set(limitOf(w)) })
-		w.after(15*time.Second, func() { w.hosts[0].frozen = true })
-		w.after(20*time.Second, func() { w.hosts[1].frozen = true })
-		w.after(25*time.Second, func() { w.hosts[0].frozen, w.hosts[1].frozen = false, false })
-		w.after(35*time.Second, func() {
-			for i, e := range w.entries {
-				e.cut[0], e.cut[1] = i%3 > 0, i%3 > 1
+	{"frozen hosts, entries partitioned from hosts", func(sim *simulation) {
+		sim.schedule(5*time.Second, func() { sim.setLimit(configuredLimit(sim)) })
+		sim.schedule(15*time.Second, func() { sim.hosts[0].frozen = true })
+		sim.schedule(20*time.Second, func() { sim.hosts[1].frozen = true })
+		sim.schedule(25*time.Second, func() { sim.hosts[0].frozen, sim.hosts[1].frozen = false, false })
+		sim.schedule(35*time.Second, func() {
+			for i, e := range sim.entries {
+				e.unreachable[0], e.unreachable[1] = i%3 > 0, i%3 > 1
 			}
 		})
-		w.after(55*time.Second, func() {
-			for _, e := range w.entries {
-				e.cut[0], e.cut[1] = false, false
+		sim.schedule(55*time.Second, func() {
+			for _, e := range sim.entries {
+				e.unreachable[0], e.unreachable[1] = false, false
 			}
 		})
 	}},
-	{"hosts and entries that start anew", func(w *world) {
-		w.after(5*time.Second, func() { w.set(limitOf(w)) })
+	{"restarting hosts and entries", func(sim *simulation) {
+		sim.schedule(5*time.Second, func() { sim.setLimit(configuredLimit(sim)) })
 		for i := range 12 {
-			w.after(time.Duration(12+5*i)*time.Second, func() {
-				e := w.entries[i%len(w.entries)]
+			sim.schedule(time.Duration(12+5*i)*time.Second, func() {
+				e := sim.entries[i%len(sim.entries)]
 				e.down = true
-				w.after(2*time.Second, func() { w.start(e) })
-				w.hosts[i%3].arbiter = NewArbiter()
-				for _, other := range w.entries {
-					other.read[i%3] = 0
+				sim.schedule(2*time.Second, func() { sim.startEntry(e) })
+				sim.hosts[i%3].arbiter = NewArbiter()
+				for _, other := range sim.entries {
+					other.positions[i%3] = 0
 				}
 			})
 		}
 	}},
-	{"a reborn endpoint", func(w *world) {
-		w.after(5*time.Second, func() { w.set(limitOf(w)) })
+	{"restarting endpoint", func(sim *simulation) {
+		sim.schedule(5*time.Second, func() { sim.setLimit(configuredLimit(sim)) })
 		for i := range 3 {
-			w.after(time.Duration(20+20*i)*time.Second, func() {
-				w.run++
-				w.named, w.rate = 0, Unlimited
-				for _, e := range w.entries {
-					e.told = -1
+			sim.schedule(time.Duration(20+20*i)*time.Second, func() {
+				sim.run++
+				sim.limitedSince, sim.rate = 0, Unlimited
+				for _, e := range sim.entries {
+					e.limitLearntAt = -1
 				}
-				w.after(4*time.Second, func() { w.set(limitOf(w)) })
+				sim.schedule(4*time.Second, func() { sim.setLimit(configuredLimit(sim)) })
 			})
 		}
 	}},
 }
 
-// limitOf is the limit that a world's endpoint names.
-func limitOf(w *world) float64 { return w.limits[0].rate }
+// configuredLimit returns the limit that the test case sets for the endpoint.
+func configuredLimit(sim *simulation) float64 { return sim.limits[0].rate }
 
-// Guards against a sum over all entries that goes beyond a named limit, in deployments of all
-// sizes and under faults, and against a limit that is kept by hardly using it.
+// Guards against entries that together exceed an advertised limit, in deployments of all sizes and
+// under faults, and against enforcing a limit by leaving most of it unused.
 func TestTheSumOverAllEntriesKeepsTheLimit(t *testing.T) {
 	for _, c := range []struct {
 		entries int
 		rate    float64
 	}{{3, 1}, {5, 0.2}, {5, 1.1}, {13, 1}, {36, 5}, {41, 0.5}, {41, 1}, {41, 30}} {
-		for _, s := range scenarios {
-			t.Run(fmt.Sprintf("%d entries, limit %v, %s", c.entries, c.rate, s.name), func(t *testing.T) {
+		for _, scene := range scenarios {
+			t.Run(fmt.Sprintf("%d entries, limit %v, %s", c.entries, c.rate, scene.name), func(t *testing.T) {
 				is := is.New(t)
-				for _, d := range []design{alone, shares, permits} {
-					worst, used := math.Inf(-1), 0.0
+				for _, st := range []strategy{alone, shares, permits} {
+					excess, utilization := math.Inf(-1), 0.0
 					const seeds = 4
 					for seed := range uint64(seeds) {
-						w := newWorld(seed, d, c.entries, 6*max(c.rate, 1), 1)
-						w.limits = []worldLimit{{0, c.rate}}
-						s.run(w)
-						w.play(80 * time.Second)
-						worst = max(worst, w.worst())
-						used += w.used(c.rate, 60*time.Second, 80*time.Second) / seeds
+						sim := newSimulation(seed, st, c.entries, 6*max(c.rate, 1), 1)
+						sim.limits = []advertisedLimit{{0, c.rate}}
+						scene.apply(sim)
+						sim.runUntil(80 * time.Second)
+						excess = max(excess, sim.worstExcess())
+						utilization += sim.utilization(c.rate, 60*time.Second, 80*time.Second) / seeds
 					}
-					t.Logf("%v: beyond what is allowed by %.1f at most, %.2f of the limit used in the last 20 s", d, worst, used)
-					if d == permits {
-						is.True(worst <= 0)
-						is.True(s.name == "changing" || used >= 0.8)
+					t.Logf("%v: %.1f requests beyond the allowed number at most, %.2f of the limit used in the last 20 s", st, excess, utilization)
+					if st == permits {
+						is.True(excess <= 0)
+						is.True(scene.name == "changing" || utilization >= 0.8)
 					}
 				}
 			})
@@ -394,4 +398,4 @@
 	}
 }
 
-func (d design) String() string { return [...]string{"alone", "shares", "permits"}[d] }
+func (s strategy) String() string { return [...]string{"alone", "shares", "permits"}[s] }
