--- a/sharing/sharing.go
+++ b/sharing/sharing.go
@@ -1,7 +1,8 @@
-// Package sharing keeps what entries share through the hosts whose load reports they all read:
-// crash reports, the rate limits that endpoints name, and suspicions of endpoints that do not answer.
-// A host passes them on to all entries, and permits the requests to limited endpoints one by one. The control replicas have no part
-// in it, so that an entry that is cut off from them takes part.
+// Package sharing implements the host side of what entries share through the hosts whose load
+// reports they all read: crash reports, the rate limits that endpoints advertise, and suspicions of
+// unresponsive endpoints. A host forwards them to all entries, and grants a permit for each request
+// to a rate-limited endpoint. The control replicas are not involved, so that an entry that is
+// partitioned from them can still share.
 package sharing
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/lilackeel/lilackeel/ratelimit"
 )
 
-// Host is the part of a host's service that entries share. It is safe for concurrent use.
+// Host holds the data that entries share through one host. It is safe for concurrent use.
 type Host struct {
 	clock      func() time.Duration
 	crashes    *quarantine.Registry
@@ -21,65 +22,68 @@
 	suspicions suspicion.Log
 }
 
-// NewHost returns a host that knows nothing but what the arbiter knows, whose times are those
-// of the clock.
+// NewHost returns a host with the limits of the arbiter and no other data. All times are those of
+// the clock.
 func NewHost(clock func() time.Duration, limits *ratelimit.Arbiter) *Host {
 	return &Host{clock: clock, crashes: quarantine.NewRegistry(), limits: limits}
 }
 
-// PublishCrashReports takes in the crash reports of an entry.
+// PublishCrashReports stores the crash reports of an entry.
 func (h *Host) PublishCrashReports(r *agentv1.PublishCrashReportsRequest) {
 	h.crashes.Publish(h.clock(), r.GetCrashReports())
 }
 
-// PublishSuspicions takes in the suspicions of an entry.
+// PublishSuspicions stores the suspicions of an entry.
 func (h *Host) PublishSuspicions(r *agentv1.PublishSuspicionsRequest) {
 	now := h.clock()
 	h.suspicions.Add(now, suspicion.FromProto(now, r.GetSuspicions()))
 }
 
-// Permit answers the wish of an entry to send a request to an endpoint that names a limit.
+// Permit handles a permit request for an endpoint that advertises a limit. A request that wants no
+// permit only updates the limit.
 func (h *Host) Permit(r *agentv1.PermitRequest) *agentv1.PermitResponse {
 	now := h.clock()
-	named, ok := ratelimit.FromProto(now, r.GetLimit())
+	limit, ok := ratelimit.FromProto(now, r.GetLimit())
 	if !ok {
 		return &agentv1.PermitResponse{Limit: r.GetLimit()}
 	}
 	if !r.GetWanted() {
-		h.limits.Learn(now, named)
+		h.limits.Learn(now, limit)
 		return &agentv1.PermitResponse{Limit: r.GetLimit()}
 	}
-	permit := h.limits.Acquire(now, named, int(r.GetChoice()))
-	named.Limit = permit.Limit
-	return &agentv1.PermitResponse{Limit: ratelimit.ToProto(now, named), Granted: permit.Granted, WaitMs: permit.Wait.Milliseconds()}
+	permit := h.limits.Acquire(now, limit, int(r.GetChoice()))
+	limit.Limit = permit.Limit
+	return &agentv1.PermitResponse{Limit: ratelimit.ToProto(now, limit), Granted: permit.Granted, WaitMs: permit.Wait.Milliseconds()}
 }
 
-// Reader reads what entries share, for one reader of the host's reports.
+// Reader is the position of one reader of the host's reports in the shared data.
 type Reader struct {
 	host                        *Host
 	crashes, limits, suspicions uint64
 }
 
-// Reader takes in what a new reader knows, and returns its position.
+// NewReader stores the reports and limits that a new reader sends along, and returns a Reader that
+// starts at the beginning.
 func (h *Host) NewReader(r *agentv1.ReportsRequest) *Reader {
 	now := h.clock()
 	h.crashes.Publish(now, r.GetCrashReports())
 	for _, message := range r.GetRateLimits() {
-		if named, ok := ratelimit.FromProto(now, message); ok {
-			h.limits.Learn(now, named)
+		if limit, ok := ratelimit.FromProto(now, message); ok {
+			h.limits.Learn(now, limit)
 		}
 	}
 	return &Reader{host: h}
 }
 
-// Fill adds to a report what the reader has not read yet, and reports whether that is anything.
+// Fill adds the data that the reader has not read yet to a report, and reports whether there is
+// any.
 func (r *Reader) Fill(report *agentv1.Report) bool {
 	now := r.host.clock()
 	report.CrashReports, r.crashes = r.host.crashes.Read(now, r.crashes)
 	var limits []ratelimit.EndpointLimit
 	limits, r.limits = r.host.limits.Since(r.limits)
-	for _, named := range limits {
-		report.RateLimits = append(report.RateLimits, ratelimit.ToProto(now, named))
+	for _, limit := range limits {
+		report.RateLimits = append(report.RateLimits, ratelimit.ToProto(now, limit))
 	}
 	var suspicions []suspicion.Report
 	suspicions, r.suspicions = r.host.suspicions.Since(r.suspicions)
--- a/sharing/sharing_test.go
+++ b/sharing/sharing_test.go
@@ -10,8 +10,9 @@
 	"github.com/lilackeel/lilackeel/ratelimit"
 )
 
-// Guards against a host that keeps a limit to itself, or takes in one that is malformed.
-func TestHostPassesLimitsOn(t *testing.T) {
+// Guards against a host that does not forward a limit to its readers, or that accepts a malformed
+// one.
+func TestHostForwardsLimits(t *testing.T) {
 	is := is.New(t)
 	now := time.Hour
 	h := NewHost(func() time.Duration { return now }, ratelimit.NewArbiter())
@@ -28,11 +29,11 @@
 	}
 	now += time.Second
 	permit := h.Permit(&agentv1.PermitRequest{Limit: &agentv1.RateLimit{Endpoint: "e/1", Rate: &rate, SentAgeMs: 1300, AgeMs: 1200}, Wanted: true})
-	is.True(!permit.GetGranted()) // a bucket begins empty
+	is.True(!permit.GetGranted()) // a bucket starts empty
 	now += time.Duration(permit.GetWaitMs()+1) * time.Millisecond
 	permit = h.Permit(&agentv1.PermitRequest{Limit: permit.GetLimit(), Wanted: true})
 	is.True(permit.GetGranted())
-	h.Permit(&agentv1.PermitRequest{Limit: &agentv1.RateLimit{Endpoint: "e/1"}}) // withdrawn
+	h.Permit(&agentv1.PermitRequest{Limit: &agentv1.RateLimit{Endpoint: "e/1"}}) // the endpoint no longer advertises a limit
 	report := &agentv1.Report{}
 	is.True(early.Fill(report))
 	is.True(report.GetRateLimits()[0].Rate == nil)
