--- a/entry/admission.go
+++ b/entry/admission.go
@@ -24,7 +24,7 @@
 
 // Admissions admits requests, pool by pool. It is an Admitter. Its lock is held
 // while no other lock is taken.
-type Admissions struct {
+type AdmissionController struct {
 	peers int
 	// routed is true where the pace of the pools sets the places, not their slots.
 	routed bool
@@ -38,8 +38,8 @@
 }
 
 // NewAdmissions returns the admission of one of the fleet's entries.
-func NewAdmissions(cfg Config) *Admissions {
-	a := &Admissions{peers: max(cfg.Peers, 1), routed: cfg.Routed, gates: map[string]*workspace.Gate{}, limits: map[string]workspace.Limits{}}
+func NewAdmissionController(cfg Config) *AdmissionController {
+	a := &AdmissionController{peers: max(cfg.Peers, 1), routed: cfg.Routed, gates: map[string]*workspace.Gate{}, limits: map[string]workspace.Limits{}}
 	if cfg.Routed {
 		a.policy = workspace.Config{MaxWait: cfg.MaxWait, MaxRetryAfter: cfg.MaxRetryAfter}
 	}
@@ -47,7 +47,7 @@
 }
 
 // Admit implements Admitter.
-func (a *Admissions) Admit(ctx context.Context, r Admission) (func(), error) {
+func (a *AdmissionController) Admit(ctx context.Context, r AdmissionRequest) (func(), error) {
 	return a.AdmitTo(ctx, r.Pool, workspace.Request{Workspace: r.Workspace, Priority: r.Priority, Cost: r.Tokens})
 }
 
@@ -57,7 +57,7 @@
 // AdmitLate implements routed.Admitter. A late request does not queue with the
 // others, whose workspaces would have to share places with it. Where so many wait
 // already that none would be left for it in time, it is refused at once.
-func (a *Admissions) AdmitLate(ctx context.Context, pool string, r workspace.Request, patience time.Duration) (func(), error) {
+func (a *AdmissionController) AdmitLate(ctx context.Context, pool string, r workspace.Request, patience time.Duration) (func(), error) {
 	refused := fault.New(fault.Overloaded, "not run: no place was left for a request that is late already",
 		"ask again after the given time").After(a.policy.MaxRetryAfter)
 	gate := a.gate(pool)
@@ -85,16 +85,16 @@
 }
 
 // SetPlaces implements routed.Places.
-func (a *Admissions) SetPlaces(pool string, r routed.Room) {
+func (a *AdmissionController) SetPlaces(pool string, r routed.Room) {
 	taken := a.late.set(pool, time.Since(processStart), r)
 	a.gate(pool).SetCapacity(r.InTime + max(r.Stuck-taken, 0))
 }
 
 // Hold implements Holds.
-func (a *Admissions) Hold(pool string) time.Duration { return a.gate(pool).Hold() }
+func (a *AdmissionController) MeanHoldTime(pool string) time.Duration { return a.gate(pool).Hold() }
 
 // admitSpare takes a place where answers come late, if there is one.
-func (a *Admissions) admitSpare(pool string) (func(), bool) {
+func (a *AdmissionController) admitSpare(pool string) (func(), bool) {
 	if !a.late.take(pool, time.Since(processStart)) {
 		return nil, false
 	}
@@ -102,7 +102,7 @@
 }
 
 // enter begins a late request that may have a place among the others.
-func (a *Admissions) enter(ctx context.Context, pool string, r workspace.Request) (func(), error) {
+func (a *AdmissionController) enter(ctx context.Context, pool string, r workspace.Request) (func(), error) {
 	leave := sync.OnceFunc(func() { a.late.leave(pool, time.Since(processStart)) })
 	release, err := a.acquire(ctx, pool, r)
 	if err != nil {
@@ -116,12 +116,12 @@
 }
 
 // AdmitTo implements routed.Admitter.
-func (a *Admissions) AdmitTo(ctx context.Context, pool string, r workspace.Request) (func(), error) {
+func (a *AdmissionController) AdmitTo(ctx context.Context, pool string, r workspace.Request) (func(), error) {
 	a.late.arrived(pool, time.Since(processStart))
 	return a.acquire(ctx, pool, r)
 }
 
-func (a *Admissions) acquire(ctx context.Context, pool string, r workspace.Request) (func(), error) {
+func (a *AdmissionController) acquire(ctx context.Context, pool string, r workspace.Request) (func(), error) {
 	release, err := a.gate(pool).Acquire(ctx, r)
 	if err != nil {
 		return nil, err
@@ -131,7 +131,7 @@
 
 // gate returns the gate of a pool, made on first use. A new gate gets the limits
 // before others can see it, so that none of their changes is undone.
-func (a *Admissions) gate(pool string) *workspace.Gate {
+func (a *AdmissionController) gate(pool string) *workspace.Gate {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	gate, ok := a.gates[pool]
@@ -145,7 +145,7 @@
 
 // Limit puts the limits of the workspaces in force. Each entry keeps its part
 // of a limit that holds for the fleet.
-func (a *Admissions) Limit(changed []*fleetv1.Workspace, removed []string) {
+func (a *AdmissionController) ApplyLimits(changed []*fleetv1.Workspace, removed []string) {
 	limits := make(map[string]workspace.Limits, len(changed))
 	for _, w := range changed {
 		limits[w.GetName()] = a.limitsOf(w)
@@ -157,7 +157,7 @@
 }
 
 // remember keeps the limits for gates to come and returns the present ones.
-func (a *Admissions) remember(limits map[string]workspace.Limits, removed []string) []*workspace.Gate {
+func (a *AdmissionController) remember(limits map[string]workspace.Limits, removed []string) []*workspace.Gate {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for name, each := range limits {
@@ -173,7 +173,7 @@
 	return gates
 }
 
-func (a *Admissions) limitsOf(w *fleetv1.Workspace) workspace.Limits {
+func (a *AdmissionController) limitsOf(w *fleetv1.Workspace) workspace.Limits {
 	peers := float64(a.peers)
 	return workspace.Limits{
 		Importance:        int(w.GetImportance()),
@@ -187,7 +187,7 @@
 
 // Resize fits the gates to the endpoints that take new work. For routes their
 // pace decides instead.
-func (a *Admissions) Resize(endpoints []*endpoint.Endpoint) {
+func (a *AdmissionController) Resize(endpoints []*endpoint.Endpoint) {
 	if a.routed {
 		return
 	}
--- a/entry/apply_bench_test.go
+++ b/entry/apply_bench_test.go
@@ -20,12 +20,12 @@
 		b.Run(fmt.Sprintf("workspaces=%d", workspaces), func(b *testing.B) {
 			table := endpoint.NewTable()
 			c := &configurer{
-				directory: NewDirectory(), table: table, admissions: NewAdmissions(Config{Peers: 40}),
+				directory: NewDirectory(), table: table, admissions: NewAdmissionController(Config{Peers: 40}),
 				loads: load.New(load.Config{}, table), index: prefix.New(prefix.Config{}), outliers: outlier.New(outlier.Config{}),
 			}
 			view, delta := largeConfiguration(workspaces)
 			c.directory.Apply(view)
-			c.admissions.Limit(delta.GetWorkspaces(), nil)
+			c.admissions.ApplyLimits(delta.GetWorkspaces(), nil)
 			for i := range 7 {
 				c.admissions.gate(fmt.Sprintf("pool-%d", i))
 			}
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -76,7 +76,7 @@
 
 // redirect finds the present agent of an endpoint whose stream is resumed.
 func (x *exchange) redirect(old call.Target) call.Target {
-	if fresh, ok := x.server.Knowledge.Renew(old); ok {
+	if fresh, ok := x.server.Targets.Renew(old); ok {
 		return x.repeat.Redirect(fresh)
 	}
 	return old
@@ -87,7 +87,7 @@
 	q := x.request
 	m := &agentv1.DispatchRequest{
 		RequestId: q.dispatchID, Attempt: a.Attempt, Endpoint: target.Endpoint, Incarnation: target.Incarnation,
-		Freshness: x.server.Knowledge.Freshness(target.AgentAddr), Workspace: q.workspace.GetName(), Priority: int32(q.priority),
+		Freshness: x.server.Targets.Freshness(target.AgentAddr), Workspace: q.workspace.GetName(), Priority: int32(q.priority),
 		Method: q.method, Path: q.target, Headers: x.headers(a), Body: q.body, RateLimit: x.server.RateLimits.message(target.Endpoint),
 		TimeoutMs: max((q.deadline - x.now()).Milliseconds(), 1), ResumeOffset: a.Offset, Entry: x.server.config.Name,
 	}
@@ -213,7 +213,7 @@
 		return
 	}
 	s.Outliers.Observe(now, x.peers, a.load.ID, outlier.Sample{Failed: a.failed, Latency: x.pace(a, now)})
-	if _, known := s.Knowledge.Renew(x.target); !known {
+	if _, known := s.Targets.Renew(x.target); !known {
 		s.Outliers.Forget(a.load.ID)
 	}
 }
--- a/entry/configure.go
+++ b/entry/configure.go
@@ -20,8 +20,8 @@
 type configurer struct {
 	directory  *Directory
 	table      *endpoint.Table
-	admissions *Admissions
-	reports    *Reports
+	admissions *AdmissionController
+	reports    *ReportSubscriber
 	loads      *load.Tracker
 	index      *prefix.Index
 	outliers   *outlier.Detector
@@ -36,7 +36,7 @@
 // revisions.
 func (c *configurer) apply(ctx context.Context, view *feed.View, delta *fleetv1.Delta) {
 	c.directory.Apply(view)
-	c.admissions.Limit(delta.GetWorkspaces(), delta.GetRemovedWorkspaces())
+	c.admissions.ApplyLimits(delta.GetWorkspaces(), delta.GetRemovedWorkspaces())
 	upserts := make([]endpoint.Endpoint, 0, len(delta.GetEndpoints()))
 	for _, e := range delta.GetEndpoints() {
 		if e.GetRole() != endpoint.RoleRank {
@@ -61,7 +61,7 @@
 			agents[e.GetAgentAddr()] = e.GetAgent()
 		}
 	}
-	c.reports.Follow(ctx, agents)
+	c.reports.SetAgents(ctx, agents)
 }
 
 // publish puts a site in force, once its endpoints are known.
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -124,7 +124,7 @@
 	server.SetKeepAlivesEnabled(false)
 	wait.For(ctx, d.config.DrainDelay)
 	err := server.Shutdown(ctx)
-	d.server.Settled()
+	d.server.WaitForRecords()
 	if served := <-failed; !errors.Is(served, http.ErrServerClosed) {
 		err = errors.Join(err, served)
 	}
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -63,7 +63,7 @@
 	caller, cancel := context.WithTimeout(r.Context(), left)
 	defer cancel()
 	x.caller = caller
-	release, err := s.Admitter.Admit(caller, Admission{
+	release, err := s.Admitter.Admit(caller, AdmissionRequest{
 		Workspace: q.workspace.GetName(), Pool: q.pick.Pool, Priority: q.priority,
 		Tokens: q.work.PromptTokens + q.work.MaxTokens, Deadline: left,
 	})
@@ -260,7 +260,7 @@
 		if err != nil {
 			return call.Target{}, x.notChosen(err)
 		}
-		target, ticketed := s.Knowledge.Target(&chosen)
+		target, ticketed := s.Targets.Resolve(&chosen)
 		if x.single != nil && !ticketed {
 			wanted.Exclude = append(wanted.Exclude[:len(wanted.Exclude):len(wanted.Exclude)], chosen.ID)
 			continue
--- a/entry/first_places_test.go
+++ b/entry/first_places_test.go
@@ -30,15 +30,15 @@
 	is := is.New(t)
 	table, groups := endpoint.NewTable(), lockstep.New()
 	loads := load.New(load.Config{}, table)
-	admissions := NewAdmissions(Config{Routed: true, MaxWait: 300 * time.Millisecond, MaxRetryAfter: time.Second})
+	admissions := NewAdmissionController(Config{Routed: true, MaxWait: 300 * time.Millisecond, MaxRetryAfter: time.Second})
 	limits := NewRateLimits(Config{}, table, admissions, slog.New(slog.DiscardHandler))
 	server := routed.NewServer(routed.Config{}, routed.Parts{
-		Endpoints: table, Loads: loads, Groups: groups, RateLimits: &Permits{RateLimits: limits}, Budget: call.NewBudget(call.BudgetConfig{}), Logger: slog.New(slog.DiscardHandler),
+		Endpoints: table, Loads: loads, Groups: groups, RateLimits: &PermitClient{RateLimits: limits}, Budget: call.NewBudget(call.BudgetConfig{}), Logger: slog.New(slog.DiscardHandler),
 	}, func() time.Duration { return time.Second })
 	c := &configurer{
 		directory: NewDirectory(), table: table, admissions: admissions, loads: loads, groups: groups, routed: server,
 		index: prefix.New(prefix.Config{}), outliers: outlier.New(outlier.Config{}), reach: reach.New(),
-		reports: NewReports(Config{}, nil, table, loads, nil, nil, groups, nil, quarantine.NewTracker(), limits, suspicion.NewTracker(1), slog.New(slog.DiscardHandler)),
+		reports: NewReportSubscriber(Config{}, nil, table, loads, nil, nil, groups, nil, quarantine.NewTracker(), limits, suspicion.NewTracker(1), slog.New(slog.DiscardHandler)),
 	}
 	delta := &fleetv1.Delta{ToRevision: 1, Site: &fleetv1.Site{
 		Version: 1, Pools: []*fleetv1.Pool{{Name: "pool", Engine: &fleetv1.EngineModel{Sets: 12, Slots: 10}}},
--- a/entry/flow_test.go
+++ b/entry/flow_test.go
@@ -50,7 +50,7 @@
 	picks      int
 }
 
-func (f *fakes) Admit(context.Context, Admission) (func(), error) { return func() {}, nil }
+func (f *fakes) Admit(context.Context, AdmissionRequest) (func(), error) { return func() {}, nil }
 
 func (f *fakes) Pick(_ time.Duration, _ *rand.Rand, r *pick.Request) (endpoint.Endpoint, pick.Explain, error) {
 	f.mu.Lock()
@@ -59,7 +59,7 @@
 	return endpoint.Endpoint{ID: fmt.Sprint("e", len(r.Exclude)+1), AgentAddr: "agent", Incarnation: 5}, pick.Explain{}, nil
 }
 
-func (f *fakes) Target(e *endpoint.Endpoint) (call.Target, bool) {
+func (f *fakes) Resolve(e *endpoint.Endpoint) (call.Target, bool) {
 	return call.Target{Endpoint: e.ID, Agent: "agent", AgentAddr: e.AgentAddr, Incarnation: 5, TicketNS: 1}, true
 }
 
@@ -132,9 +132,9 @@
 		DefaultDeadline: time.Minute, MaxDeadline: time.Hour, MaxBodyBytes: 1 << 20, MaxHeaderBytes: 1 << 16, BodyTimeout: time.Second,
 		WriteTimeout: time.Second, MaxAttempts: policy.MaxAttempts, RetryRatio: 1, RetryBurst: 10, HoldBytes: 1 << 20,
 		FirstByteTimeout: 5 * time.Second, IdleTimeout: 5 * time.Second, AccessLog: true,
-	}, Parts{
+	}, Dependencies{
 		Directory: directory, Admitter: f, Picker: f, Loads: load.New(load.Config{}, table), Index: prefix.New(prefix.Config{Entries: 64}),
-		Outliers: outlier.New(outlier.Config{}), Agents: f, Claims: f, Knowledge: f, Quarantine: quarantine.NewTracker(), RateLimits: NewRateLimits(Config{}, table, NewAdmissions(Config{}), slog.New(slog.DiscardHandler)),
+		Outliers: outlier.New(outlier.Config{}), Agents: f, Claims: f, Targets: f, Quarantine: quarantine.NewTracker(), RateLimits: NewRateLimits(Config{}, table, NewAdmissionController(Config{}), slog.New(slog.DiscardHandler)),
 		Logger: slog.New(slog.DiscardHandler),
 	})
 	s.start = time.Now() // of the bubble's clock, which may lie before the process's start
@@ -156,7 +156,7 @@
 		s.ServeHTTP(w, r)
 	}()
 	took := time.Since(begun)
-	s.Settled()
+	s.WaitForRecords()
 	return w, took
 }
 
--- a/entry/intake.go
+++ b/entry/intake.go
@@ -14,7 +14,7 @@
 
 // Take takes in one report that came at the given time. What it says of
 // endpoints that are not in the table is dropped.
-func (p *Reports) Take(addr string, r *agentv1.Report, received time.Time) {
+func (p *ReportSubscriber) HandleReport(addr string, r *agentv1.Report, received time.Time) {
 	p.mu.Lock()
 	p.tickets[addr] = ticket{incarnation: r.GetIncarnation(), ns: r.GetTicketNs(), received: received}
 	if r.GetReaders() > 0 {
@@ -65,7 +65,7 @@
 // takeLoad feeds the tracker and the detector. The detector gets endpoints
 // without a step time as well: how many may be out depends on how many there are,
 // also of those that get no calls now.
-func (p *Reports) takeLoad(now time.Duration, e *endpoint.Endpoint, l *agentv1.LoadReport) {
+func (p *ReportSubscriber) takeLoad(now time.Duration, e *endpoint.Endpoint, l *agentv1.LoadReport) {
 	report := loadOf(e, l)
 	p.loads.Report(now, e.ID, report)
 	p.outliers.Observe(now, peersOf(e), e.ID, outlier.Sample{Latency: report.OwnStep, Report: true})
@@ -74,7 +74,7 @@
 	}
 }
 
-func (p *Reports) takeEvent(now time.Duration, incarnation uint64, e *agentv1.CacheEvent) {
+func (p *ReportSubscriber) takeEvent(now time.Duration, incarnation uint64, e *agentv1.CacheEvent) {
 	p.index.Apply(now, prefix.Event{
 		Endpoint: e.GetEndpoint(), Incarnation: incarnation, Seq: e.GetSeq(),
 		Stored: e.GetStored(), Removed: e.GetRemoved(), Cleared: e.GetCleared(),
@@ -86,7 +86,7 @@
 
 // hasLeft reports whether the endpoint has left the table, perhaps while
 // something was learned of it: the table changes before the rest forgets.
-func (p *Reports) hasLeft(id string) bool {
+func (p *ReportSubscriber) hasLeft(id string) bool {
 	_, known := p.table.Snapshot().Get(id)
 	return !known
 }
--- a/entry/intake_bench_test.go
+++ b/entry/intake_bench_test.go
@@ -61,7 +61,7 @@
 					b.Fatal(err)
 				}
 				renew(report, uint64(i), uint64(events))
-				f.reports.Take("agent", report, now.Add(time.Duration(i)*time.Second/reportsPerSecond))
+				f.reports.HandleReport("agent", report, now.Add(time.Duration(i)*time.Second/reportsPerSecond))
 			}
 			if ignored := f.reports.index.Stats().Ignored - before; ignored > 0 {
 				b.Fatalf("%d events were ignored", ignored)
--- a/entry/intake_test.go
+++ b/entry/intake_test.go
@@ -25,7 +25,7 @@
 // virtual time. Its endpoints are the ranks of one group.
 type intakeFleet struct {
 	*Server
-	reports *Reports
+	reports *ReportSubscriber
 	table   *endpoint.Table
 	ranks   []string
 	// failing is the rank that fails its calls; slow the one whose own steps take
@@ -48,8 +48,8 @@
 	f.Server = agents.server()
 	f.Loads, f.Index = load.New(load.Config{}, f.table), prefix.New(prefix.Config{Entries: 64})
 	f.Picker = pick.New(pick.Config{}, f.table, f.Loads, f.Index, f.Outliers)
-	f.reports = NewReports(Config{}, nil, f.table, f.Loads, f.Index, f.Outliers, lockstep.New(), unconfirmed{}, quarantine.NewTracker(), NewRateLimits(Config{}, f.table, NewAdmissions(Config{}), slog.New(slog.DiscardHandler)), suspicion.NewTracker(1), slog.New(slog.DiscardHandler))
-	f.Knowledge = f.reports
+	f.reports = NewReportSubscriber(Config{}, nil, f.table, f.Loads, f.Index, f.Outliers, lockstep.New(), unconfirmed{}, quarantine.NewTracker(), NewRateLimits(Config{}, f.table, NewAdmissionController(Config{}), slog.New(slog.DiscardHandler)), suspicion.NewTracker(1), slog.New(slog.DiscardHandler))
+	f.Targets = f.reports
 	var all []endpoint.Endpoint
 	for i := range ranks {
 		f.ranks = append(f.ranks, fmt.Sprint("rank-", i))
@@ -83,7 +83,7 @@
 	clear(f.calls)
 	begun := time.Now()
 	for beat := 0; time.Since(begun) < span; beat++ {
-		f.reports.Take("agent", f.report(), time.Now())
+		f.reports.HandleReport("agent", f.report(), time.Now())
 		if beat%10 == 0 {
 			f.Outliers.Tick(time.Since(processStart))
 		}
@@ -162,7 +162,7 @@
 	}
 	report.Loads = append(report.Loads, &agentv1.LoadReport{Endpoint: "stranger", OwnStepUs: 4500})
 	now := time.Now()
-	f.reports.Take("agent", report, now)
+	f.reports.HandleReport("agent", report, now)
 	is.Equal(f.Index.Stats().Events, uint64(2))
 	is.Equal(f.Index.Match(now.Sub(processStart), f.ranks[1], []uint64{7}), 1)
 	is.True(!f.Loads.ReportsOwnStep("stranger"))
@@ -170,7 +170,7 @@
 	f.table.Apply(nil, f.ranks[1:])
 	f.Index.Forget(f.ranks[1])
 	f.Loads.Forget(f.ranks[1])
-	f.reports.Take("agent", report, now)
+	f.reports.HandleReport("agent", report, now)
 	is.Equal(f.Index.Stats().Events, uint64(3)) // one of them, of the rank that stays
 	is.Equal(f.Index.Match(now.Sub(processStart), f.ranks[1], []uint64{7}), 0)
 	f.reports.takeEvent(0, 5, report.GetEvents()[2]) // it left after it had been looked up
@@ -191,7 +191,7 @@
 	now := time.Now()
 	for range 100 {
 		now = now.Add(time.Second)
-		f.reports.Take("agent", &agentv1.Report{Loads: []*agentv1.LoadReport{{Endpoint: "rank-0", Running: 1}}}, now)
+		f.reports.HandleReport("agent", &agentv1.Report{Loads: []*agentv1.LoadReport{{Endpoint: "rank-0", Running: 1}}}, now)
 		f.Outliers.Tick(now.Sub(processStart))
 	}
 	estimate := f.Loads.Estimate(now.Sub(processStart), "rank-0")
--- a/entry/permits.go
+++ b/entry/permits.go
@@ -29,7 +29,7 @@
 // Permits asks hosts for the permits to send requests to endpoints that name rate limits, so
 // that all entries together keep to them. It is a routed.RateLimits, and safe for concurrent
 // use; its lock is a leaf.
-type Permits struct {
+type PermitClient struct {
 	*RateLimits
 	hosts func() []string
 	pool  *link.Pool
@@ -44,8 +44,8 @@
 }
 
 // NewPermits returns Permits that ask the hosts whose reports are followed.
-func NewPermits(limits *RateLimits, reports *Reports, pool *link.Pool) *Permits {
-	return &Permits{
+func NewPermitClient(limits *RateLimits, reports *ReportSubscriber, pool *link.Pool) *PermitClient {
+	return &PermitClient{
 		RateLimits: limits, hosts: reports.hosts, pool: pool, readers: reports.Readers, alone: ratelimit.NewArbiter(),
 		paused: map[string]time.Duration{},
 	}
@@ -53,7 +53,7 @@
 
 // Answered implements routed.RateLimits. What is no limit changes nothing; a new limit is passed
 // on to the host that gives the permits. An answer of an earlier run says nothing of this one.
-func (p *Permits) Answered(e *endpoint.Endpoint, f ratelimit.Feedback) {
+func (p *PermitClient) Answered(e *endpoint.Endpoint, f ratelimit.Feedback) {
 	if present, known := p.endpoints.Get(e.ID); !known || present.Incarnation != e.Incarnation {
 		return
 	}
@@ -69,7 +69,7 @@
 }
 
 // publish passes on what an endpoint names to the first host that answers.
-func (p *Permits) publish(n ratelimit.Named) {
+func (p *PermitClient) publish(n ratelimit.Named) {
 	for _, addr := range p.choices(n.Endpoint) {
 		if _, err := p.call(context.Background(), addr, &agentv1.PermitRequest{Limit: ratelimit.ToProto(time.Since(processStart), n)}); err == nil {
 			return
@@ -78,7 +78,7 @@
 }
 
 // Admit implements routed.RateLimits.
-func (p *Permits) Admit(ctx context.Context, e *endpoint.Endpoint, again bool) bool {
+func (p *PermitClient) Admit(ctx context.Context, e *endpoint.Endpoint, again bool) bool {
 	limit, admission := p.table.Begin(time.Since(processStart), e.ID)
 	granted := admission == ratelimit.Open
 	if admission == ratelimit.Ask {
@@ -93,12 +93,12 @@
 }
 
 // Refusal implements routed.RateLimits.
-func (p *Permits) Refusal(pool string) *fault.Error {
+func (p *PermitClient) Refusal(pool string) *fault.Error {
 	return p.refusal(pool, max(p.readers(), p.peers))
 }
 
 // ask asks for the permit to send one request, the next host if the first choice does not answer.
-func (p *Permits) ask(ctx context.Context, e *endpoint.Endpoint, limit ratelimit.Limit) (granted bool, wait time.Duration) {
+func (p *PermitClient) ask(ctx context.Context, e *endpoint.Endpoint, limit ratelimit.Limit) (granted bool, wait time.Duration) {
 	named := ratelimit.Named{Endpoint: e.Run(), Limit: limit}
 	choices := p.choices(named.Endpoint)
 	if len(choices) == 0 {
@@ -128,13 +128,13 @@
 }
 
 // askAlone keeps to an equal part of the limit.
-func (p *Permits) askAlone(n ratelimit.Named) (granted bool, wait time.Duration) {
+func (p *PermitClient) askAlone(n ratelimit.Named) (granted bool, wait time.Duration) {
 	n.Limit.Rate /= float64(p.peers)
 	permit := p.alone.Ask(time.Since(processStart), n, 0)
 	return permit.Granted, permit.Wait
 }
 
-func (p *Permits) call(ctx context.Context, addr string, request *agentv1.PermitRequest) (*agentv1.PermitResponse, error) {
+func (p *PermitClient) call(ctx context.Context, addr string, request *agentv1.PermitRequest) (*agentv1.PermitResponse, error) {
 	connection, err := p.pool.Get(addr)
 	if err != nil {
 		return nil, err
@@ -150,7 +150,7 @@
 
 // choices returns the hosts that give the permits of a run of an endpoint, in the same order at
 // all entries that follow the same hosts.
-func (p *Permits) choices(run string) []string {
+func (p *PermitClient) choices(run string) []string {
 	var choices [ratelimit.Choices]string
 	var weights [ratelimit.Choices]uint64
 	seed := xxhash.Sum64String(run)
@@ -174,14 +174,14 @@
 	return x ^ x>>31
 }
 
-func (p *Permits) isPaused(addr string, now time.Duration) bool {
+func (p *PermitClient) isPaused(addr string, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now < p.paused[addr]
 }
 
 // pause leaves a host out for a while, and forgets the pauses that have ended.
-func (p *Permits) pause(addr string, now time.Duration) {
+func (p *PermitClient) pause(addr string, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for other, until := range p.paused {
--- a/entry/permits_bench_test.go
+++ b/entry/permits_bench_test.go
@@ -25,7 +25,7 @@
 			for i := range addrs {
 				addrs[i] = fmt.Sprintf("10.0.%d.%d:7340", i/250, i%250)
 			}
-			p := &Permits{RateLimits: NewRateLimits(Config{}, endpoint.NewTable(), NewAdmissions(Config{}), slog.New(slog.DiscardHandler)), pool: pool}
+			p := &PermitClient{RateLimits: NewRateLimits(Config{}, endpoint.NewTable(), NewAdmissionController(Config{}), slog.New(slog.DiscardHandler)), pool: pool}
 			p.hosts = func() []string { return addrs }
 			for b.Loop() {
 				p.choices("e/1")
--- a/entry/ports.go
+++ b/entry/ports.go
@@ -13,7 +13,7 @@
 )
 
 // Admission is what the admission of a request needs to know.
-type Admission struct {
+type AdmissionRequest struct {
 	// Workspace is the caller's workspace.
 	Workspace string
 	// Pool is the set of endpoints that the request is addressed to.
@@ -31,7 +31,7 @@
 // The error is a fault; release must be called once after success.
 type Admitter interface {
 	// Admit blocks until the request is admitted, refused, or ctx ends.
-	Admit(ctx context.Context, a Admission) (release func(), err error)
+	Admit(ctx context.Context, a AdmissionRequest) (release func(), err error)
 }
 
 // Picker chooses the endpoint of a call; pick.Picker is one.
@@ -66,10 +66,10 @@
 }
 
 // Knowledge is what the entry knows of an agent's clock and of its own feed.
-type Knowledge interface {
+type TargetResolver interface {
 	// Target completes the address of an endpoint with the agent's present
 	// incarnation and its latest ticket; ticketed is false without one.
-	Target(e *endpoint.Endpoint) (t call.Target, ticketed bool)
+	Resolve(e *endpoint.Endpoint) (t call.Target, ticketed bool)
 	// Renew returns the present incarnation and ticket of a target's endpoint;
 	// ok is false when the endpoint is gone.
 	Renew(t call.Target) (renewed call.Target, ok bool)
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -55,7 +55,7 @@
 // newRouted returns the server of the published site's routes.
 func newRouted(
 	cfg Config, table *endpoint.Table, loads *load.Tracker, outliers *outlier.Detector, picker *pick.Picker,
-	admissions *Admissions, reached *reach.Tracker, groups *lockstep.Tracker, client *direct.Client, crashes *quarantine.Tracker, permits *Permits, suspects *suspicion.Tracker, logger *slog.Logger,
+	admissions *AdmissionController, reached *reach.Tracker, groups *lockstep.Tracker, client *direct.Client, crashes *quarantine.Tracker, permits *PermitClient, suspects *suspicion.Tracker, logger *slog.Logger,
 ) *routed.Server {
 	policy := cfg.policy()
 	headers := cfg.Headers
--- a/entry/publish.go
+++ b/entry/publish.go
@@ -44,7 +44,7 @@
 
 // publishCrashReports publishes the crash reports of this entry until ctx ends, at hosts whose
 // load reports all entries read: an entry that is cut off from the control replicas gets them too.
-func (p *Reports) publishCrashReports(ctx context.Context) {
+func (p *ReportSubscriber) publishCrashReports(ctx context.Context) {
 	ticker := time.NewTicker(publishRetry)
 	defer ticker.Stop()
 	var published uint64
@@ -71,7 +71,7 @@
 }
 
 // publishSuspicions publishes the suspicions of this entry until ctx ends.
-func (p *Reports) publishSuspicions(ctx context.Context) {
+func (p *ReportSubscriber) publishSuspicions(ctx context.Context) {
 	ticker := time.NewTicker(publishRetry)
 	defer ticker.Stop()
 	for {
@@ -94,7 +94,7 @@
 }
 
 // publishToSome publishes reports at some hosts. It returns false if none took them.
-func (p *Reports) publishToSome(ctx context.Context, reports []quarantine.CrashReport) bool {
+func (p *ReportSubscriber) publishToSome(ctx context.Context, reports []quarantine.CrashReport) bool {
 	return p.atSomeHosts(ctx, func(ctx context.Context, host agentv1.AgentClient) error {
 		_, err := host.PublishCrashReports(ctx, &agentv1.PublishCrashReportsRequest{CrashReports: quarantine.ToProto(time.Since(processStart), reports)})
 		return err
@@ -102,7 +102,7 @@
 }
 
 // atSomeHosts publishes something at some hosts. It returns false if none took it.
-func (p *Reports) atSomeHosts(ctx context.Context, publish func(context.Context, agentv1.AgentClient) error) bool {
+func (p *ReportSubscriber) atSomeHosts(ctx context.Context, publish func(context.Context, agentv1.AgentClient) error) bool {
 	hosts := p.hosts()
 	rand.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
 	took := 0
@@ -118,7 +118,7 @@
 	return took > 0
 }
 
-func (p *Reports) at(ctx context.Context, addr string, publish func(context.Context, agentv1.AgentClient) error) error {
+func (p *ReportSubscriber) at(ctx context.Context, addr string, publish func(context.Context, agentv1.AgentClient) error) error {
 	connection, err := p.pool.Get(addr)
 	if err != nil {
 		return err
@@ -129,7 +129,7 @@
 }
 
 // hosts returns the addresses whose reports are followed.
-func (p *Reports) hosts() []string {
+func (p *ReportSubscriber) hosts() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	hosts := make([]string, 0, len(p.stops))
@@ -140,12 +140,12 @@
 }
 
 // known returns the crash reports for a host that may have started anew.
-func (p *Reports) known() []*agentv1.CrashReport {
+func (p *ReportSubscriber) known() []*agentv1.CrashReport {
 	return quarantine.ToProto(time.Since(processStart), p.crashes.Snapshot(snapshotReports))
 }
 
 // mergeCrashReports merges the crash reports of others.
-func (p *Reports) mergeCrashReports(now time.Duration, messages []*agentv1.CrashReport) {
+func (p *ReportSubscriber) mergeCrashReports(now time.Duration, messages []*agentv1.CrashReport) {
 	for _, f := range p.crashes.Merge(now, quarantine.FromProto(now, messages)) {
 		p.logger.Info("holding a request that others reported", slog.Any("fingerprint", f), slog.Duration("hold", p.crashes.Held(now, f)))
 	}
--- a/entry/publish_test.go
+++ b/entry/publish_test.go
@@ -83,13 +83,13 @@
 	crashes, table := quarantine.NewTracker(), endpoint.NewTable()
 	pool := link.NewPool(grpc.WithTransportCredentials(insecure.NewCredentials()))
 	t.Cleanup(func() { _ = pool.Close() })
-	reports := NewReports(Config{ReportInterval: 10 * time.Millisecond}, pool, table, load.New(load.Config{}, table),
-		prefix.New(prefix.Config{}), outlier.New(outlier.Config{}), lockstep.New(), unconfirmed{}, crashes, NewRateLimits(Config{}, table, NewAdmissions(Config{}), slog.New(slog.DiscardHandler)), suspicion.NewTracker(1), slog.New(slog.DiscardHandler))
+	reports := NewReportSubscriber(Config{ReportInterval: 10 * time.Millisecond}, pool, table, load.New(load.Config{}, table),
+		prefix.New(prefix.Config{}), outlier.New(outlier.Config{}), lockstep.New(), unconfirmed{}, crashes, NewRateLimits(Config{}, table, NewAdmissionController(Config{}), slog.New(slog.DiscardHandler)), suspicion.NewTracker(1), slog.New(slog.DiscardHandler))
 	names := map[string]string{}
 	for _, host := range hosts {
 		names[host] = host
 	}
-	reports.Follow(t.Context(), names)
+	reports.SetAgents(t.Context(), names)
 	go reports.publishCrashReports(t.Context())
 	return crashes
 }
--- a/entry/pushback_test.go
+++ b/entry/pushback_test.go
@@ -226,7 +226,7 @@
 		table := endpoint.NewTable()
 		only := endpoint.Endpoint{ID: "e1", Pool: "pool", AgentAddr: "agent", Incarnation: 5, Slots: 8, Revision: 1}
 		table.Apply([]endpoint.Endpoint{only}, nil)
-		s.Picker, s.RateLimits = leftPicker{only}, NewRateLimits(Config{}, table, NewAdmissions(Config{}), slog.New(slog.DiscardHandler))
+		s.Picker, s.RateLimits = leftPicker{only}, NewRateLimits(Config{}, table, NewAdmissionController(Config{}), slog.New(slog.DiscardHandler))
 		s.config.DefaultDeadline = 5 * time.Second
 		began := time.Now()
 		w, _ := ask(s, t.Context(), chatPath, streamBody)
--- a/entry/ratelimit_life_test.go
+++ b/entry/ratelimit_life_test.go
@@ -98,7 +98,7 @@
 	for i := range hosts {
 		addrs = append(addrs, fmt.Sprint("10.0.0.", i, ":7340"))
 	}
-	one, other := &Permits{hosts: func() []string { return addrs }}, &Permits{}
+	one, other := &PermitClient{hosts: func() []string { return addrs }}, &PermitClient{}
 	firsts := map[string]int{}
 	for i := range runs {
 		run := fmt.Sprint("e", i, "/1")
@@ -113,6 +113,6 @@
 	for _, count := range firsts {
 		is.True(count > runs/hosts/2 && count < 2*runs/hosts)
 	}
-	few := &Permits{hosts: func() []string { return addrs[:1] }}
+	few := &PermitClient{hosts: func() []string { return addrs[:1] }}
 	is.Equal(few.choices("e/1"), addrs[:1])
 }
--- a/entry/ratelimits.go
+++ b/entry/ratelimits.go
@@ -23,7 +23,7 @@
 	longestWait time.Duration
 	table       *ratelimit.Table
 	endpoints   *endpoint.Table
-	holds       Holds
+	holds       HoldTimes
 	logger      *slog.Logger
 	// limitedAttempts counts the attempts at endpoints that name a limit, pausedAttempts those at
 	// endpoints within a pause that these have asked for.
@@ -37,13 +37,13 @@
 }
 
 // Holds knows how long requests hold their places; Admissions are one.
-type Holds interface {
+type HoldTimes interface {
 	// Hold returns how long the requests of a pool hold their places in the mean.
-	Hold(pool string) time.Duration
+	MeanHoldTime(pool string) time.Duration
 }
 
 // NewRateLimits returns RateLimits that know of no limit.
-func NewRateLimits(cfg Config, endpoints *endpoint.Table, admissions *Admissions, logger *slog.Logger) *RateLimits {
+func NewRateLimits(cfg Config, endpoints *endpoint.Table, admissions *AdmissionController, logger *slog.Logger) *RateLimits {
 	l := &RateLimits{
 		peers: max(cfg.Peers, 1), longestWait: cmp.Or(cfg.MaxRetryAfter, longestRateWait), turns: map[string]ratelimit.Turns{},
 		table: ratelimit.NewTable(), endpoints: endpoints, holds: admissions, logger: logger,
@@ -204,7 +204,7 @@
 	if limit, limited := l.table.Limit(e.ID); limited {
 		return limit.Rate
 	}
-	hold := max(l.holds.Hold(e.Pool), leastHold)
+	hold := max(l.holds.MeanHoldTime(e.Pool), leastHold)
 	return returnShare * float64(max(e.Slots, 1)) / hold.Seconds()
 }
 
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -50,7 +50,7 @@
 
 // Reports follows the reports of all agents: loads, cache events and tickets.
 // It is a Knowledge. Its lock is held while no other lock is taken.
-type Reports struct {
+type ReportSubscriber struct {
 	config    Config
 	pool      *link.Pool
 	table     *endpoint.Table
@@ -75,15 +75,15 @@
 }
 
 // NewReports returns Reports that follow no agent yet.
-func NewReports(cfg Config, pool *link.Pool, table *endpoint.Table, loads *load.Tracker, index *prefix.Index, outliers *outlier.Detector, groups *lockstep.Tracker, freshness FreshnessSource, crashes *quarantine.Tracker, limits *RateLimits, suspects *suspicion.Tracker, logger *slog.Logger) *Reports {
-	return &Reports{
+func NewReportSubscriber(cfg Config, pool *link.Pool, table *endpoint.Table, loads *load.Tracker, index *prefix.Index, outliers *outlier.Detector, groups *lockstep.Tracker, freshness FreshnessSource, crashes *quarantine.Tracker, limits *RateLimits, suspects *suspicion.Tracker, logger *slog.Logger) *ReportSubscriber {
+	return &ReportSubscriber{
 		config: cfg, pool: pool, table: table, loads: loads, index: index, outliers: outliers, groups: groups, freshness: freshness, crashes: crashes, limits: limits, suspects: suspects, logger: logger,
 		readers: map[string]int{}, engines: map[string][]string{}, tickets: map[string]ticket{}, stops: map[string]context.CancelFunc{}, names: map[string]string{},
 	}
 }
 
 // Follow follows exactly the agents of the given addresses, each with its name.
-func (p *Reports) Follow(ctx context.Context, agents map[string]string) {
+func (p *ReportSubscriber) SetAgents(ctx context.Context, agents map[string]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.names = agents
@@ -108,7 +108,7 @@
 }
 
 // follow reads the reports of one agent until ctx ends.
-func (p *Reports) follow(ctx context.Context, addr string) {
+func (p *ReportSubscriber) follow(ctx context.Context, addr string) {
 	pause := minReconnectPause
 	for ctx.Err() == nil {
 		reported, err := p.read(ctx, addr)
@@ -127,7 +127,7 @@
 }
 
 // read takes in reports until the stream breaks.
-func (p *Reports) read(ctx context.Context, addr string) (reported bool, err error) {
+func (p *ReportSubscriber) read(ctx context.Context, addr string) (reported bool, err error) {
 	connection, err := p.pool.Get(addr)
 	if err != nil {
 		return false, err
@@ -146,12 +146,12 @@
 			return reported, err
 		}
 		reported = true
-		p.Take(addr, report, time.Now())
+		p.HandleReport(addr, report, time.Now())
 	}
 }
 
 // silent drops what the host at an address has last said of its engines' groups.
-func (p *Reports) silent(addr string) {
+func (p *ReportSubscriber) silent(addr string) {
 	p.mu.Lock()
 	engines := p.engines[addr]
 	p.mu.Unlock()
@@ -160,7 +160,7 @@
 	}
 }
 
-func (p *Reports) forgetTicket(addr string) {
+func (p *ReportSubscriber) forgetTicket(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.tickets, addr)
@@ -169,7 +169,7 @@
 // Readers returns how many entries read the reports of a host, this one included: the
 // median over the hosts, since a host may not have noticed the end of one yet. It is
 // zero where no host says.
-func (p *Reports) Readers() int {
+func (p *ReportSubscriber) Readers() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.readers) == 0 {
@@ -180,7 +180,7 @@
 }
 
 // Target implements Knowledge.
-func (p *Reports) Target(e *endpoint.Endpoint) (call.Target, bool) {
+func (p *ReportSubscriber) Resolve(e *endpoint.Endpoint) (call.Target, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := call.Target{Endpoint: e.ID, Agent: p.names[e.AgentAddr], AgentAddr: e.AgentAddr, Incarnation: e.Incarnation}
@@ -194,18 +194,18 @@
 }
 
 // Renew implements Knowledge.
-func (p *Reports) Renew(t call.Target) (call.Target, bool) {
+func (p *ReportSubscriber) Renew(t call.Target) (call.Target, bool) {
 	e, ok := p.table.Get(t.Endpoint)
 	if !ok {
 		return t, false
 	}
-	renewed, _ := p.Target(&e)
+	renewed, _ := p.Resolve(&e)
 	return renewed, true
 }
 
 // Freshness implements Knowledge. The difference of two readings of the entry's
 // clock carries its knowledge into the clock of the agent.
-func (p *Reports) Freshness(addr string) *agentv1.Freshness {
+func (p *ReportSubscriber) Freshness(addr string) *agentv1.Freshness {
 	revision, confirmed, ok := p.freshness.Freshness()
 	if !ok {
 		return nil
--- a/entry/server.go
+++ b/entry/server.go
@@ -21,7 +21,7 @@
 )
 
 // Parts are the dependencies of a Server.
-type Parts struct {
+type Dependencies struct {
 	Directory *Directory
 	Admitter  Admitter
 	Picker    Picker
@@ -30,7 +30,7 @@
 	Outliers  *outlier.Detector
 	Agents    Agents
 	Claims    Claims
-	Knowledge Knowledge
+	Targets   TargetResolver
 	// Quarantine knows the requests under which endpoints have ended.
 	Quarantine *quarantine.Tracker
 	RateLimits *RateLimits
@@ -39,7 +39,7 @@
 
 // Server answers callers. It is an http.Handler.
 type Server struct {
-	Parts
+	Dependencies
 	config    Config
 	policy    *call.Policy
 	budget    *call.Budget
@@ -53,16 +53,16 @@
 }
 
 // NewServer returns a server over the given parts.
-func NewServer(cfg Config, parts Parts) *Server {
+func NewServer(cfg Config, parts Dependencies) *Server {
 	s := &Server{
-		Parts:     parts,
-		config:    cfg,
-		policy:    cfg.policy(),
-		budget:    call.NewBudget(cfg.budget()),
-		ids:       newIDs(),
-		start:     processStart,
-		directory: parts.Directory,
-		metrics:   newServerMetrics(),
+		Dependencies: parts,
+		config:       cfg,
+		policy:       cfg.policy(),
+		budget:       call.NewBudget(cfg.budget()),
+		ids:          newIDs(),
+		start:        processStart,
+		directory:    parts.Directory,
+		metrics:      newServerMetrics(),
 	}
 	s.models = s.modelContainer()
 	return s
@@ -94,7 +94,7 @@
 }
 
 // Settled returns once the records of all ended calls are written.
-func (s *Server) Settled() { s.records.Wait() }
+func (s *Server) WaitForRecords() { s.records.Wait() }
 
 // requestIDKey is the context key of the request id.
 type requestIDKey struct{}
--- a/entry/wire_gen.go
+++ b/entry/wire_gen.go
@@ -17,7 +17,7 @@
 // New assembles an entry, which does nothing before Run.
 func New(cfg Config, logger *slog.Logger) (*Daemon, error) {
 	entryDirectory := NewDirectory()
-	admissions := NewAdmissions(cfg)
+	admissions := NewAdmissionController(cfg)
 	table := endpoint.NewTable()
 	tracker := newTracker(cfg, table)
 	index := newIndex()
@@ -35,8 +35,8 @@
 	quarantineTracker := quarantine.NewTracker()
 	rateLimits := NewRateLimits(cfg, table, admissions, logger)
 	suspicionTracker := newSuspects(cfg)
-	reports := NewReports(cfg, pool, table, tracker, index, detector, lockstepTracker, client, quarantineTracker, rateLimits, suspicionTracker, logger)
-	parts := Parts{
+	reports := NewReportSubscriber(cfg, pool, table, tracker, index, detector, lockstepTracker, client, quarantineTracker, rateLimits, suspicionTracker, logger)
+	parts := Dependencies{
 		Directory:  entryDirectory,
 		Admitter:   admissions,
 		Picker:     picker,
@@ -45,7 +45,7 @@
 		Outliers:   detector,
 		Agents:     agents,
 		Claims:     claims,
-		Knowledge:  reports,
+		Targets:    reports,
 		Quarantine: quarantineTracker,
 		RateLimits: rateLimits,
 		Logger:     logger,
@@ -53,7 +53,7 @@
 	server := NewServer(cfg, parts)
 	reachTracker := newReach()
 	directClient := newDirectClient()
-	permits := NewPermits(rateLimits, reports, pool)
+	permits := NewPermitClient(rateLimits, reports, pool)
 	routedServer := newRouted(cfg, table, tracker, detector, picker, admissions, reachTracker, lockstepTracker, directClient, quarantineTracker, permits, suspicionTracker, logger)
 	entryRelay, err := newRelay(cfg, client, logger)
 	if err != nil {
