--- a/entry/export_test.go
+++ b/entry/export_test.go
@@ -8,7 +8,7 @@
 }
 
 // Wait is how long the entry believes that a call would wait at an endpoint.
-func (d *Daemon) ExpectedWait(id string) time.Duration {
+func (d *Daemon) Wait(id string) time.Duration {
 	return d.server.Loads.Wait(d.server.now(), id)
 }
 
--- a/entry/signals_test.go
+++ b/entry/signals_test.go
@@ -62,7 +62,7 @@
 		is.NoErr(response.Body.Close())
 		blocks := standin.PromptBlocks(prefix)
 		until(t, "the entry has heard of the prefix", func() bool { return f.Entry.MatchedBlocks(engineName(holder), blocks) == len(blocks) })
-		until(t, "the entry has heard that it is computed", func() bool { return f.Entry.ExpectedWait(engineName(holder)) < computing/10 })
+		until(t, "the entry has heard that it is computed", func() bool { return f.Entry.Wait(engineName(holder)) < computing/10 })
 		before := runs(f)
 		is.Equal(send(t.Context(), f, "POST", "/v1/completions", body("second")).status, 200)
 		before[holder]++
