--- a/entry/intake_bench_test.go
+++ b/entry/report_handler_bench_test.go
@@ -12,11 +12,11 @@
 	"github.com/lilackeel/lilackeel/endpoint"
 )
 
-// reportsPerSecond is the default rate of an agent's reports.
+// reportsPerSecond is the default report rate of an agent.
 const reportsPerSecond = 5
 
-// hostReport is the report of a host with eight ranks of a group, each with the
-// given number of cache events of 16 blocks.
+// hostReport returns the report of a host with eight ranks of a group, each with the given number
+// of cache events of 16 blocks.
 func hostReport(events int) *agentv1.Report {
 	const perHost, blocks = 8, 8
 	r := &agentv1.Report{Incarnation: rand.Uint64(), TicketNs: time.Now().UnixNano()}
@@ -39,12 +39,12 @@
 	return r
 }
 
-// BenchmarkReport decodes and takes in one report of a host, in a fleet of 2,500
-// endpoints. The last two metrics are those of one endpoint at the default rate.
+// BenchmarkReport decodes and handles one report of a host in a fleet of 2,500 endpoints. The last
+// two metrics are the cost of one endpoint at the default rate.
 func BenchmarkReport(b *testing.B) {
 	for _, events := range []int{0, 1, 4} {
 		b.Run(fmt.Sprintf("events=%d", events), func(b *testing.B) {
-			f := newIntakeFleet(0)
+			f := newReportFleet(0)
 			f.reports.index = newIndex()
 			message := hostReport(events)
 			f.table.Apply(benchEndpoints(message), nil)
@@ -60,7 +60,7 @@
 				if err := proto.Unmarshal(data, report); err != nil {
 					b.Fatal(err)
 				}
-				renew(report, uint64(i), uint64(events))
+				renumberEvents(report, uint64(i), uint64(events))
 				f.reports.HandleReport("agent", report, now.Add(time.Duration(i)*time.Second/reportsPerSecond))
 			}
 			if ignored := f.reports.index.Stats().Ignored - before; ignored > 0 {
@@ -74,8 +74,9 @@
 	}
 }
 
-// renew makes the events of a report those of the i-th, with blocks of their own.
-func renew(r *agentv1.Report, i, events uint64) {
+// renumberEvents gives the events of a report the sequence numbers of the i-th report, and blocks
+// that differ from those of other reports.
+func renumberEvents(r *agentv1.Report, i, events uint64) {
 	for _, e := range r.GetEvents() {
 		e.Seq += i * events
 		for j := range e.Stored {
@@ -84,7 +85,7 @@
 	}
 }
 
-// benchEndpoints are the endpoints of the report among those of other hosts.
+// benchEndpoints returns the endpoints of the report together with endpoints of other hosts.
 func benchEndpoints(r *agentv1.Report) []endpoint.Endpoint {
 	const fleet = 2500
 	var all []endpoint.Endpoint
--- a/entry/intake_test.go
+++ b/entry/report_handler_test.go
@@ -21,34 +21,34 @@
 	"github.com/lilackeel/lilackeel/quarantine"
 )
 
-// intakeFleet is a server with the real tables and picker, over fake agents, in
-// virtual time. Its endpoints are the ranks of one group.
-type intakeFleet struct {
+// reportFleet is a Server with the real tables and picker and fake agents, in the fake time of
+// synctest. Its endpoints are the ranks of one group.
+type reportFleet struct {
 	*Server
 	reports *ReportSubscriber
 	table   *endpoint.Table
 	ranks   []string
-	// failing is the rank that fails its calls; slow the one whose own steps take
-	// six times as long; none if empty.
+	// failing is the rank that fails its calls, slow the one whose own steps take six times as long;
+	// empty for none.
 	failing, slow string
-	// countsOnly is true when reports hold no step times.
+	// countsOnly is true if reports contain no step times.
 	countsOnly bool
-	// calls counts the dispatches of a span by rank.
+	// calls counts the dispatches of the current run by rank.
 	calls map[string]int
 }
 
-// unconfirmed is the freshness of an entry that no quorum has confirmed.
-type unconfirmed struct{}
+// unconfirmedFreshness is a FreshnessSource without a confirmation by a quorum.
+type unconfirmedFreshness struct{}
 
-func (unconfirmed) Freshness() (uint64, time.Time, bool) { return 0, time.Time{}, false }
+func (unconfirmedFreshness) Freshness() (uint64, time.Time, bool) { return 0, time.Time{}, false }
 
-func newIntakeFleet(ranks int) *intakeFleet {
-	f := &intakeFleet{table: endpoint.NewTable(), calls: map[string]int{}}
+func newReportFleet(ranks int) *reportFleet {
+	f := &reportFleet{table: endpoint.NewTable(), calls: map[string]int{}}
 	agents := &fakes{agent: f.serve}
 	f.Server = agents.server()
 	f.Loads, f.Index = load.New(load.Config{}, f.table), prefix.New(prefix.Config{Entries: 64})
 	f.Picker = pick.New(pick.Config{}, f.table, f.Loads, f.Index, f.Outliers)
-	f.reports = NewReportSubscriber(Config{}, nil, f.table, f.Loads, f.Index, f.Outliers, lockstep.New(), unconfirmed{}, quarantine.NewTracker(), NewRateLimits(Config{}, f.table, NewAdmissionController(Config{}), slog.New(slog.DiscardHandler)), suspicion.NewTracker(1), slog.New(slog.DiscardHandler))
+	f.reports = NewReportSubscriber(Config{}, nil, f.table, f.Loads, f.Index, f.Outliers, lockstep.New(), unconfirmedFreshness{}, quarantine.NewTracker(), NewRateLimits(Config{}, f.table, NewAdmissionController(Config{}), slog.New(slog.DiscardHandler)), suspicion.NewTracker(1), slog.New(slog.DiscardHandler))
 	f.Targets = f.reports
 	var all []endpoint.Endpoint
 	for i := range ranks {
@@ -62,7 +62,7 @@
 	return f
 }
 
-func (f *intakeFleet) serve(_ context.Context, d *agentv1.DispatchRequest, send func(*agentv1.DispatchResponse)) error {
+func (f *reportFleet) serve(_ context.Context, d *agentv1.DispatchRequest, send func(*agentv1.DispatchResponse)) error {
 	f.calls[d.GetEndpoint()]++
 	head := headOf("text/event-stream", "")
 	if d.GetEndpoint() == f.failing {
@@ -77,14 +77,14 @@
 	return nil
 }
 
-// run lets the span pass with a report for each call, about nine a second, and
-// returns the calls that each rank got.
-func (f *intakeFleet) run(ctx context.Context, span time.Duration) map[string]int {
+// run sends calls for the given duration, about nine per second with one report each, and returns
+// the number of calls that each rank got.
+func (f *reportFleet) run(ctx context.Context, duration time.Duration) map[string]int {
 	clear(f.calls)
-	begun := time.Now()
-	for beat := 0; time.Since(begun) < span; beat++ {
+	startedAt := time.Now()
+	for iteration := 0; time.Since(startedAt) < duration; iteration++ {
 		f.reports.HandleReport("agent", f.report(), time.Now())
-		if beat%10 == 0 {
+		if iteration%10 == 0 {
 			f.Outliers.Tick(time.Since(processStart))
 		}
 		ask(f.Server, ctx, chatPath, streamBody)
@@ -93,7 +93,7 @@
 	return f.calls
 }
 
-func (f *intakeFleet) report() *agentv1.Report {
+func (f *reportFleet) report() *agentv1.Report {
 	r := &agentv1.Report{Incarnation: 5}
 	for _, id := range f.ranks {
 		l := &agentv1.LoadReport{Endpoint: id, StepUs: 5000, OwnStepUs: 4500}
@@ -108,54 +108,54 @@
 	return r
 }
 
-// TestFailingAndSlowRanksLeaveAndReturn lets a rank fail its calls and another
-// one step slowly by its own doing, which the calls do not show: each is ejected
-// by comparison with its group, and gets its share again after it has recovered.
-func TestFailingAndSlowRanksLeaveAndReturn(t *testing.T) {
+// TestFailingAndSlowRanksAreEjectedAndRecover has one rank that fails its calls, and one whose own
+// steps are slow, which is not visible in the latency of calls. Each is ejected by comparison with
+// its group, and gets its share of calls again after it has recovered.
+func TestFailingAndSlowRanksAreEjectedAndRecover(t *testing.T) {
 	for _, fault := range []string{"failing", "failing without step times", "slow"} {
 		t.Run(fault, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				defer func(start time.Time) { processStart = start }(processStart)
 				processStart = time.Now()
-				f := newIntakeFleet(6)
+				f := newReportFleet(6)
 				f.countsOnly = strings.HasSuffix(fault, "without step times")
 				healthy := f.run(t.Context(), time.Minute)
-				victim := f.ranks[0]
+				faulty := f.ranks[0]
 				for _, id := range f.ranks {
 					is.Equal(f.Outliers.Ejections(id), 0)
-					if healthy[id] > healthy[victim] {
-						victim = id
+					if healthy[id] > healthy[faulty] {
+						faulty = id
 					}
 				}
-				usual := healthy[victim]
+				before := healthy[faulty]
 				if fault == "slow" {
-					f.slow = victim
+					f.slow = faulty
 				} else {
-					f.failing = victim
+					f.failing = faulty
 				}
 				f.run(t.Context(), 2*time.Minute)
-				is.True(f.Outliers.Ejections(victim) > 0)
-				out := f.run(t.Context(), time.Minute)[victim]
+				is.True(f.Outliers.Ejections(faulty) > 0)
+				during := f.run(t.Context(), time.Minute)[faulty]
 				f.failing, f.slow = "", ""
 				f.run(t.Context(), 10*time.Minute)
-				back := f.run(t.Context(), time.Minute)[victim]
-				t.Logf("calls in a minute: before the fault %d, in it %d, after it %d", usual, out, back)
-				is.True(out <= usual/4)
-				is.True(back >= usual/2)
+				after := f.run(t.Context(), time.Minute)[faulty]
+				t.Logf("calls in a minute: before the fault %d, in it %d, after it %d", before, during, after)
+				is.True(during <= before/4)
+				is.True(after >= before/2)
 				for _, id := range f.ranks {
-					is.True(id == victim || f.Outliers.Ejections(id) == 0)
+					is.True(id == faulty || f.Outliers.Ejections(id) == 0)
 				}
 			})
 		})
 	}
 }
 
-// TestStrangersAreNotLearned holds that reports and events of endpoints that are
-// not in the table, or have left it, leave nothing behind.
-func TestStrangersAreNotLearned(t *testing.T) {
+// TestReportsOfUnknownEndpointsAreDropped checks that reports and events of endpoints that are not
+// in the table, or have been removed from it, leave no state behind.
+func TestReportsOfUnknownEndpointsAreDropped(t *testing.T) {
 	is := is.New(t)
-	f := newIntakeFleet(2)
+	f := newReportFleet(2)
 	report := f.report()
 	for _, id := range append([]string{"stranger"}, f.ranks...) {
 		report.Events = append(report.Events, &agentv1.CacheEvent{Endpoint: id, Seq: 1, Stored: []uint64{7}})
@@ -171,23 +171,23 @@
 	f.Index.Forget(f.ranks[1])
 	f.Loads.Forget(f.ranks[1])
 	f.reports.HandleReport("agent", report, now)
-	is.Equal(f.Index.Stats().Events, uint64(3)) // one of them, of the rank that stays
+	is.Equal(f.Index.Stats().Events, uint64(3)) // only the event of the rank that stays
 	is.Equal(f.Index.Match(now.Sub(processStart), f.ranks[1], []uint64{7}), 0)
-	f.reports.takeEvent(0, 5, report.GetEvents()[2]) // it left after it had been looked up
+	f.reports.handleCacheEvent(0, 5, report.GetEvents()[2]) // removed after it had been looked up
 	is.Equal(f.Index.Match(now.Sub(processStart), f.ranks[1], []uint64{7}), 0)
 	is.True(!f.Loads.ReportsOwnStep(f.ranks[1]))
 }
 
-// TestUnknownIsNotZero holds that what an engine leaves out of its load changes
-// nothing that is known of it otherwise.
-func TestUnknownIsNotZero(t *testing.T) {
+// TestMissingLoadFieldsKeepEstimates checks that fields which are missing in an engine's load report
+// do not change its estimates.
+func TestMissingLoadFieldsKeepEstimates(t *testing.T) {
 	is := is.New(t)
 	e := &endpoint.Endpoint{ID: "e", Kind: endpoint.Engine, Adapters: []string{"crew"}}
-	is.Equal(loadOf(e, &agentv1.LoadReport{Running: 1}), load.Report{Running: 1, Adapters: []string{"crew"}})
-	known := loadOf(e, &agentv1.LoadReport{Adapters: &agentv1.ResidentAdapters{}, StepUs: 2, OwnStepUs: 1, PrefillRate: 3})
+	is.Equal(loadReport(e, &agentv1.LoadReport{Running: 1}), load.Report{Running: 1, Adapters: []string{"crew"}})
+	known := loadReport(e, &agentv1.LoadReport{Adapters: &agentv1.ResidentAdapters{}, StepUs: 2, OwnStepUs: 1, PrefillRate: 3})
 	is.Equal(known, load.Report{StepTime: 2 * time.Microsecond, OwnStep: time.Microsecond, PrefillRate: 3})
 
-	f := newIntakeFleet(3)
+	f := newReportFleet(3)
 	now := time.Now()
 	for range 100 {
 		now = now.Add(time.Second)
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -23,24 +23,22 @@
 )
 
 const (
-	// ticketTTL is how long a ticket may be used for a claim. It is well
-	// within the agents' admission window.
+	// ticketTTL is how long a ticket may be used for a claim. It is well within the agents'
+	// admission window.
 	ticketTTL = 5 * time.Second
-	// minReconnectPause and maxReconnectPause bound the pause before reports are asked
-	// for again.
-	minReconnectPause = 100 * time.Millisecond
-	maxReconnectPause = 5 * time.Second
+	// minReconnectDelay and maxReconnectDelay bound the backoff before a report stream is reopened.
+	minReconnectDelay = 100 * time.Millisecond
+	maxReconnectDelay = 5 * time.Second
 )
 
-// ticket is an agent's time, as it said it, and when it came.
+// ticket is a reading of an agent's clock, and when it was received.
 type ticket struct {
 	incarnation uint64
 	ns          int64
 	received    time.Time
 }
 
-// FreshnessSource says how fresh the entry's own configuration is; feed.Client
-// is one.
+// FreshnessSource provides the freshness of the entry's configuration. feed.Client implements it.
 type FreshnessSource interface {
 	// Freshness returns a revision and a local monotonic time such that a quorum
 	// had confirmed, at that time or later, that no higher revision had been
@@ -48,8 +46,9 @@
 	Freshness() (revision uint64, at time.Time, ok bool)
 }
 
-// Reports follows the reports of all agents: loads, cache events and tickets.
-// It is a Knowledge. Its lock is held while no other lock is taken.
+// ReportSubscriber subscribes to the reports of all agents, which contain loads, cache events and
+// tickets, and publishes the entry's own reports to hosts. It implements TargetResolver. No other
+// lock is taken while its lock is held.
 type ReportSubscriber struct {
 	config    Config
 	pool      *link.Pool
@@ -65,32 +64,34 @@
 	logger    *slog.Logger
 
 	mu sync.Mutex
-	// readers is how many entries read the reports of each host that says so.
+	// readers is how many entries read the reports of a host, by the address of each host that
+	// reports it.
 	readers map[string]int
-	// engines are the addresses of the engines that a host speaks for.
-	engines map[string][]string
-	tickets map[string]ticket
-	stops   map[string]context.CancelFunc
-	names   map[string]string
+	// engines are the addresses of the engines that a host reports on, by the host's address.
+	engines    map[string][]string
+	tickets    map[string]ticket
+	cancels    map[string]context.CancelFunc
+	agentNames map[string]string
 }
 
-// NewReports returns Reports that follow no agent yet.
+// NewReportSubscriber returns a ReportSubscriber without subscriptions.
 func NewReportSubscriber(cfg Config, pool *link.Pool, table *endpoint.Table, loads *load.Tracker, index *prefix.Index, outliers *outlier.Detector, groups *lockstep.Tracker, freshness FreshnessSource, crashes *quarantine.Tracker, limits *RateLimits, suspects *suspicion.Tracker, logger *slog.Logger) *ReportSubscriber {
 	return &ReportSubscriber{
 		config: cfg, pool: pool, table: table, loads: loads, index: index, outliers: outliers, groups: groups, freshness: freshness, crashes: crashes, limits: limits, suspects: suspects, logger: logger,
-		readers: map[string]int{}, engines: map[string][]string{}, tickets: map[string]ticket{}, stops: map[string]context.CancelFunc{}, names: map[string]string{},
+		readers: map[string]int{}, engines: map[string][]string{}, tickets: map[string]ticket{}, cancels: map[string]context.CancelFunc{}, agentNames: map[string]string{},
 	}
 }
 
-// Follow follows exactly the agents of the given addresses, each with its name.
+// SetAgents replaces the set of agents that the subscriber reads reports from. The map holds their
+// names by address.
 func (p *ReportSubscriber) SetAgents(ctx context.Context, agents map[string]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.names = agents
-	for addr, stop := range p.stops {
+	p.agentNames = agents
+	for addr, stop := range p.cancels {
 		if _, wanted := agents[addr]; !wanted {
 			stop()
-			delete(p.stops, addr)
+			delete(p.cancels, addr)
 			delete(p.tickets, addr)
 			delete(p.readers, addr)
 			delete(p.engines, addr)
@@ -98,36 +99,36 @@
 		}
 	}
 	for addr := range agents {
-		if _, followed := p.stops[addr]; followed {
+		if _, followed := p.cancels[addr]; followed {
 			continue
 		}
-		following, stop := context.WithCancel(ctx)
-		p.stops[addr] = stop
-		go p.follow(following, addr)
+		subscription, stop := context.WithCancel(ctx)
+		p.cancels[addr] = stop
+		go p.subscribe(subscription, addr)
 	}
 }
 
-// follow reads the reports of one agent until ctx ends.
-func (p *ReportSubscriber) follow(ctx context.Context, addr string) {
-	pause := minReconnectPause
+// subscribe reads the reports of one agent until ctx ends, and reconnects with backoff.
+func (p *ReportSubscriber) subscribe(ctx context.Context, addr string) {
+	delay := minReconnectDelay
 	for ctx.Err() == nil {
-		reported, err := p.read(ctx, addr)
+		received, err := p.readReports(ctx, addr)
 		if ctx.Err() != nil {
 			return
 		}
-		p.logger.DebugContext(ctx, "the reports of an agent ended", slog.String("agent", addr), slog.Any("error", err))
-		p.forgetTicket(addr)
-		p.silent(addr)
-		if reported {
-			pause = minReconnectPause
+		p.logger.DebugContext(ctx, "report stream of an agent ended", slog.String("agent", addr), slog.Any("error", err))
+		p.dropTicket(addr)
+		p.clearGroupReports(addr)
+		if received {
+			delay = minReconnectDelay
 		}
-		wait.For(ctx, pause/2+rand.N(pause/2+1))
-		pause = min(2*pause, maxReconnectPause)
+		wait.For(ctx, delay/2+rand.N(delay/2+1))
+		delay = min(2*delay, maxReconnectDelay)
 	}
 }
 
-// read takes in reports until the stream breaks.
-func (p *ReportSubscriber) read(ctx context.Context, addr string) (reported bool, err error) {
+// readReports handles reports until the stream ends. received is true if there was at least one.
+func (p *ReportSubscriber) readReports(ctx context.Context, addr string) (received bool, err error) {
 	connection, err := p.pool.Get(addr)
 	if err != nil {
 		return false, err
@@ -135,7 +136,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stream, err := agentv1.NewAgentClient(connection).Reports(ctx, &agentv1.ReportsRequest{
-		Entry: p.config.Name, IntervalMs: p.config.ReportInterval.Milliseconds(), CrashReports: p.known(), RateLimits: p.limits.known(),
+		Entry: p.config.Name, IntervalMs: p.config.ReportInterval.Milliseconds(), CrashReports: p.knownCrashReports(), RateLimits: p.limits.directLimits(),
 	})
 	if err != nil {
 		return false, err
@@ -143,15 +144,16 @@
 	for {
 		report, err := stream.Recv()
 		if err != nil {
-			return reported, err
+			return received, err
 		}
-		reported = true
+		received = true
 		p.HandleReport(addr, report, time.Now())
 	}
 }
 
-// silent drops what the host at an address has last said of its engines' groups.
-func (p *ReportSubscriber) silent(addr string) {
+// clearGroupReports drops the last reported group states of the engines of a host whose report
+// stream has ended.
+func (p *ReportSubscriber) clearGroupReports(addr string) {
 	p.mu.Lock()
 	engines := p.engines[addr]
 	p.mu.Unlock()
@@ -160,15 +162,15 @@
 	}
 }
 
-func (p *ReportSubscriber) forgetTicket(addr string) {
+func (p *ReportSubscriber) dropTicket(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.tickets, addr)
 }
 
-// Readers returns how many entries read the reports of a host, this one included: the
-// median over the hosts, since a host may not have noticed the end of one yet. It is
-// zero where no host says.
+// Readers returns how many entries read the reports of a host, including this one. It is the
+// median over the hosts, since a host may not have noticed yet that an entry is gone, and zero if
+// no host reports it.
 func (p *ReportSubscriber) Readers() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -179,21 +181,21 @@
 	return counts[len(counts)/2]
 }
 
-// Target implements Knowledge.
+// Resolve implements TargetResolver.
 func (p *ReportSubscriber) Resolve(e *endpoint.Endpoint) (call.Target, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	t := call.Target{Endpoint: e.ID, Agent: p.names[e.AgentAddr], AgentAddr: e.AgentAddr, Incarnation: e.Incarnation}
-	known, ok := p.tickets[e.AgentAddr]
+	t := call.Target{Endpoint: e.ID, Agent: p.agentNames[e.AgentAddr], AgentAddr: e.AgentAddr, Incarnation: e.Incarnation}
+	latest, ok := p.tickets[e.AgentAddr]
 	if !ok {
 		return t, false
 	}
-	t.Incarnation = known.incarnation
-	t.TicketNS = known.ns
-	return t, time.Since(known.received) <= ticketTTL
+	t.Incarnation = latest.incarnation
+	t.TicketNS = latest.ns
+	return t, time.Since(latest.received) <= ticketTTL
 }
 
-// Renew implements Knowledge.
+// Renew implements TargetResolver.
 func (p *ReportSubscriber) Renew(t call.Target) (call.Target, bool) {
 	e, ok := p.table.Get(t.Endpoint)
 	if !ok {
@@ -203,18 +205,18 @@
 	return renewed, true
 }
 
-// Freshness implements Knowledge. The difference of two readings of the entry's
-// clock carries its knowledge into the clock of the agent.
+// Freshness implements TargetResolver. The difference between two readings of the entry's clock
+// translates the time of the last confirmation into the clock of the agent.
 func (p *ReportSubscriber) Freshness(addr string) *agentv1.Freshness {
 	revision, confirmed, ok := p.freshness.Freshness()
 	if !ok {
 		return nil
 	}
 	p.mu.Lock()
-	known, ticketed := p.tickets[addr]
+	latest, hasTicket := p.tickets[addr]
 	p.mu.Unlock()
-	if !ticketed {
+	if !hasTicket {
 		return nil
 	}
-	return &agentv1.Freshness{AgentTimeNs: known.ns, OffsetNs: confirmed.Sub(known.received).Nanoseconds(), Revision: revision}
+	return &agentv1.Freshness{AgentTimeNs: latest.ns, OffsetNs: confirmed.Sub(latest.received).Nanoseconds(), Revision: revision}
 }
--- a/entry/request.go
+++ b/entry/request.go
@@ -14,13 +14,13 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// Headers that callers may send, beside the standard ones.
+// Headers that callers may send in addition to the standard ones.
 const (
 	// HeaderWorkspace names the workspace of a request without credentials.
 	HeaderWorkspace = "Lilackeel-Workspace"
 	// HeaderPriority is the priority inside the workspace; higher goes first.
 	HeaderPriority = "Lilackeel-Priority"
-	// HeaderDeadline is the time that the caller waits, in milliseconds.
+	// HeaderDeadline is the time that the caller is willing to wait, in milliseconds.
 	HeaderDeadline = "Lilackeel-Deadline-Ms"
 
 	headerAuthorization   = "Authorization"
@@ -31,60 +31,61 @@
 	headerContentEncoding = "Content-Encoding"
 )
 
-// Limits of what callers may state.
+// Limits of the values in request headers.
 const (
 	minPriority = -100
 	maxPriority = 100
-	// standardUrgency is the urgency of RFC 9218 that means no preference.
+	// standardUrgency is the default urgency of RFC 9218.
 	standardUrgency = 3
 	maxUrgency      = 7
 	maxRequestID    = 128
 )
 
-// request is one parsed request.
+// request is a parsed request.
 type request struct {
-	// id is the caller's name of the request, unique the entry's own, and
-	// dispatchID both.
-	id, unique, dispatchID string
-	workspace              *fleetv1.Workspace
-	directory              *directory
-	// key is the idempotency key; callerKey is true when the caller chose it.
-	key       string
-	callerKey bool
-	priority  int
-	// deadline is when the caller must have the final answer.
+	// id is the request id of the caller, localID that of the entry, and dispatchID is composed of
+	// both.
+	id, localID, dispatchID string
+	workspace               *fleetv1.Workspace
+	directory               *snapshot
+	// idempotencyKey identifies a call that must not run twice; keyFromCaller is true if the caller
+	// chose it.
+	idempotencyKey string
+	keyFromCaller  bool
+	priority       int
+	// deadline is the time by which the caller must have the final answer.
 	deadline time.Duration
 	method   string
-	// target is path and query as the endpoint gets them.
-	target string
-	header http.Header
-	body   []byte
-	// stream is true when the caller asks for a stream.
+	// requestURI is the path and query that are sent to the endpoint.
+	requestURI string
+	header     http.Header
+	body       []byte
+	// stream is true if the caller requested a streamed answer.
 	stream bool
-	// repeatable is true when the call may run more than once.
+	// repeatable is true if the call may run more than once.
 	repeatable bool
-	// kind names the route in metrics.
+	// kind is the kind of the request in metrics.
 	kind string
 	pick pick.Request
 	work load.Work
-	// fingerprint is the same for a request that comes again under another id.
+	// fingerprint identifies equal requests; it does not depend on the request id.
 	fingerprint call.Fingerprint
 }
 
-// retryNoConfiguration is when to ask an entry again that has just started.
-const retryNoConfiguration = time.Second
+// noConfigurationRetryAfter is the Retry-After of an entry that has just started.
+const noConfigurationRetryAfter = time.Second
 
-// errNoConfiguration refuses every request until a configuration is in force:
-// before that no key, model or path can be called wrong.
+// errNoConfiguration refuses every request until a configuration has been applied. Before that, the
+// entry cannot tell whether a key, model or path is invalid.
 var errNoConfiguration = fault.New(fault.Unavailable, "this entry has no accepted configuration yet",
-	"ask again after the time given; if it lasts, look for a quorum of control replicas").After(retryNoConfiguration)
+	"retry after the given time; if the error persists, check that the control replicas have a quorum").After(noConfigurationRetryAfter)
 
-// parseHeaders reads the headers of a request.
+// parseHeaders parses and validates the headers of a request.
 func (s *Server) parseHeaders(r *http.Request, id string) (*request, *call.Verdict) {
 	unique := s.ids.next()
 	q := &request{
 		id:         id,
-		unique:     unique,
+		localID:    unique,
 		dispatchID: id + "/" + unique,
 		directory:  s.directory.current.Load(),
 		method:     r.Method,
@@ -111,7 +112,7 @@
 	return q, nil
 }
 
-// checkHeaders bounds the headers and refuses those that contradict each other.
+// checkHeaders limits the size of the headers and refuses contradictory values.
 func (s *Server) checkHeaders(r *http.Request) *call.Verdict {
 	size := int64(len(r.RequestURI))
 	for name, values := range r.Header {
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// singleHeaders must not be given twice with different values.
+// singleHeaders are the headers that must not occur twice with different values.
 var singleHeaders = []string{
 	headerAuthorization, call.HeaderIdempotencyKey, HeaderWorkspace, HeaderPriority,
 	HeaderDeadline, call.HeaderRequestID, headerContentType,
@@ -146,20 +147,20 @@
 	return true
 }
 
-// authenticate finds the workspace that pays for the request.
+// authenticate determines the workspace of the request.
 func (s *Server) authenticate(q *request, r *http.Request) *call.Verdict {
-	named := r.Header.Get(HeaderWorkspace)
+	workspaceName := r.Header.Get(HeaderWorkspace)
 	credentials := r.Header.Get(headerAuthorization)
 	if credentials == "" {
-		return s.admitAnonymous(q, named)
+		return s.authenticateAnonymous(q, workspaceName)
 	}
 	scheme, key, _ := strings.Cut(credentials, " ")
 	workspace, known := q.directory.workspaceOf(strings.TrimSpace(key))
 	if !strings.EqualFold(scheme, "Bearer") || !known {
-		return call.Refuse(fault.New(fault.Unauthenticated, "the workspace key is not known",
+		return call.Refuse(fault.New(fault.Unauthenticated, "the workspace key is unknown",
 			"send Authorization: Bearer with a key of your workspace"))
 	}
-	if named != "" && named != workspace.GetName() {
+	if workspaceName != "" && workspaceName != workspace.GetName() {
 		return call.Refuse(fault.Newf(fault.Invalid, "remove "+HeaderWorkspace+", or send the key of that workspace",
 			"%s contradicts the workspace key", HeaderWorkspace))
 	}
@@ -167,25 +168,25 @@
 	return nil
 }
 
-func (s *Server) admitAnonymous(q *request, named string) *call.Verdict {
+func (s *Server) authenticateAnonymous(q *request, workspaceName string) *call.Verdict {
 	if s.config.AnonymousWorkspace == "" {
 		return call.Refuse(fault.New(fault.Unauthenticated, "the request carries no workspace key",
 			"send Authorization: Bearer with a key of your workspace"))
 	}
-	if named == "" {
-		named = s.config.AnonymousWorkspace
+	if workspaceName == "" {
+		workspaceName = s.config.AnonymousWorkspace
 	}
-	workspace, ok := q.directory.Workspaces.Get(named)
+	workspace, ok := q.directory.Workspaces.Get(workspaceName)
 	if !ok {
 		return call.Refuse(fault.Newf(fault.Unauthenticated, "name an existing workspace, or send a workspace key",
-			"there is no workspace %q", named))
+			"there is no workspace %q", workspaceName))
 	}
 	q.workspace = workspace
 	return nil
 }
 
-// readDeadline reads the wait that the caller allows: HeaderDeadline, or the
-// wait preference of RFC 7240 in seconds.
+// readDeadline reads the time that the caller is willing to wait: HeaderDeadline, or the wait
+// preference of RFC 7240, which is in seconds.
 func (s *Server) readDeadline(q *request, r *http.Request) *call.Verdict {
 	wait := s.config.DefaultDeadline
 	preferred, hasPreferred := preferredWait(r.Header.Values(headerPrefer))
@@ -200,14 +201,14 @@
 		}
 		wait = time.Duration(ms) * time.Millisecond
 		if hasPreferred && preferred != wait {
-			return call.Refuse(fault.Newf(fault.Invalid, "send one of them", "%s contradicts Prefer: wait", HeaderDeadline))
+			return call.Refuse(fault.Newf(fault.Invalid, "send only one of the two headers", "%s contradicts Prefer: wait", HeaderDeadline))
 		}
 	}
 	q.deadline = s.now() + min(wait, s.config.MaxDeadline)
 	return nil
 }
 
-// preferredWait finds the wait preference.
+// preferredWait returns the wait preference of RFC 7240, if there is one.
 func preferredWait(values []string) (time.Duration, bool) {
 	for _, value := range values {
 		for part := range strings.SplitSeq(value, ",") {
@@ -221,8 +222,7 @@
 	return 0, false
 }
 
-// readPriority reads HeaderPriority, or the urgency of RFC 9218 (0 is the most
-// urgent).
+// readPriority reads HeaderPriority, or the urgency of RFC 9218, of which 0 is the highest.
 func (q *request) readPriority(r *http.Request) *call.Verdict {
 	urgency, hasUrgency := urgencyOf(r.Header.Get(headerStdPriority))
 	if hasUrgency {
@@ -238,7 +238,7 @@
 			"%s must be from %d to %d", HeaderPriority, minPriority, maxPriority))
 	}
 	if hasUrgency && priority != q.priority {
-		return call.Refuse(fault.Newf(fault.Invalid, "send one of them", "%s contradicts the header Priority", HeaderPriority))
+		return call.Refuse(fault.Newf(fault.Invalid, "send only one of the two headers", "%s contradicts the header Priority", HeaderPriority))
 	}
 	q.priority = priority
 	return nil
@@ -255,7 +255,7 @@
 	return 0, false
 }
 
-// readKey reads the idempotency key. The header may be a quoted string.
+// readKey reads the idempotency key, which may be a quoted string.
 func (q *request) readKey(r *http.Request) *call.Verdict {
 	values := r.Header.Values(call.HeaderIdempotencyKey)
 	if len(values) == 0 {
@@ -268,30 +268,30 @@
 	if f := call.CheckKey(key); f != nil {
 		return call.Refuse(f)
 	}
-	q.key = key
-	q.callerKey = true
+	q.idempotencyKey = key
+	q.keyFromCaller = true
 	return nil
 }
 
-// readTarget refuses paths that an endpoint might read differently than the
-// routes of the configuration do.
+// readTarget reads the path and query. It refuses paths that an endpoint might interpret differently
+// from the route matching of the entry.
 func (q *request) readTarget(r *http.Request) *call.Verdict {
-	plain := r.URL.Path
-	cleaned := path.Clean(plain)
-	if strings.HasSuffix(plain, "/") && cleaned != "/" {
+	original := r.URL.Path
+	cleaned := path.Clean(original)
+	if strings.HasSuffix(original, "/") && cleaned != "/" {
 		cleaned += "/"
 	}
 	escaped := strings.ToLower(r.URL.EscapedPath())
-	ambiguous := strings.Contains(escaped, "%2f") || strings.Contains(escaped, "%5c") || strings.ContainsAny(plain, "\\;")
-	if cleaned != plain || ambiguous {
+	ambiguous := strings.Contains(escaped, "%2f") || strings.Contains(escaped, "%5c") || strings.ContainsAny(original, "\\;")
+	if cleaned != original || ambiguous {
 		return call.Refuse(fault.New(fault.Invalid, "the path is ambiguous",
-			"send a path without empty or dot segments, semicolons, backslashes and escaped slashes"))
+			"send a path without empty segments, dot segments, semicolons, backslashes or escaped slashes"))
 	}
-	q.target = r.URL.RequestURI()
+	q.requestURI = r.URL.RequestURI()
 	return nil
 }
 
-// validRequestID reports whether a caller's request id can stand in logs.
+// validRequestID reports whether a caller's request id is safe to log: short, printable ASCII.
 func validRequestID(id string) bool {
 	if id == "" || len(id) > maxRequestID {
 		return false
--- a/entry/server.go
+++ b/entry/server.go
@@ -20,7 +20,7 @@
 	"github.com/lilackeel/lilackeel/telemetry"
 )
 
-// Parts are the dependencies of a Server.
+// Dependencies are the dependencies of a Server.
 type Dependencies struct {
 	Directory *Directory
 	Admitter  Admitter
@@ -31,47 +31,49 @@
 	Agents    Agents
 	Claims    Claims
 	Targets   TargetResolver
-	// Quarantine knows the requests under which endpoints have ended.
+	// Quarantine tracks the requests that may have crashed endpoints.
 	Quarantine *quarantine.Tracker
 	RateLimits *RateLimits
 	Logger     *slog.Logger
 }
 
-// Server answers callers. It is an http.Handler.
+// Server handles the requests of callers by the completions API and the services of the
+// configuration. It implements http.Handler.
 type Server struct {
 	Dependencies
 	config    Config
 	policy    *call.Policy
 	budget    *call.Budget
-	ids       *ids
+	ids       *idGenerator
 	start     time.Time
 	directory *Directory
 	models    *restful.Container
 	metrics   *serverMetrics
-	// records are the ended calls whose record is still being written.
-	records sync.WaitGroup
+	// pendingRecords counts the ended calls whose record is still being written.
+	pendingRecords sync.WaitGroup
 }
 
-// NewServer returns a server over the given parts.
-func NewServer(cfg Config, parts Dependencies) *Server {
+// NewServer returns a Server with the given dependencies.
+func NewServer(cfg Config, dependencies Dependencies) *Server {
 	s := &Server{
-		Dependencies: parts,
+		Dependencies: dependencies,
 		config:       cfg,
 		policy:       cfg.policy(),
 		budget:       call.NewBudget(cfg.budget()),
-		ids:          newIDs(),
+		ids:          newIDGenerator(),
 		start:        processStart,
-		directory:    parts.Directory,
+		directory:    dependencies.Directory,
 		metrics:      newServerMetrics(),
 	}
-	s.models = s.modelContainer()
+	s.models = s.newModelContainer()
 	return s
 }
 
-// processStart is the zero of all times that the entry passes to pure packages.
+// processStart is the origin of the times that the entry passes to packages without a clock of
+// their own.
 var processStart = time.Now()
 
-// now returns the time since the entry started, monotonic.
+// now returns the monotonic time since the entry started.
 func (s *Server) now() time.Duration { return time.Since(s.start) }
 
 // ServeHTTP implements http.Handler.
@@ -90,11 +92,11 @@
 		s.models.ServeHTTP(w, r)
 		return
 	}
-	s.serveService(w, r)
+	s.forwardToService(w, r)
 }
 
-// Settled returns once the records of all ended calls are written.
-func (s *Server) WaitForRecords() { s.records.Wait() }
+// WaitForRecords waits until the records of all ended calls are written.
+func (s *Server) WaitForRecords() { s.pendingRecords.Wait() }
 
 // requestIDKey is the context key of the request id.
 type requestIDKey struct{}
@@ -104,15 +106,15 @@
 	return id
 }
 
-// modelContainer routes the completions API.
-func (s *Server) modelContainer() *restful.Container {
+// newModelContainer returns the router of the completions API.
+func (s *Server) newModelContainer() *restful.Container {
 	service := new(restful.WebService).Path("/v1")
 	service.Route(service.POST("/chat/completions").To(s.handler(s.serveChat)))
 	service.Route(service.POST("/completions").To(s.handler(s.serveText)))
 	service.Route(service.GET("/models").To(s.handler(s.serveModels)))
 	container := restful.NewContainer()
 	container.DoNotRecover(true)
-	container.ServiceErrorHandler(s.noRoute)
+	container.ServiceErrorHandler(s.handleRouteError)
 	container.Add(service)
 	return container
 }
@@ -121,25 +123,25 @@
 	return func(r *restful.Request, w *restful.Response) { serve(w.ResponseWriter, r.Request) }
 }
 
-// noRoute answers a path below /v1 that the completions API does not have: a
-// service may have it.
-func (s *Server) noRoute(e restful.ServiceError, r *restful.Request, w *restful.Response) {
+// handleRouteError handles requests below /v1 that the completions API does not serve. Unknown
+// paths are passed on to the services.
+func (s *Server) handleRouteError(e restful.ServiceError, r *restful.Request, w *restful.Response) {
 	if e.Code == http.StatusNotFound {
-		s.serveService(w.ResponseWriter, r.Request)
+		s.forwardToService(w.ResponseWriter, r.Request)
 		return
 	}
 	for name, values := range e.Header {
 		w.ResponseWriter.Header()[name] = values
 	}
 	s.refuse(w.ResponseWriter, r.Request, call.RefuseWith(e.Code, fault.Newf(fault.Invalid,
-		"use the method and the content type that the completions API describes", "%s %s is not allowed: %s", r.Request.Method, r.Request.URL.Path, e.Message)))
+		"use a method and content type that the completions API supports", "%s %s is not allowed: %s", r.Request.Method, r.Request.URL.Path, e.Message)))
 }
 
-// refuse answers a request that was not taken on.
+// refuse answers a request that was not admitted.
 func (s *Server) refuse(w http.ResponseWriter, r *http.Request, v *call.Verdict) {
 	id := requestID(r)
-	newDelivery(w, s.config.WriteTimeout, id).end(v)
-	s.metrics.refused(v)
+	newDelivery(w, s.config.WriteTimeout, id).finish(v)
+	s.metrics.recordRefused(v)
 	s.Logger.LogAttrs(r.Context(), slog.LevelInfo, "refused a request",
 		slog.String("request_id", id), slog.String("kind", string(v.Fault.Kind)),
 		slog.String("message", v.Fault.Message), slog.Int("status", v.HTTPStatus()))
--- a/entry/slow_test.go
+++ b/entry/slow_reader_test.go
@@ -16,15 +16,15 @@
 	"github.com/lilackeel/lilackeel/link"
 )
 
-// endlessAgent streams without an end and counts what it got rid of.
+// endlessAgent sends a stream without end and counts the bytes sent.
 type endlessAgent struct {
 	agentv1.UnimplementedAgentServer
-	sent atomic.Int64
-	gone chan struct{}
+	sentBytes atomic.Int64
+	cancelled chan struct{}
 }
 
 func (a *endlessAgent) Dispatch(d *agentv1.DispatchRequest, stream grpc.ServerStreamingServer[agentv1.DispatchResponse]) error {
-	defer close(a.gone)
+	defer close(a.cancelled)
 	send := func(r *agentv1.DispatchResponse) error {
 		r.RequestId, r.Attempt, r.Incarnation = d.GetRequestId(), d.GetAttempt(), d.GetIncarnation()
 		return stream.Send(r)
@@ -34,19 +34,19 @@
 	}
 	part := string(make([]byte, 16<<10))
 	for {
-		if err := send(chunkOf(int(a.sent.Load()), part)); err != nil {
+		if err := send(chunkOf(int(a.sentBytes.Load()), part)); err != nil {
 			return err
 		}
-		a.sent.Add(int64(len(part)))
+		a.sentBytes.Add(int64(len(part)))
 	}
 }
 
-// TestSlowReader lets a caller read nothing of an endless stream: what the
-// processes take in is bounded by their windows and the kernel's buffers, and
-// after the write timeout the agent's stream is cancelled.
+// TestSlowReader has a caller that reads nothing of an endless stream. The buffered data must be
+// bounded by the flow-control windows and the kernel's buffers, and the agent's stream must be
+// cancelled after the write timeout.
 func TestSlowReader(t *testing.T) {
 	is := is.New(t)
-	agent := &endlessAgent{gone: make(chan struct{})}
+	agent := &endlessAgent{cancelled: make(chan struct{})}
 	options, err := link.ServerOptions(link.Config{})
 	is.NoErr(err)
 	server := grpc.NewServer(options...)
@@ -60,7 +60,7 @@
 
 	s := (&fakes{}).server()
 	s.Agents = NewAgents(NewPool(dial))
-	s.Picker = onePicker{endpoint: endpoint.Endpoint{ID: "e1", AgentAddr: listener.Addr().String(), Incarnation: 5}}
+	s.Picker = fixedPicker{endpoint: endpoint.Endpoint{ID: "e1", AgentAddr: listener.Addr().String(), Incarnation: 5}}
 	front := httptest.NewServer(s)
 	t.Cleanup(front.Close)
 	connection, err := net.Dial("tcp", front.Listener.Addr().String())
@@ -68,10 +68,10 @@
 	t.Cleanup(func() { _ = connection.Close() })
 	fmt.Fprintf(connection, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret-key\r\nContent-Length: %d\r\n\r\n%s", chatPath, len(streamBody), streamBody)
 	select {
-	case <-agent.gone:
+	case <-agent.cancelled:
 	case <-time.After(20 * time.Second):
 		t.Fatal("the agent's stream was not cancelled")
 	}
-	t.Logf("the agent got rid of %d bytes", agent.sent.Load())
-	is.True(agent.sent.Load() < 64<<20) // an unbounded reader takes gigabytes in a second
+	t.Logf("the agent sent %d bytes", agent.sentBytes.Load())
+	is.True(agent.sentBytes.Load() < 64<<20) // an unbounded reader would take gigabytes per second
 }
--- a/entry/suspects_test.go
+++ b/entry/suspects_test.go
@@ -9,28 +9,29 @@
 	"github.com/lilackeel/lilackeel/standin"
 )
 
-// Guards against entries that each find out alone that an endpoint hangs: two that have asked it
-// are enough for a third, which has not. Once it answers one of them, it is used by all again.
-func TestAnEndpointThatHangsIsLeftOutByAll(t *testing.T) {
+// Guards against every entry having to detect on its own that an endpoint hangs. Timeouts at two
+// entries suffice for a third that has not called the endpoint. Once the endpoint answers one of
+// them, all use it again.
+func TestHangingEndpointIsAvoidedByAllEntries(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newLimitedFleet(t, 8, 3)
+	f := newRoutedFleet(t, 8, 3)
 	for range 2 {
 		f.startEntry(40)
 	}
-	time.Sleep(500 * time.Millisecond) // the hosts' reports are followed
+	time.Sleep(500 * time.Millisecond) // the entries have subscribed to the hosts' reports
 	f.services[0].SetFaults(standin.Faults{Refuse: true})
 	third := f.startEntry(0.01)
 	suspects := third.configurer.reports.suspects
 	all := func(string) bool { return true }
 	for end := time.Now().Add(10 * time.Second); len(suspects.Out(time.Since(processStart), all, 8)) == 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the third entry has not heard of it")
+			t.Fatal("the third entry has not learned of the suspicion")
 		}
 	}
 	since := time.Now()
 	for range 40 {
-		f.ask(f.fronts[2].URL)
+		f.sendGet(f.entries[2].URL)
 	}
 	t.Logf("40 requests of the third entry in %v: %d failed", time.Since(since), f.other.Load())
 	is.Equal(f.services[0].MostArrivals(since, time.Second), 0)
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -13,17 +13,17 @@
 	"github.com/lilackeel/lilackeel/quarantine"
 )
 
-// New assembles an entry, which does nothing before Run.
+// New assembles the daemon of an entry. It is started by Run.
 func New(cfg Config, logger *slog.Logger) (*Daemon, error) {
 	wire.Build(
 		newDialOptions, NewPool, newFeed, NewDirectory, endpoint.NewTable, newTracker, newIndex, newDetector, newPicker,
-		NewAgents, NewClaims, NewReports, NewAdmissions, NewServer, newReady, newRelay, listen,
-		newReach, newGroups, newDirectClient, newRouted, quarantine.NewTracker, NewRateLimits, NewPermits, newSuspects,
-		wire.Bind(new(Admitter), new(*Admissions)),
+		NewAgents, NewClaims, NewReportSubscriber, NewAdmissionController, NewServer, newReady, newRelay, listen,
+		newReach, newGroups, newDirectClient, newRouted, quarantine.NewTracker, NewRateLimits, NewPermitClient, newSuspects,
+		wire.Bind(new(Admitter), new(*AdmissionController)),
 		wire.Bind(new(Picker), new(*pick.Picker)),
-		wire.Bind(new(Knowledge), new(*Reports)),
+		wire.Bind(new(TargetResolver), new(*ReportSubscriber)),
 		wire.Bind(new(FreshnessSource), new(*feed.Client)),
-		wire.Struct(new(Parts), "*"),
+		wire.Struct(new(Dependencies), "*"),
 		wire.Struct(new(configurer), "*"),
 		wire.Struct(new(Daemon), "*"),
 	)
--- a/entry/wire_gen.go
+++ b/entry/wire_gen.go
@@ -14,10 +14,10 @@
 
 // Injectors from wire.go:
 
-// New assembles an entry, which does nothing before Run.
+// New assembles the daemon of an entry. It is started by Run.
 func New(cfg Config, logger *slog.Logger) (*Daemon, error) {
-	entryDirectory := NewDirectory()
-	admissions := NewAdmissionController(cfg)
+	directory := NewDirectory()
+	admissionController := NewAdmissionController(cfg)
 	table := endpoint.NewTable()
 	tracker := newTracker(cfg, table)
 	index := newIndex()
@@ -33,45 +33,45 @@
 	lockstepTracker := newGroups()
 	client := newFeed(cfg, v, logger)
 	quarantineTracker := quarantine.NewTracker()
-	rateLimits := NewRateLimits(cfg, table, admissions, logger)
+	rateLimits := NewRateLimits(cfg, table, admissionController, logger)
 	suspicionTracker := newSuspects(cfg)
-	reports := NewReportSubscriber(cfg, pool, table, tracker, index, detector, lockstepTracker, client, quarantineTracker, rateLimits, suspicionTracker, logger)
-	parts := Dependencies{
-		Directory:  entryDirectory,
-		Admitter:   admissions,
+	reportSubscriber := NewReportSubscriber(cfg, pool, table, tracker, index, detector, lockstepTracker, client, quarantineTracker, rateLimits, suspicionTracker, logger)
+	dependencies := Dependencies{
+		Directory:  directory,
+		Admitter:   admissionController,
 		Picker:     picker,
 		Loads:      tracker,
 		Index:      index,
 		Outliers:   detector,
 		Agents:     agents,
 		Claims:     claims,
-		Targets:    reports,
+		Targets:    reportSubscriber,
 		Quarantine: quarantineTracker,
 		RateLimits: rateLimits,
 		Logger:     logger,
 	}
-	server := NewServer(cfg, parts)
+	server := NewServer(cfg, dependencies)
 	reachTracker := newReach()
 	directClient := newDirectClient()
-	permits := NewPermitClient(rateLimits, reports, pool)
-	routedServer := newRouted(cfg, table, tracker, detector, picker, admissions, reachTracker, lockstepTracker, directClient, quarantineTracker, permits, suspicionTracker, logger)
+	permitClient := NewPermitClient(rateLimits, reportSubscriber, pool)
+	routedServer := newRouted(cfg, table, tracker, detector, picker, admissionController, reachTracker, lockstepTracker, directClient, quarantineTracker, permitClient, suspicionTracker, logger)
 	entryRelay, err := newRelay(cfg, client, logger)
 	if err != nil {
 		return nil, err
 	}
 	entryConfigurer := &configurer{
-		directory:  entryDirectory,
-		table:      table,
-		admissions: admissions,
-		reports:    reports,
-		loads:      tracker,
-		index:      index,
-		outliers:   detector,
-		reach:      reachTracker,
-		groups:     lockstepTracker,
-		limits:     rateLimits,
-		client:     directClient,
-		routed:     routedServer,
+		directory: directory,
+		table:     table,
+		admission: admissionController,
+		reports:   reportSubscriber,
+		loads:     tracker,
+		index:     index,
+		outliers:  detector,
+		reach:     reachTracker,
+		groups:    lockstepTracker,
+		limits:    rateLimits,
+		client:    directClient,
+		routed:    routedServer,
 	}
 	ready := newReady()
 	listener, err := listen(cfg)
