--- a/call/action.go
+++ b/call/action.go
@@ -8,12 +8,12 @@
 )
 
 // Kind says what the driver has to do next, and how it reports the result.
-type Kind int
+type ActionKind int
 
 // The kinds of action.
 const (
 	// Pick: choose an endpoint; report by Picked or PickFailed.
-	Pick Kind = iota + 1
+	Pick ActionKind = iota + 1
 	// Claim: ask the control replicas for Claim; report by Claimed.
 	Claim
 	// Dispatch: send one attempt to Target; report by Response or Cut.
@@ -30,7 +30,7 @@
 )
 
 // String returns the name of the kind.
-func (k Kind) String() string {
+func (k ActionKind) String() string {
 	names := [...]string{"none", "pick", "claim", "dispatch", "receive", "revoke", "settle", "finish"}
 	if k < 0 || int(k) >= len(names) {
 		return "invalid"
@@ -56,7 +56,7 @@
 // waits for Delay and carries out Kind.
 type Action struct {
 	// Kind is what has to be done.
-	Kind Kind
+	Kind ActionKind
 	// Delay is the wait before it.
 	Delay time.Duration
 
@@ -96,9 +96,9 @@
 	MaxResumes int
 	// HoldBytes is how much of an answer that is not streamed is held back
 	// until it is whole, so that a cut answer can still be repeated.
-	HoldBytes int
+	MaxBufferedBytes int
 	// RecordBytes is the largest answer body that is recorded for a claim.
-	RecordBytes int
+	MaxRecordedBodyBytes int
 	// Backoff is the wait before a retry.
 	Backoff Backoff
 	// FirstByteTimeout bounds the wait for the head of a streamed answer.
@@ -122,19 +122,19 @@
 
 // DefaultPolicy suits zones a few milliseconds apart.
 var DefaultPolicy = Policy{
-	MaxAttempts:      3,
-	MaxResumes:       3,
-	HoldBytes:        1 << 20,
-	RecordBytes:      64 << 10,
-	Backoff:          Backoff{Base: 10 * time.Millisecond, Max: time.Second},
-	FirstByteTimeout: 30 * time.Second,
-	IdleTimeout:      30 * time.Second,
-	ClaimTimeout:     3 * time.Second,
-	RevokeAfter:      time.Second,
-	RevokeTimeout:    3 * time.Second,
-	SettleTimeout:    10 * time.Second,
-	Poll:             Backoff{Base: 20 * time.Millisecond, Max: 500 * time.Millisecond},
-	RetryAfter:       DefaultRetryAfter,
+	MaxAttempts:          3,
+	MaxResumes:           3,
+	MaxBufferedBytes:     1 << 20,
+	MaxRecordedBodyBytes: 64 << 10,
+	Backoff:              Backoff{Base: 10 * time.Millisecond, Max: time.Second},
+	FirstByteTimeout:     30 * time.Second,
+	IdleTimeout:          30 * time.Second,
+	ClaimTimeout:         3 * time.Second,
+	RevokeAfter:          time.Second,
+	RevokeTimeout:        3 * time.Second,
+	SettleTimeout:        10 * time.Second,
+	Poll:                 Backoff{Base: 20 * time.Millisecond, Max: 500 * time.Millisecond},
+	RetryAfter:           DefaultRetryAfter,
 }
 
 // Counts says what a call met on its way.
--- a/call/deadline_test.go
+++ b/call/deadline_test.go
@@ -19,10 +19,10 @@
 	noQuorum := fault.New(fault.NoQuorum, "no quorum", "ask again")
 	for seed := range uint64(500) {
 		now := time.Duration(0)
-		m := call.NewSingle(call.SingleOptions{
+		m := call.NewAtMostOnce(call.AtMostOnceOptions{
 			Options: call.Options{RequestID: "r1", Deadline: deadline, Policy: &call.DefaultPolicy,
 				Budget: call.NewBudget(call.DefaultBudget), Rand: rand.New(rand.NewPCG(seed, 1))},
-			Workspace: "ops", Key: "k", Digest: call.Digest("POST", "/swap", nil), CallerKey: true, Unique: "u",
+			Workspace: "ops", Key: "k", Digest: call.Digest("POST", "/swap", nil), CallerKey: true, ClaimIDPrefix: "u",
 		})
 		a := m.Start(now)
 		for a.Kind != call.Finish {
--- a/call/direct.go
+++ b/call/direct.go
@@ -48,22 +48,22 @@
 const maxUnsent = 3
 
 // Progress says how far an attempt came.
-type Progress int
+type AttemptOutcome int
 
 // How far an attempt came.
 const (
 	// Unsent: no endpoint has got any of it.
-	Unsent Progress = iota + 1
+	Unsent AttemptOutcome = iota + 1
 	// Rejected: an endpoint has answered that it did not run it.
 	Rejected
 	// Ran: it may have run.
-	Ran
+	MayHaveRun
 )
 
 // Step is what follows from the end of an attempt.
-type Step struct {
+type RetryDecision struct {
 	// Again is true when another endpoint is to be tried after Delay.
-	Again bool
+	Retry bool
 	Delay time.Duration
 	// Verdict is the final word otherwise.
 	Verdict *Verdict
@@ -84,7 +84,7 @@
 func (d *Direct) MayHaveRun() bool { return d.mayHaveRun }
 
 // Ended reports the end of an attempt without a whole answer.
-func (d *Direct) Ended(now time.Duration, p Progress, f *fault.Error) Step {
+func (d *Direct) AttemptFailed(now time.Duration, p AttemptOutcome, f *fault.Error) RetryDecision {
 	switch p {
 	case Unsent:
 		d.unsent++
@@ -95,45 +95,45 @@
 		d.mayHaveRun = true
 	}
 	if !d.mayRetry(now, p) {
-		return Step{Verdict: d.GiveUp(now, f)}
+		return RetryDecision{Verdict: d.FailureVerdict(now, f)}
 	}
 	delay := d.options.Backoff.Delay(d.options.Rand, d.sent+d.unsent-1)
 	if now+delay >= d.options.Deadline {
-		return Step{Verdict: d.GiveUp(now, f)}
+		return RetryDecision{Verdict: d.FailureVerdict(now, f)}
 	}
-	return Step{Again: true, Delay: delay}
+	return RetryDecision{Retry: true, Delay: delay}
 }
 
 // Moved reports the end of an attempt that was ended to go on at another endpoint. Its
 // retry has been taken out of the budget already.
-func (d *Direct) Moved(now time.Duration, f *fault.Error) Step {
+func (d *Direct) AttemptRerouted(now time.Duration, f *fault.Error) RetryDecision {
 	d.sent++
 	d.mayHaveRun = true
 	if now >= d.options.Deadline || !d.options.Repeatable || d.sent >= d.options.MaxAttempts {
-		return Step{Verdict: d.GiveUp(now, f)}
+		return RetryDecision{Verdict: d.FailureVerdict(now, f)}
 	}
-	return Step{Again: true}
+	return RetryDecision{Retry: true}
 }
 
 // ReplaceAnswer reports whether an endpoint's whole answer with this status is to
 // be dropped in favour of another attempt, which it then counts and has withdrawn
 // from the budget. Otherwise the answer is to be delivered.
-func (d *Direct) ReplaceAnswer(now time.Duration, status int) (Step, bool) {
+func (d *Direct) RetryOnStatus(now time.Duration, status int) (RetryDecision, bool) {
 	if status < http.StatusInternalServerError || !d.options.Repeatable || d.sent+1 >= d.options.MaxAttempts {
-		return Step{}, false
+		return RetryDecision{}, false
 	}
 	delay := d.options.Backoff.Delay(d.options.Rand, d.sent+d.unsent)
 	if now+delay >= d.options.Deadline || !d.options.Budget.Withdraw(now) {
-		return Step{}, false
+		return RetryDecision{}, false
 	}
 	d.sent++
 	d.mayHaveRun = true
-	return Step{Again: true, Delay: delay}, true
+	return RetryDecision{Retry: true, Delay: delay}, true
 }
 
 // mayRetry reports whether one more endpoint may be tried. An attempt that
 // reached no endpoint costs neither an attempt nor the budget.
-func (d *Direct) mayRetry(now time.Duration, p Progress) bool {
+func (d *Direct) mayRetry(now time.Duration, p AttemptOutcome) bool {
 	switch {
 	case now >= d.options.Deadline, d.mayHaveRun && !d.options.Repeatable:
 		return false
@@ -146,7 +146,7 @@
 }
 
 // GiveUp returns the final word on a call that gets no answer.
-func (d *Direct) GiveUp(now time.Duration, f *fault.Error) *Verdict {
+func (d *Direct) FailureVerdict(now time.Duration, f *fault.Error) *Verdict {
 	late := now >= d.options.Deadline
 	switch {
 	case d.mayHaveRun && late:
@@ -158,7 +158,7 @@
 		f = f.After(d.options.RetryAfter)
 	}
 	if isTransient(f.Kind) {
-		return RefuseWith(http.StatusServiceUnavailable, f)
+		return RefuseWithStatus(http.StatusServiceUnavailable, f)
 	}
 	return Refuse(f)
 }
--- a/call/direct_moved_test.go
+++ b/call/direct_moved_test.go
@@ -14,14 +14,14 @@
 func TestAMovedAttemptIsPaidForOnce(t *testing.T) {
 	is := is.New(t)
 	slow := fault.New(fault.Unknown, "the endpoint's group is slow", "ask again")
-	moved := func(now time.Duration, repeatable bool, attempts int) Step {
+	moved := func(now time.Duration, repeatable bool, attempts int) RetryDecision {
 		d := NewDirect(DirectOptions{Deadline: time.Second, Repeatable: repeatable, MaxAttempts: attempts, Budget: NewBudget(BudgetConfig{})})
-		return d.Moved(now, slow)
+		return d.AttemptRerouted(now, slow)
 	}
-	is.True(moved(0, true, 2).Again)
-	is.True(!moved(2*time.Second, true, 2).Again) // too late
-	is.True(!moved(0, true, 1).Again)             // no further endpoint may have it
+	is.True(moved(0, true, 2).Retry)
+	is.True(!moved(2*time.Second, true, 2).Retry) // too late
+	is.True(!moved(0, true, 1).Retry)             // no further endpoint may have it
 	step := moved(0, false, 2)
-	is.True(!step.Again)
+	is.True(!step.Retry)
 	is.Equal(step.Verdict.Outcome, Unknown) // it may have run: never a refusal
 }
--- a/call/direct_test.go
+++ b/call/direct_test.go
@@ -27,9 +27,9 @@
 // TestDirectCallsKeepTheirPromises plays every order of up to five ends of
 // attempts and checks the invariants of Direct on each.
 func TestDirectCallsKeepTheirPromises(t *testing.T) {
-	progresses := []Progress{Unsent, Rejected, Ran}
-	var play func(history []Progress)
-	play = func(history []Progress) {
+	progresses := []AttemptOutcome{Unsent, Rejected, MayHaveRun}
+	var play func(history []AttemptOutcome)
+	play = func(history []AttemptOutcome) {
 		for _, repeatable := range []bool{false, true} {
 			for attempts := 1; attempts <= 3; attempts++ {
 				checkDirect(t, repeatable, attempts, history)
@@ -45,7 +45,7 @@
 	play(nil)
 }
 
-func checkDirect(t *testing.T, repeatable bool, attempts int, history []Progress) {
+func checkDirect(t *testing.T, repeatable bool, attempts int, history []AttemptOutcome) {
 	t.Helper()
 	is := is.New(t)
 	d := newDirect(repeatable, attempts)
@@ -54,15 +54,15 @@
 		if p != Unsent {
 			sent++
 		}
-		if p == Ran {
+		if p == MayHaveRun {
 			ran++
 		}
 		f := errFull
-		if p == Ran {
+		if p == MayHaveRun {
 			f = errCut
 		}
-		step := d.Ended(time.Duration(i)*time.Millisecond, p, f)
-		is.True(step.Again == (step.Verdict == nil)) // one of the two
+		step := d.AttemptFailed(time.Duration(i)*time.Millisecond, p, f)
+		is.True(step.Retry == (step.Verdict == nil)) // one of the two
 		is.True(sent <= attempts)                    // no more endpoints than allowed
 		is.True(repeatable || ran <= 1)              // at most once
 		if step.Verdict == nil {
@@ -80,8 +80,8 @@
 func TestAFailureOfTheEndpointIsRepeatedOnlyWhereAllowed(t *testing.T) {
 	is := is.New(t)
 	replaced := func(d *Direct, now time.Duration, status int) bool {
-		step, ok := d.ReplaceAnswer(now, status)
-		return ok && step.Again
+		step, ok := d.RetryOnStatus(now, status)
+		return ok && step.Retry
 	}
 	is.True(!replaced(newDirect(false, 2), 0, 500))
 	is.True(!replaced(newDirect(true, 1), 0, 500))
@@ -98,15 +98,15 @@
 	is := is.New(t)
 	budget := NewBudget(BudgetConfig{Burst: 1})
 	first := NewDirect(DirectOptions{Deadline: time.Second, MaxAttempts: 2, Budget: budget, Rand: rand.New(rand.NewPCG(1, 1)), RetryAfter: time.Millisecond})
-	is.True(first.Ended(0, Rejected, errFull).Again)
+	is.True(first.AttemptFailed(0, Rejected, errFull).Retry)
 	second := NewDirect(DirectOptions{Deadline: time.Second, MaxAttempts: 2, Budget: budget, Rand: rand.New(rand.NewPCG(1, 1)), RetryAfter: time.Millisecond})
-	is.True(!second.Ended(0, Rejected, errFull).Again)
+	is.True(!second.AttemptFailed(0, Rejected, errFull).Retry)
 }
 
 func TestACallThatMayHaveRunTimesOutAsUnknown(t *testing.T) {
 	is := is.New(t)
 	d := newDirect(false, 1)
-	v := d.Ended(time.Second, Ran, errCut).Verdict
+	v := d.AttemptFailed(time.Second, MayHaveRun, errCut).Verdict
 	is.Equal(v.Outcome, Unknown)
 	is.Equal(v.HTTPStatus(), http.StatusGatewayTimeout)
 }
--- a/call/exchange_test.go
+++ b/call/exchange_test.go
@@ -16,7 +16,7 @@
 	w          *world
 	process    *entryProcess
 	generation int
-	machine    *call.Single
+	machine    *call.AtMostOnce
 	key        string
 	body       string
 	claims     []string
--- a/call/explorer_test.go
+++ b/call/explorer_test.go
@@ -197,7 +197,7 @@
 		}
 	}
 	for _, fault := range []string{"kill", "freeze", "cut"} {
-		for _, step := range []call.Kind{call.Claim, call.Receive, call.Revoke, call.Settle} {
+		for _, step := range []call.ActionKind{call.Claim, call.Receive, call.Revoke, call.Settle} {
 			if name := fault + " at " + step.String(); hits[name] == 0 {
 				t.Errorf("no %s; the exploration is too narrow", name)
 			}
--- a/call/limited_test.go
+++ b/call/limited_test.go
@@ -51,7 +51,7 @@
 	for _, m := range []interface {
 		Start(time.Duration) call.Action
 		PickFailed(time.Duration, *fault.Error) call.Action
-	}{call.NewRepeatable(options), call.NewSingle(call.SingleOptions{Options: options})} {
+	}{call.NewRepeatable(options), call.NewAtMostOnce(call.AtMostOnceOptions{Options: options})} {
 		m.Start(0)
 		action := m.PickFailed(0, opensIn(4*time.Second))
 		is.Equal(action.Kind, call.Pick)
--- a/call/outcome.go
+++ b/call/outcome.go
@@ -64,7 +64,7 @@
 func Refuse(f *fault.Error) *Verdict { return &Verdict{Outcome: NotRun, Fault: f} }
 
 // RefuseWith is Refuse with an HTTP status of its own.
-func RefuseWith(status int, f *fault.Error) *Verdict {
+func RefuseWithStatus(status int, f *fault.Error) *Verdict {
 	return &Verdict{Outcome: NotRun, Fault: f, Status: status}
 }
 
--- a/call/repeatable.go
+++ b/call/repeatable.go
@@ -166,7 +166,7 @@
 		return m.receive(now, fresh)
 	}
 	m.buffered.add(fresh)
-	if m.buffered.bytes <= m.options.Policy.HoldBytes {
+	if m.buffered.bytes <= m.options.Policy.MaxBufferedBytes {
 		return m.receive(now, nil)
 	}
 	m.started = true
@@ -228,7 +228,7 @@
 
 // Redirect notifies the machine that the agent of its endpoint has a new
 // incarnation or address, before a stream is resumed there.
-func (m *Repeatable) Redirect(t Target) Target {
+func (m *Repeatable) UpdateTarget(t Target) Target {
 	if t.Endpoint == m.target.Endpoint {
 		m.target = t
 		m.answer.incarnation = t.Incarnation
--- a/call/retry.go
+++ b/call/retry.go
@@ -39,7 +39,7 @@
 
 // Share sets how many entries share what the configuration allows beside the ratio: a
 // bound for each entry would grow with their number, and the endpoints' does not.
-func (b *Budget) Share(entries int) {
+func (b *Budget) ShareAmong(entries int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sharers = float64(max(entries, 1))
--- a/call/settle.go
+++ b/call/settle.go
@@ -9,7 +9,7 @@
 )
 
 // follow takes up the claim of another request that holds the key.
-func (m *Single) follow(now time.Duration, c *controlv1.Claim) Action {
+func (m *AtMostOnce) follow(now time.Duration, c *controlv1.Claim) Action {
 	if string(c.GetDigest()) != string(m.claimant.Digest) {
 		return m.refuse(fault.New(fault.KeyReused, "the idempotency key belongs to a request with another method, path or body",
 			"use a new idempotency key for a new request"))
@@ -30,7 +30,7 @@
 
 // awaitHolder polls until the holder has ended, and after RevokeAfter asks the
 // holder's agent.
-func (m *Single) awaitHolder(now time.Duration, c *controlv1.Claim) Action {
+func (m *AtMostOnce) awaitHolder(now time.Duration, c *controlv1.Claim) Action {
 	if now >= m.options.Deadline {
 		return m.unknown(errStillRunning())
 	}
@@ -62,7 +62,7 @@
 
 // reclaim asks for the key anew. A call that was only looked up needs no
 // endpoint.
-func (m *Single) reclaim(now time.Duration) Action {
+func (m *AtMostOnce) reclaim(now time.Duration) Action {
 	m.holder = nil
 	if m.refusal != nil {
 		return m.claim(now)
@@ -72,7 +72,7 @@
 
 // Revoked reports the answer of an agent that was asked about a claim; f is set
 // instead when there is none.
-func (m *Single) Revoked(now time.Duration, r *agentv1.RevokeResponse, f *fault.Error) Action {
+func (m *AtMostOnce) Revoked(now time.Duration, r *agentv1.RevokeResponse, f *fault.Error) Action {
 	if f != nil {
 		return m.revokeFailed(now)
 	}
@@ -95,7 +95,7 @@
 }
 
 // holderRevoked goes on after the agent of the holder has answered.
-func (m *Single) holderRevoked(now time.Duration, r *agentv1.RevokeResponse) Action {
+func (m *AtMostOnce) holderRevoked(now time.Duration, r *agentv1.RevokeResponse) Action {
 	id := m.holder.GetClaimId()
 	switch r.GetState() {
 	case agentv1.RevokeState_REVOKE_STATE_NOT_RUN:
@@ -113,7 +113,7 @@
 }
 
 // waitForRecord gives the holder time to record what its agent did not keep.
-func (m *Single) waitForRecord(now time.Duration, id string, a *controlv1.Answer) Action {
+func (m *AtMostOnce) waitForRecord(now time.Duration, id string, a *controlv1.Answer) Action {
 	if m.awaitingRecord {
 		return m.adopt(now, id, a)
 	}
@@ -123,7 +123,7 @@
 }
 
 // revokeFailed asks the agent again, or leaves the question to a later request.
-func (m *Single) revokeFailed(now time.Duration) Action {
+func (m *AtMostOnce) revokeFailed(now time.Duration) Action {
 	if !m.mayPoll(now, m.options.Policy.RevokeTimeout) {
 		return m.unknown(errNoAgent())
 	}
@@ -134,7 +134,7 @@
 }
 
 // adopt delivers and records the answer that an agent kept.
-func (m *Single) adopt(now time.Duration, id string, a *controlv1.Answer) Action {
+func (m *AtMostOnce) adopt(now time.Duration, id string, a *controlv1.Answer) Action {
 	delivery := m.replay(a)
 	if a == nil {
 		a = &controlv1.Answer{Truncated: true}
@@ -145,13 +145,13 @@
 }
 
 // lost says and records that nobody can know whether the claim ran.
-func (m *Single) lost(now time.Duration, id string) Action {
+func (m *AtMostOnce) lost(now time.Duration, id string) Action {
 	m.unknown(errLost())
 	return m.settle(now, id, controlv1.ClaimState_CLAIM_STATE_UNKNOWN, nil, nil)
 }
 
 // replay delivers a recorded answer.
-func (m *Single) replay(a *controlv1.Answer) Action {
+func (m *AtMostOnce) replay(a *controlv1.Answer) Action {
 	if a == nil || a.GetTruncated() {
 		return m.unknown(fault.Newf(fault.Unknown, "read the result back from the service; do not send the request under a new key",
 			"the call ran and was answered with status %d, but the answer was too large to be kept", a.GetStatus()))
@@ -167,13 +167,13 @@
 
 // settle records how a claim ended. With a verdict the caller is told first;
 // next follows the record, Finish if nil.
-func (m *Single) settle(now time.Duration, id string, state controlv1.ClaimState, a *controlv1.Answer, next func(time.Duration) Action) Action {
+func (m *AtMostOnce) settle(now time.Duration, id string, state controlv1.ClaimState, a *controlv1.Answer, next func(time.Duration) Action) Action {
 	m.begin(settling, now)
 	m.settlement = settlement{claimID: id, state: state, answer: a, next: next}
 	return m.writeRecord(0)
 }
 
-func (m *Single) writeRecord(delay time.Duration) Action {
+func (m *AtMostOnce) writeRecord(delay time.Duration) Action {
 	return Action{
 		Kind:    Settle,
 		Delay:   delay,
@@ -185,13 +185,13 @@
 }
 
 // settleNotRun says that the call has not run and frees the key.
-func (m *Single) settleNotRun(now time.Duration, f *fault.Error) Action {
+func (m *AtMostOnce) settleNotRun(now time.Duration, f *fault.Error) Action {
 	m.refuse(f)
 	return m.settle(now, m.claimID, controlv1.ClaimState_CLAIM_STATE_NOT_RUN, nil, nil)
 }
 
 // Settled reports that a record was written; f is set when it was not.
-func (m *Single) Settled(now time.Duration, f *fault.Error) Action {
+func (m *AtMostOnce) Settled(now time.Duration, f *fault.Error) Action {
 	if f != nil && f.Kind == fault.NotFound {
 		// The claim was never granted, or has been forgotten.
 		f = nil
@@ -217,19 +217,19 @@
 }
 
 // refuse ends the call as not run.
-func (m *Single) refuse(f *fault.Error) Action {
+func (m *AtMostOnce) refuse(f *fault.Error) Action {
 	if f.RetryAfter == 0 && isTransient(f.Kind) {
 		f = f.After(m.options.Policy.RetryAfter)
 	}
 	if m.claimant.CallerKey && f.Kind != fault.KeyReused {
-		f = KeepKey(f)
+		f = WithKeepKeyAdvice(f)
 	}
 	m.verdict = Refuse(f)
 	return Action{Kind: Finish, Verdict: m.verdict}
 }
 
 // unknown ends the call as one that may have run.
-func (m *Single) unknown(f *fault.Error) Action {
+func (m *AtMostOnce) unknown(f *fault.Error) Action {
 	m.verdict = &Verdict{Outcome: Unknown, Fault: f}
 	return Action{Kind: Finish, Verdict: m.verdict}
 }
@@ -257,7 +257,7 @@
 // KeepKey returns a copy of a refusal whose remedy adds that it speaks of this
 // request only. Even a key that was found free may be taken by another request
 // while the answer that it was free is on its way.
-func KeepKey(f *fault.Error) *fault.Error {
+func WithKeepKeyAdvice(f *fault.Error) *fault.Error {
 	copied := *f
 	copied.Remedy += "; keep the idempotency key: an earlier request with it keeps its own outcome"
 	return &copied
--- a/call/share_test.go
+++ b/call/share_test.go
@@ -15,7 +15,7 @@
 		retries := 0
 		for range entries {
 			b := NewBudget(BudgetConfig{Ratio: 0.1, MinPerSecond: 1, Burst: 50})
-			b.Share(entries)
+			b.ShareAmong(entries)
 			for now := time.Duration(0); now < 10*time.Second; now += 100 * time.Millisecond {
 				for b.Withdraw(now) {
 					retries++
--- a/call/single.go
+++ b/call/single.go
@@ -10,7 +10,7 @@
 )
 
 // SingleOptions describe one call that must run at most once.
-type SingleOptions struct {
+type AtMostOnceOptions struct {
 	Options
 	// Workspace and Key identify the call at the control replicas. The driver
 	// sends them; the machine itself does not read them.
@@ -21,7 +21,7 @@
 	// request may have used it.
 	CallerKey bool
 	// Unique is the prefix of the call's claim ids; no other call may use it.
-	Unique string
+	ClaimIDPrefix string
 }
 
 // phase is what a Single is doing.
@@ -48,10 +48,10 @@
 // has granted it; NotRun is said, and recorded, only of a claim that was never
 // dispatched, that its agent refused, or that its agent revoked; whatever else
 // became of a dispatched claim is Unknown until its agent tells.
-type Single struct {
+type AtMostOnce struct {
 	progress
 	// claimant is what the call's claims are made from.
-	claimant SingleOptions
+	claimant AtMostOnceOptions
 	phase    phase
 	// claims counts the claim ids made; claimID is the latest.
 	claims  int
@@ -83,12 +83,12 @@
 }
 
 // NewSingle returns the machine of one call that must run at most once.
-func NewSingle(o SingleOptions) *Single {
-	return &Single{progress: newProgress(o.Options), claimant: o}
+func NewAtMostOnce(o AtMostOnceOptions) *AtMostOnce {
+	return &AtMostOnce{progress: newProgress(o.Options), claimant: o}
 }
 
 // Start begins the call.
-func (m *Single) Start(now time.Duration) Action {
+func (m *AtMostOnce) Start(now time.Duration) Action {
 	m.options.Budget.Deposit()
 	if now >= m.options.Deadline {
 		return m.refuse(errDeadline())
@@ -98,7 +98,7 @@
 
 // Picked reports the endpoint that was chosen. The target's ticket must have
 // been received before this call.
-func (m *Single) Picked(now time.Duration, t Target) Action {
+func (m *AtMostOnce) Picked(now time.Duration, t Target) Action {
 	m.target = t
 	m.tried = append(m.tried, t.Endpoint)
 	m.refusal = nil
@@ -106,7 +106,7 @@
 }
 
 // PickFailed reports that no endpoint can take the call.
-func (m *Single) PickFailed(now time.Duration, f *fault.Error) Action {
+func (m *AtMostOnce) PickFailed(now time.Duration, f *fault.Error) Action {
 	if action, ok := m.awaitOpening(now, f); ok {
 		return action
 	}
@@ -127,30 +127,30 @@
 
 // claim asks for the key under a new claim id. Without a target the claim only
 // finds out whether an earlier request holds the key.
-func (m *Single) claim(now time.Duration) Action {
+func (m *AtMostOnce) claim(now time.Duration) Action {
 	if now >= m.options.Deadline {
 		return m.refuse(errDeadline())
 	}
 	m.claims++
-	m.claimID = gate.ClaimID(m.claimant.Unique+"-"+strconv.Itoa(m.claims), m.target.TicketNS)
+	m.claimID = gate.ClaimID(m.claimant.ClaimIDPrefix+"-"+strconv.Itoa(m.claims), m.target.TicketNS)
 	m.begin(claiming, now)
 	return m.askClaim(0)
 }
 
 // begin enters a phase and starts its timeout and its polls anew.
-func (m *Single) begin(p phase, now time.Duration) {
+func (m *AtMostOnce) begin(p phase, now time.Duration) {
 	m.phase = p
 	m.since = now
 	m.polls = 0
 }
 
-func (m *Single) askClaim(delay time.Duration) Action {
+func (m *AtMostOnce) askClaim(delay time.Duration) Action {
 	return Action{Kind: Claim, Delay: delay, ClaimID: m.claimID, Target: m.target}
 }
 
 // pollDelay returns the wait before the present question is asked again. Before
 // the deadline it ends there at the latest, so that the verdict is not held back.
-func (m *Single) pollDelay(now time.Duration) time.Duration {
+func (m *AtMostOnce) pollDelay(now time.Duration) time.Duration {
 	delay := m.options.Policy.Poll.Delay(m.options.Rand, m.polls)
 	m.polls++
 	if left := m.options.Deadline - now; left > 0 {
@@ -160,12 +160,12 @@
 }
 
 // mayPoll reports whether the present question may be asked again.
-func (m *Single) mayPoll(now, timeout time.Duration) bool {
+func (m *AtMostOnce) mayPoll(now, timeout time.Duration) bool {
 	return now < m.options.Deadline && now-m.since < timeout
 }
 
 // Claimed reports the answer to a Claim; f is set instead when there is none.
-func (m *Single) Claimed(now time.Duration, r *controlv1.ClaimResponse, f *fault.Error) Action {
+func (m *AtMostOnce) Claimed(now time.Duration, r *controlv1.ClaimResponse, f *fault.Error) Action {
 	if f != nil {
 		return m.claimFailed(now, f)
 	}
@@ -187,7 +187,7 @@
 
 // claimFailed goes on without a grant. Nothing has been dispatched under the
 // claim id, and nothing will be unless a later answer grants it.
-func (m *Single) claimFailed(now time.Duration, f *fault.Error) Action {
+func (m *AtMostOnce) claimFailed(now time.Duration, f *fault.Error) Action {
 	switch {
 	case f.Kind == fault.KeyReused, f.Kind == fault.Overloaded, f.Kind == fault.Invalid:
 		return m.refuse(f)
@@ -220,7 +220,7 @@
 
 // notRun follows the proof that the claim never ran: try again under a new
 // claim, or say so.
-func (m *Single) notRun(now time.Duration, f *fault.Error) Action {
+func (m *AtMostOnce) notRun(now time.Duration, f *fault.Error) Action {
 	if f.Kind == fault.Fenced {
 		return m.closedByOther(now, f)
 	}
@@ -239,7 +239,7 @@
 
 // closedByOther follows the news that another request has closed this claim: the
 // key may by now stand for a run of that request, which must be looked up.
-func (m *Single) closedByOther(now time.Duration, f *fault.Error) Action {
+func (m *AtMostOnce) closedByOther(now time.Duration, f *fault.Error) Action {
 	if now >= m.options.Deadline || m.claims >= m.maxClaims() {
 		return m.unknown(f)
 	}
@@ -247,22 +247,22 @@
 }
 
 // maxClaims bounds the claim ids of one call.
-func (m *Single) maxClaims() int { return 2 * m.options.Policy.MaxAttempts }
+func (m *AtMostOnce) maxClaims() int { return 2 * m.options.Policy.MaxAttempts }
 
 // retryOrEnd retries after a refusal, or gives the call up.
-func (m *Single) retryOrEnd(now time.Duration, f *fault.Error) Action {
+func (m *AtMostOnce) retryOrEnd(now time.Duration, f *fault.Error) Action {
 	if !m.mayRetry(now) {
 		return m.refuse(f)
 	}
 	return m.retry(now)
 }
 
-func (m *Single) retry(now time.Duration) Action {
+func (m *AtMostOnce) retry(now time.Duration) Action {
 	m.phase = picking
 	return Action{Kind: Pick, Delay: m.nextBackoff(), Exclude: m.tried}
 }
 
-func (m *Single) pickAnew(now time.Duration) Action {
+func (m *AtMostOnce) pickAnew(now time.Duration) Action {
 	m.phase = picking
 	return Action{Kind: Pick}
 }
@@ -270,7 +270,7 @@
 // Abandon ends the call for a caller that left, before action a is carried out.
 // It returns false once the call has been dispatched: then it goes on, so that
 // its end is recorded.
-func (m *Single) Abandon(now time.Duration, a *Action) (Action, bool) {
+func (m *AtMostOnce) Abandon(now time.Duration, a *Action) (Action, bool) {
 	gone := fault.New(fault.Invalid, "the caller left before the call was dispatched", "send the request again")
 	switch {
 	case m.phase == picking:
--- a/call/single_response.go
+++ b/call/single_response.go
@@ -10,7 +10,7 @@
 )
 
 // Response reports a message of the dispatch.
-func (m *Single) Response(now time.Duration, r *agentv1.DispatchResponse) Action {
+func (m *AtMostOnce) Response(now time.Duration, r *agentv1.DispatchResponse) Action {
 	if !m.answer.owns(r) || r.GetIncarnation() != m.answer.incarnation {
 		return Action{Kind: Receive}
 	}
@@ -30,14 +30,14 @@
 }
 
 // refusedByAgent follows a refusal. After the head it is no refusal at all.
-func (m *Single) refusedByAgent(now time.Duration, f *fault.Error) Action {
+func (m *AtMostOnce) refusedByAgent(now time.Duration, f *fault.Error) Action {
 	if m.answer.opened || f.Kind == fault.Unknown {
 		return m.Cut(now, f, false)
 	}
 	return m.notRun(now, f)
 }
 
-func (m *Single) head(now time.Duration, head *agentv1.Head) Action {
+func (m *AtMostOnce) head(now time.Duration, head *agentv1.Head) Action {
 	m.answer.open(head)
 	if !isEventStream(m.answer.head) || m.started {
 		return Action{Kind: Receive}
@@ -46,19 +46,19 @@
 	return Action{Kind: Receive, Head: m.answer.head}
 }
 
-func (m *Single) chunk(now time.Duration, c *agentv1.Chunk) Action {
+func (m *AtMostOnce) chunk(now time.Duration, c *agentv1.Chunk) Action {
 	fresh, ok := m.answer.take(c)
 	if !ok {
 		return m.Cut(now, errBroken("a part of the answer is missing"), false)
 	}
 	action := Action{Kind: Receive}
-	if m.buffered.bytes <= m.options.Policy.HoldBytes {
+	if m.buffered.bytes <= m.options.Policy.MaxBufferedBytes {
 		m.buffered.add(fresh)
 	}
 	switch {
 	case m.started && len(fresh) > 0:
 		action.Data = [][]byte{fresh}
-	case !m.started && m.buffered.bytes > m.options.Policy.HoldBytes:
+	case !m.started && m.buffered.bytes > m.options.Policy.MaxBufferedBytes:
 		m.started = true
 		action.Head = m.answer.head
 		action.Data = m.buffered.parts
@@ -67,7 +67,7 @@
 }
 
 // end takes the whole answer: the caller has it at once, then it is recorded.
-func (m *Single) end(now time.Duration, end *agentv1.End) Action {
+func (m *AtMostOnce) end(now time.Duration, end *agentv1.End) Action {
 	if !m.answer.whole(end) {
 		return m.Cut(now, errBroken("the answer ended before it was whole"), false)
 	}
@@ -84,9 +84,9 @@
 }
 
 // record returns the answer as it is recorded.
-func (m *Single) record() *controlv1.Answer {
+func (m *AtMostOnce) record() *controlv1.Answer {
 	answer := &controlv1.Answer{Status: m.answer.head.GetStatus(), Headers: m.answer.head.GetHeaders()}
-	if m.answer.received > uint64(m.options.Policy.RecordBytes) {
+	if m.answer.received > uint64(m.options.Policy.MaxRecordedBodyBytes) {
 		answer.Truncated = true
 		return answer
 	}
@@ -96,7 +96,7 @@
 
 // Cut reports that the dispatch ended without a whole answer. notRun is true
 // only when it is proved that the dispatch was not sent.
-func (m *Single) Cut(now time.Duration, f *fault.Error, notRun bool) Action {
+func (m *AtMostOnce) Cut(now time.Duration, f *fault.Error, notRun bool) Action {
 	m.buffered.release()
 	switch {
 	case m.started:
@@ -111,6 +111,6 @@
 	return m.askAgent(0, m.claimID, m.target)
 }
 
-func (m *Single) askAgent(delay time.Duration, claimID string, t Target) Action {
+func (m *AtMostOnce) askAgent(delay time.Duration, claimID string, t Target) Action {
 	return Action{Kind: Revoke, Delay: delay, ClaimID: claimID, Target: t}
 }
--- a/call/world_test.go
+++ b/call/world_test.go
@@ -147,13 +147,13 @@
 func (w *world) begin(process int, key, body string, patience time.Duration) *exchange {
 	p := w.entries[process]
 	x := &exchange{w: w, process: p, generation: p.generation, key: key, body: body, deadline: w.now + patience}
-	x.machine = call.NewSingle(call.SingleOptions{
+	x.machine = call.NewAtMostOnce(call.AtMostOnceOptions{
 		Options: call.Options{
 			RequestID: fmt.Sprintf("r%d", len(w.exchanges)), Deadline: x.deadline, Policy: &call.DefaultPolicy,
 			Budget: call.NewBudget(call.DefaultBudget), Rand: w.rng,
 		},
 		Workspace: "ops", Key: key, Digest: call.Digest("POST", "/swap", []byte(body)), CallerKey: true,
-		Unique: fmt.Sprintf("u%d", len(w.exchanges)),
+		ClaimIDPrefix: fmt.Sprintf("u%d", len(w.exchanges)),
 	})
 	w.exchanges = append(w.exchanges, x)
 	x.follow(x.machine.Start(w.now))
--- a/entry/admission.go
+++ b/entry/admission.go
@@ -48,7 +48,7 @@
 
 // Admit implements Admitter.
 func (a *Admissions) Admit(ctx context.Context, r Admission) (func(), error) {
-	return a.AdmitTo(ctx, r.Pool, workspace.Request{Workspace: r.Workspace, Priority: r.Priority, Cost: r.Tokens})
+	return a.AdmitTo(ctx, r.Pool, workspace.Request{Workspace: r.Workspace, Priority: r.Priority, ExpectedTokens: r.Tokens})
 }
 
 // latePoll is the time between two looks of a late request for a place.
@@ -91,7 +91,7 @@
 }
 
 // Hold implements Holds.
-func (a *Admissions) Hold(pool string) time.Duration { return a.gate(pool).Hold() }
+func (a *Admissions) Hold(pool string) time.Duration { return a.gate(pool).MeanHoldTime() }
 
 // admitSpare takes a place where answers come late, if there is one.
 func (a *Admissions) admitSpare(pool string) (func(), bool) {
@@ -126,7 +126,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return func() { release(workspace.Result{}) }, nil
+	return func() { release(workspace.Usage{}) }, nil
 }
 
 // gate returns the gate of a pool, made on first use. A new gate gets the limits
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -77,7 +77,7 @@
 // redirect finds the present agent of an endpoint whose stream is resumed.
 func (x *exchange) redirect(old call.Target) call.Target {
 	if fresh, ok := x.server.Knowledge.Renew(old); ok {
-		return x.repeat.Redirect(fresh)
+		return x.repeat.UpdateTarget(fresh)
 	}
 	return old
 }
--- a/entry/body.go
+++ b/entry/body.go
@@ -36,7 +36,7 @@
 }
 
 func (s *Server) errBodyTooLarge() *call.Verdict {
-	return call.RefuseWith(http.StatusRequestEntityTooLarge, fault.Newf(fault.Invalid, "send a smaller body",
+	return call.RefuseWithStatus(http.StatusRequestEntityTooLarge, fault.Newf(fault.Invalid, "send a smaller body",
 		"the body is larger than %d bytes", s.config.MaxBodyBytes))
 }
 
--- a/entry/config.go
+++ b/entry/config.go
@@ -130,7 +130,7 @@
 	s.Int(&cfg.MaxAttempts, "max-attempts", policy.MaxAttempts, "attempts of one request", setting.Min(1), setting.Max(10))
 	s.Float(&cfg.RetryRatio, "retry-ratio", budget.Ratio, "share of live traffic that may be tried again", setting.Min(0.0), setting.Max(1.0))
 	s.Float(&cfg.RetryBurst, "retry-burst", budget.Burst, "retries that can be saved up", setting.Min(1.0))
-	s.Bytes(&cfg.HoldBytes, "hold-body", int64(policy.HoldBytes), "part of an answer that is held back until it is whole", setting.Min(int64(policy.RecordBytes)))
+	s.Bytes(&cfg.HoldBytes, "hold-body", int64(policy.MaxBufferedBytes), "part of an answer that is held back until it is whole", setting.Min(int64(policy.MaxRecordedBodyBytes)))
 	s.Duration(&cfg.FirstByteTimeout, "first-byte-timeout", policy.FirstByteTimeout, "longest wait for the head of a streamed answer", setting.Min(minDeadline))
 	s.Duration(&cfg.IdleTimeout, "idle-timeout", policy.IdleTimeout, "longest silence in a streamed answer", setting.Min(minDeadline))
 }
@@ -160,7 +160,7 @@
 func (cfg *Config) policy() *call.Policy {
 	policy := call.DefaultPolicy
 	policy.MaxAttempts = cfg.MaxAttempts
-	policy.HoldBytes = int(cfg.HoldBytes)
+	policy.MaxBufferedBytes = int(cfg.HoldBytes)
 	policy.FirstByteTimeout = cfg.FirstByteTimeout
 	policy.IdleTimeout = cfg.IdleTimeout
 	return &policy
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -33,7 +33,7 @@
 	request  *request
 	machine  machine
 	repeat   *call.Repeatable
-	single   *call.Single
+	single   *call.AtMostOnce
 	delivery *delivery
 	// caller ends when the caller leaves or the deadline passes. work is the same
 	// for a repeatable call; for a claimed call it never ends by itself, so that
@@ -87,7 +87,7 @@
 		f = f.After(call.DefaultRetryAfter)
 	}
 	if q.callerKey && !q.repeatable {
-		f = call.KeepKey(f)
+		f = call.WithKeepKeyAdvice(f)
 	}
 	return call.Refuse(f)
 }
@@ -110,9 +110,9 @@
 	}
 	x.work = context.WithoutCancel(x.caller)
 	x.delivery.w.Header().Set(call.HeaderIdempotencyKey, q.key)
-	x.single = call.NewSingle(call.SingleOptions{
+	x.single = call.NewAtMostOnce(call.AtMostOnceOptions{
 		Options: options, Workspace: q.workspace.GetName(), Key: q.key,
-		Digest: call.Digest(q.method, q.target, q.body), CallerKey: q.callerKey, Unique: q.unique,
+		Digest: call.Digest(q.method, q.target, q.body), CallerKey: q.callerKey, ClaimIDPrefix: q.unique,
 	})
 	x.machine = x.single
 }
--- a/entry/late.go
+++ b/entry/late.go
@@ -25,7 +25,7 @@
 }
 
 // occupancyOf returns how the places of a gate are taken.
-func occupancyOf(gate *workspace.Gate) occupancy { return occupancy{gate.Load(), gate.Hold()} }
+func occupancyOf(gate *workspace.Gate) occupancy { return occupancy{gate.Load(), gate.MeanHoldTime()} }
 
 // lateQueues keep, for each pool, the late requests that wait for a place, the rate at
 // which they find one, and the places that are theirs alone. The lock is a leaf. The zero
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -65,7 +65,7 @@
 	settings := routed.Config{
 		Name: cfg.Name, Zone: cfg.Zone, Headers: headers, RetryStyle: cfg.RetryStyle,
 		MaxHeaderBytes: cfg.MaxHeaderBytes, MaxBodyBytes: cfg.MaxBodyBytes,
-		BodyTimeout: cfg.BodyTimeout, WriteTimeout: cfg.WriteTimeout, HoldBytes: policy.HoldBytes,
+		BodyTimeout: cfg.BodyTimeout, WriteTimeout: cfg.WriteTimeout, HoldBytes: policy.MaxBufferedBytes,
 		Backoff: policy.Backoff, RetryAfter: cfg.RetryAfter, AccessLog: cfg.AccessLog,
 	}
 	parts := routed.Parts{
--- a/entry/request.go
+++ b/entry/request.go
@@ -120,7 +120,7 @@
 		}
 	}
 	if size > s.config.MaxHeaderBytes {
-		return call.RefuseWith(http.StatusRequestHeaderFieldsTooLarge, fault.Newf(fault.Invalid, "send fewer or shorter headers",
+		return call.RefuseWithStatus(http.StatusRequestHeaderFieldsTooLarge, fault.Newf(fault.Invalid, "send fewer or shorter headers",
 			"the headers have %d bytes, the limit is %d", size, s.config.MaxHeaderBytes))
 	}
 	for _, name := range singleHeaders {
--- a/entry/server.go
+++ b/entry/server.go
@@ -131,7 +131,7 @@
 	for name, values := range e.Header {
 		w.ResponseWriter.Header()[name] = values
 	}
-	s.refuse(w.ResponseWriter, r.Request, call.RefuseWith(e.Code, fault.Newf(fault.Invalid,
+	s.refuse(w.ResponseWriter, r.Request, call.RefuseWithStatus(e.Code, fault.Newf(fault.Invalid,
 		"use the method and the content type that the completions API describes", "%s %s is not allowed: %s", r.Request.Method, r.Request.URL.Path, e.Message)))
 }
 
--- a/entry/services.go
+++ b/entry/services.go
@@ -36,7 +36,7 @@
 			"nothing answers the path %s", r.URL.Path))
 	}
 	if !serviceMethods[r.Method] || r.Header.Get("Upgrade") != "" {
-		return call.RefuseWith(http.StatusMethodNotAllowed, fault.Newf(fault.Invalid, "use GET, HEAD, POST, PUT, PATCH, DELETE or OPTIONS, without Upgrade",
+		return call.RefuseWithStatus(http.StatusMethodNotAllowed, fault.Newf(fault.Invalid, "use GET, HEAD, POST, PUT, PATCH, DELETE or OPTIONS, without Upgrade",
 			"the method %s or its upgrade is not passed on", r.Method))
 	}
 	matched := route(service, r.Method, r.URL.Path)
--- a/measure/fairness/policy.go
+++ b/measure/fairness/policy.go
@@ -17,7 +17,7 @@
 // policy decides which requests run.
 type policy interface {
 	// arrive offers a request; it starts, waits or is refused.
-	arrive(now time.Duration, r workspace.Request) (workspace.Verdict, time.Duration)
+	arrive(now time.Duration, r workspace.Request) (workspace.Decision, time.Duration)
 	// done ends a request and returns those that start.
 	done(now time.Duration, id string) []string
 	// tick returns what became due by now.
@@ -36,7 +36,7 @@
 	return admission{a}
 }
 
-func (a admission) arrive(now time.Duration, r workspace.Request) (workspace.Verdict, time.Duration) {
+func (a admission) arrive(now time.Duration, r workspace.Request) (workspace.Decision, time.Duration) {
 	verdict, err := a.Arrive(now, r)
 	if err != nil {
 		return verdict, fault.As(err).RetryAfter
@@ -88,7 +88,7 @@
 	return &firstCome{free: slots, maxQueue: maxQueue, maxWait: maxWait}
 }
 
-func (f *firstCome) arrive(now time.Duration, r workspace.Request) (workspace.Verdict, time.Duration) {
+func (f *firstCome) arrive(now time.Duration, r workspace.Request) (workspace.Decision, time.Duration) {
 	if f.free > 0 {
 		f.free--
 		return workspace.Admitted, 0
--- a/routed/attempt.go
+++ b/routed/attempt.go
@@ -56,7 +56,7 @@
 
 // cut is how an attempt ends that may have run and has brought no whole answer.
 func (a *attempt) cut(f *fault.Error) attemptResult {
-	result := failed(call.Ran, f)
+	result := failed(call.MayHaveRun, f)
 	result.moved = a.moved.Load()
 	return result
 }
--- a/routed/deliver.go
+++ b/routed/deliver.go
@@ -39,12 +39,12 @@
 	}
 	if isPromise(r.Status) {
 		a.done(true)
-		return failed(call.Ran, fault.Newf(fault.Unknown, "ask again", "the endpoint answered %d without proof that it ran nothing", r.Status))
+		return failed(call.MayHaveRun, fault.Newf(fault.Unknown, "ask again", "the endpoint answered %d without proof that it ran nothing", r.Status))
 	}
 	success := r.Status >= http.StatusOK && r.Status < http.StatusMultipleChoices
 	if success && names.Signature != "" && r.Header.Get(names.Signature) == "" {
 		a.done(true)
-		return failed(call.Ran, fault.New(fault.Unknown, "the endpoint's answer lacks its signature", "ask again"))
+		return failed(call.MayHaveRun, fault.New(fault.Unknown, "the endpoint's answer lacks its signature", "ask again"))
 	}
 	if !success {
 		return a.failure(r)
@@ -54,7 +54,7 @@
 	}
 	if a.opened {
 		a.done(true)
-		return failed(call.Ran, fault.New(fault.Unknown, "the endpoint resumed a stream with something else", "ask again"))
+		return failed(call.MayHaveRun, fault.New(fault.Unknown, "the endpoint resumed a stream with something else", "ask again"))
 	}
 	return a.whole(r)
 }
@@ -75,9 +75,9 @@
 	f := fault.Newf(fault.Unknown, "ask again", "the endpoint answered with status %d", r.Status)
 	if a.opened {
 		a.done(true)
-		return failed(call.Ran, f)
+		return failed(call.MayHaveRun, f)
 	}
-	step, replaced := a.machine.ReplaceAnswer(a.server.clock(), r.Status)
+	step, replaced := a.machine.RetryOnStatus(a.server.clock(), r.Status)
 	if !replaced {
 		return a.whole(r)
 	}
@@ -127,7 +127,7 @@
 	if err != nil {
 		a.done(a.caller.Err() == nil)
 		a.noteEnded()
-		return failed(call.Ran, errCut(err))
+		return failed(call.MayHaveRun, errCut(err))
 	}
 	a.parts = 1
 	if len(held) > s.config.HoldBytes {
--- a/routed/exchange.go
+++ b/routed/exchange.go
@@ -63,13 +63,13 @@
 		Backoff: s.config.Backoff, RetryAfter: s.config.RetryAfter, Budget: s.Budget, Rand: sharedRand,
 	})
 	if held := s.Quarantine.Refusal(s.clock(), q.fingerprint); held != nil {
-		return x.end(x.machine.GiveUp(s.clock(), held))
+		return x.end(x.machine.FailureVerdict(s.clock(), held))
 	}
 	admitted, cancel := context.WithTimeout(x.caller, max(q.deadline-s.clock(), 0))
 	release, err := x.admit(admitted)
 	cancel()
 	if err != nil {
-		return x.end(x.machine.GiveUp(s.clock(), fault.From(err)))
+		return x.end(x.machine.FailureVerdict(s.clock(), fault.From(err)))
 	}
 	defer release()
 	x.placed = s.clock() - q.arrived
@@ -83,16 +83,16 @@
 		}
 		step := result.step
 		switch {
-		case step.Again:
+		case step.Retry:
 		case result.moved:
-			step = x.machine.Moved(s.clock(), result.fault)
+			step = x.machine.AttemptRerouted(s.clock(), result.fault)
 		default:
-			step = x.machine.Ended(s.clock(), result.progress, result.fault)
+			step = x.machine.AttemptFailed(s.clock(), result.progress, result.fault)
 		}
 		if x.caller.Err() != nil {
 			return x.report(attemptResult{done: true, abort: true, outcome: "caller left"})
 		}
-		if !step.Again {
+		if !step.Retry {
 			return x.end(step.Verdict)
 		}
 		x.logAgain(result.fault, step.Delay)
@@ -107,12 +107,12 @@
 func (x *exchange) admit(ctx context.Context) (release func(), err error) {
 	s, q := x.server, x.request
 	r := workspace.Request{
-		Workspace: q.workspace.GetName(), Priority: -q.priority, Deadline: q.deadline, Cost: q.work.PromptTokens + q.work.MaxTokens,
+		Workspace: q.workspace.GetName(), Priority: -q.priority, Deadline: q.deadline, ExpectedTokens: q.work.PromptTokens + q.work.MaxTokens,
 	}
 	if refusal := x.pausedRefusal(); refusal != nil {
 		return nil, refusal
 	}
-	r.Patience = s.firsts.patience(q)
+	r.MaxWait = s.firsts.patience(q)
 	if q.inTime() {
 		release, err = s.Admitter.AdmitTo(ctx, q.pool, r)
 		if err == nil || !fault.Is(err, fault.Overloaded) {
@@ -148,15 +148,15 @@
 	outcome     string
 	// progress and fault say what an attempt without a whole answer came to; step
 	// is set when the machine has been told already.
-	progress call.Progress
+	progress call.AttemptOutcome
 	fault    *fault.Error
-	step     call.Step
+	step     call.RetryDecision
 	// moved is set when the attempt was ended to go on at another endpoint, and its retry
 	// has been taken out of the budget.
 	moved bool
 }
 
-func failed(p call.Progress, f *fault.Error) attemptResult {
+func failed(p call.AttemptOutcome, f *fault.Error) attemptResult {
 	return attemptResult{progress: p, fault: f}
 }
 
@@ -165,7 +165,7 @@
 	s, q := x.server, x.request
 	// The request may have ended an endpoint since it was let in, here or elsewhere.
 	if held := s.Quarantine.Refusal(s.clock(), q.fingerprint); held != nil {
-		return x.finish(x.machine.GiveUp(s.clock(), held))
+		return x.finish(x.machine.FailureVerdict(s.clock(), held))
 	}
 	target, err := x.pick()
 	if err != nil {
@@ -212,7 +212,7 @@
 		// The pool is of the site, so its endpoints are yet to come.
 		f = fault.New(fault.Unavailable, "no endpoint of the pool is known", "ask again after the time given")
 	}
-	return x.finish(x.machine.GiveUp(now, f))
+	return x.finish(x.machine.FailureVerdict(now, f))
 }
 
 // message is what the endpoint gets.
--- a/routed/request.go
+++ b/routed/request.go
@@ -169,7 +169,7 @@
 	if size <= limit {
 		return nil
 	}
-	return call.RefuseWith(http.StatusRequestHeaderFieldsTooLarge, fault.Newf(fault.Invalid, "send fewer or shorter headers",
+	return call.RefuseWithStatus(http.StatusRequestHeaderFieldsTooLarge, fault.Newf(fault.Invalid, "send fewer or shorter headers",
 		"the headers have %d bytes, the limit is %d", size, limit))
 }
 
@@ -230,11 +230,11 @@
 	case errors.As(err, &tooLarge):
 		return errBodyTooLarge(limit)
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return call.RefuseWith(http.StatusRequestTimeout, fault.New(fault.Invalid, "the body did not come in time", "send it again").Because(err))
+		return call.RefuseWithStatus(http.StatusRequestTimeout, fault.New(fault.Invalid, "the body did not come in time", "send it again").Because(err))
 	}
-	return call.RefuseWith(http.StatusBadRequest, fault.New(fault.Invalid, "the body is not whole", "send it again").Because(err))
+	return call.RefuseWithStatus(http.StatusBadRequest, fault.New(fault.Invalid, "the body is not whole", "send it again").Because(err))
 }
 
 func errBodyTooLarge(limit int64) *call.Verdict {
-	return call.RefuseWith(http.StatusRequestEntityTooLarge, fault.Newf(fault.Invalid, "send a smaller body", "the body is over the limit of %d bytes", limit))
+	return call.RefuseWithStatus(http.StatusRequestEntityTooLarge, fault.Newf(fault.Invalid, "send a smaller body", "the body is over the limit of %d bytes", limit))
 }
--- a/routed/throttle.go
+++ b/routed/throttle.go
@@ -124,7 +124,7 @@
 // Throttle sets the places of all pools anew, entries being the number of entries
 // that share them. It has to be called every ThrottleInterval.
 func (s *Server) Throttle(places Places, entries int) {
-	s.Budget.Share(entries)
+	s.Budget.ShareAmong(entries)
 	s.Suspects.SetEntries(entries)
 	s.setPlaces(s.table.Load(), places, entries)
 }
--- a/workspace/admission.go
+++ b/workspace/admission.go
@@ -115,7 +115,7 @@
 // Arrive decides on a new request. With Admitted it holds a slot; with Queued a
 // Grant or a Refusal follows from Done, Cancel or Tick; an error is a
 // *fault.Error and means that the request has not run.
-func (a *Admission) Arrive(now time.Duration, r Request) (Verdict, error) {
+func (a *Admission) Arrive(now time.Duration, r Request) (Decision, error) {
 	a.advance(now)
 	if _, exists := a.entries[r.ID]; exists {
 		return Refused, fault.Newf(fault.Conflict, "give every request an id of its own",
@@ -170,10 +170,10 @@
 
 // Settle corrects the tokens that a request in flight was charged by its Cost
 // to the number that it really used.
-func (a *Admission) Settle(now time.Duration, id string, tokens int) {
+func (a *Admission) AdjustTokens(now time.Duration, id string, tokens int) {
 	if e, ok := a.entries[id]; ok && e.running {
-		e.owner.tokens.take(now, float64(tokens-e.request.Cost))
-		e.request.Cost = tokens
+		e.owner.tokens.take(now, float64(tokens-e.request.ExpectedTokens))
+		e.request.ExpectedTokens = tokens
 	}
 }
 
@@ -206,19 +206,19 @@
 type Load struct {
 	// Slots is the capacity; InFlight and Queued count requests; Active counts
 	// workspaces with state.
-	Slots, InFlight, Queued, Active int
+	Slots, InFlight, Queued, ActiveWorkspaces int
 }
 
 // Load returns the present load.
 func (a *Admission) Load() Load {
-	return Load{Slots: a.slots, InFlight: a.inFlight, Queued: a.queued, Active: len(a.active)}
+	return Load{Slots: a.slots, InFlight: a.inFlight, Queued: a.queued, ActiveWorkspaces: len(a.active)}
 }
 
 // Hold returns how long requests hold their slots in the mean: Config.InitialHold before
 // any has been measured.
-func (a *Admission) Hold() time.Duration {
+func (a *Admission) MeanHoldTime() time.Duration {
 	if a.measured.samples == 0 {
-		return a.config.InitialHold
+		return a.config.InitialHoldTime
 	}
 	return seconds(a.measured.mean)
 }
--- a/workspace/admission_test.go
+++ b/workspace/admission_test.go
@@ -28,7 +28,7 @@
 				for b.queueOf(name) < 20 {
 					r := Request{Workspace: name}
 					if name == "four" {
-						r.Expected = time.Nanosecond // an understated run time gains nothing
+						r.ExpectedHoldTime = time.Nanosecond // an understated run time gains nothing
 					}
 					if _, _, err := b.arrive(r); err != nil {
 						break
@@ -251,7 +251,7 @@
 		is.NoErr(err)
 		_, _, err = b.arrive(Request{Workspace: "slow"})
 		is.NoErr(err)
-		_, _, err = b.arrive(Request{Workspace: "small", Cost: 500})
+		_, _, err = b.arrive(Request{Workspace: "small", ExpectedTokens: 500})
 		is.NoErr(err)
 	}
 	most := 0
@@ -285,7 +285,7 @@
 		_, _, err := b.arrive(Request{Workspace: fmt.Sprint("w", i)})
 		is.NoErr(err)
 	}
-	is.Equal(b.Load().Active, 50)
+	is.Equal(b.Load().ActiveWorkspaces, 50)
 	b.run(idleRetention + 2*time.Second)
 	is.Equal(b.Load(), Load{Slots: 100})
 }
--- a/workspace/estimate.go
+++ b/workspace/estimate.go
@@ -30,14 +30,14 @@
 	if a.measured.samples > 0 {
 		return a.measured
 	}
-	initial := a.config.InitialHold.Seconds()
+	initial := a.config.InitialHoldTime.Seconds()
 	return hold{mean: initial, deviation: initial / 2}
 }
 
 // expectedHold is the run time that is expected of a request.
 func (a *Admission) expectedHold(e *entry) time.Duration {
-	if e.request.Expected > 0 {
-		return e.request.Expected
+	if e.request.ExpectedHoldTime > 0 {
+		return e.request.ExpectedHoldTime
 	}
 	estimate := a.holdOf(e.owner)
 	return seconds(estimate.mean)
@@ -51,8 +51,8 @@
 // request that starts at once is given a chance if a quick run would do; one that
 // waits for a slot that others could use must leave room for a slow run.
 func (a *Admission) runTime(e *entry, atOnce bool) time.Duration {
-	if e.request.Expected > 0 {
-		return e.request.Expected
+	if e.request.ExpectedHoldTime > 0 {
+		return e.request.ExpectedHoldTime
 	}
 	estimate := a.holdOf(e.owner)
 	if atOnce {
@@ -73,8 +73,8 @@
 
 // maxWait is how long a request waits at most.
 func (a *Admission) maxWait(e *entry) time.Duration {
-	if e.request.Patience > 0 {
-		return min(e.request.Patience, a.config.MaxWait)
+	if e.request.MaxWait > 0 {
+		return min(e.request.MaxWait, a.config.MaxWait)
 	}
 	return a.config.MaxWait
 }
@@ -124,7 +124,7 @@
 	if a.inFlight == 0 {
 		return 0
 	}
-	mean := a.config.InitialHold.Seconds()
+	mean := a.config.InitialHoldTime.Seconds()
 	if a.measured.samples > 0 {
 		mean = a.measured.mean
 	}
@@ -152,7 +152,7 @@
 			ahead++
 		}
 	}
-	return max(a.slotWait(now, s, ahead+1), a.rateWait(now, s, ahead+1, e.request.Cost))
+	return max(a.slotWait(now, s, ahead+1), a.rateWait(now, s, ahead+1, e.request.ExpectedTokens))
 }
 
 // startsAtOnce reports whether a new request would start now.
@@ -161,7 +161,7 @@
 	if a.inFlight >= a.slots || s.queue.len() > 0 || s.atConcurrencyLimit() {
 		return false
 	}
-	if s.untilRate(now, e.request.Cost) > 0 {
+	if s.untilRate(now, e.request.ExpectedTokens) > 0 {
 		return false
 	}
 	return s.guaranteed() || (a.deficits.len() == 0 && a.mayLend(now, s))
--- a/workspace/gate.go
+++ b/workspace/gate.go
@@ -33,7 +33,7 @@
 }
 
 // Result is what a request used.
-type Result struct {
+type Usage struct {
 	// Tokens is the number of tokens really used; 0 means as expected.
 	Tokens int
 }
@@ -81,17 +81,17 @@
 }
 
 // Hold returns how long requests hold their slots in the mean.
-func (g *Gate) Hold() time.Duration {
+func (g *Gate) MeanHoldTime() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.admission.Hold()
+	return g.admission.MeanHoldTime()
 }
 
 // Acquire waits for a slot. On success the caller must call release exactly when
 // the request has ended; further calls do nothing. An error is a *fault.Error
 // and means that the request has not run. An empty ID is filled in; a zero
 // Deadline is taken from ctx.
-func (g *Gate) Acquire(ctx context.Context, r Request) (release func(Result), err error) {
+func (g *Gate) Acquire(ctx context.Context, r Request) (release func(Usage), err error) {
 	verdict, granted, err := g.arrive(ctx, &r)
 	switch {
 	case err != nil:
@@ -118,7 +118,7 @@
 
 // arrive hands the request to the admission and, if it is queued, registers the
 // channel on which its grant (nil) or refusal comes.
-func (g *Gate) arrive(ctx context.Context, r *Request) (verdict Verdict, granted chan error, err error) {
+func (g *Gate) arrive(ctx context.Context, r *Request) (verdict Decision, granted chan error, err error) {
 	g.do(func(now time.Duration) {
 		if r.ID == "" {
 			g.sequence++
@@ -157,13 +157,13 @@
 }
 
 // releaser returns the function that frees the slot of a request once.
-func (g *Gate) releaser(id string) func(Result) {
+func (g *Gate) releaser(id string) func(Usage) {
 	var once sync.Once
-	return func(result Result) {
+	return func(result Usage) {
 		once.Do(func() {
 			g.do(func(now time.Duration) {
 				if result.Tokens > 0 {
-					g.admission.Settle(now, id, result.Tokens)
+					g.admission.AdjustTokens(now, id, result.Tokens)
 				}
 				g.deliver(g.admission.Done(now, id), nil)
 			})
--- a/workspace/gate_test.go
+++ b/workspace/gate_test.go
@@ -45,8 +45,8 @@
 				time.Sleep(90 * time.Millisecond)
 				running.Add(-1)
 				served.Add(1)
-				release(Result{})
-				release(Result{}) // frees nothing twice
+				release(Usage{})
+				release(Usage{}) // frees nothing twice
 			})
 		}
 		callers.Wait()
@@ -56,7 +56,7 @@
 		load := gate.Load()
 		is.Equal(load.InFlight+load.Queued+len(gate.waiting), 0)
 		time.Sleep(time.Minute)
-		is.Equal(gate.Load().Active, 0)
+		is.Equal(gate.Load().ActiveWorkspaces, 0)
 	})
 }
 
@@ -78,15 +78,15 @@
 		err = <-left
 		is.Equal(fault.KindOf(err), fault.Unavailable)
 		is.True(errors.Is(err, context.Canceled))
-		release(Result{})
+		release(Usage{})
 		first, err := gate.Acquire(t.Context(), Request{ID: "again", Workspace: "w"}) // the slot is free for the next one
 		is.NoErr(err)
-		first(Result{})
+		first(Usage{})
 		release, err = gate.Acquire(t.Context(), Request{ID: "again", Workspace: "w"})
 		is.NoErr(err)
-		first(Result{}) // a second release does not end the later request of the same id
+		first(Usage{}) // a second release does not end the later request of the same id
 		is.Equal(gate.Load().InFlight, 1)
-		release(Result{})
+		release(Usage{})
 		time.Sleep(time.Minute) // the timer of the gate ends
 	})
 }
--- a/workspace/limits.go
+++ b/workspace/limits.go
@@ -42,7 +42,7 @@
 	// free in time are not lent. A negative value lends without this limit.
 	ReclaimWithin time.Duration
 	// InitialHold is the run time that is assumed before any was measured.
-	InitialHold time.Duration
+	InitialHoldTime time.Duration
 	// MaxRetryAfter bounds the Retry-After of refusals.
 	MaxRetryAfter time.Duration
 }
@@ -64,7 +64,7 @@
 	c.MaxQueued = orDefault(c.MaxQueued, defaultMaxQueued)
 	c.MaxWait = orDefault(c.MaxWait, defaultMaxWait)
 	c.ReclaimWithin = orDefault(c.ReclaimWithin, defaultReclaimWithin)
-	c.InitialHold = orDefault(c.InitialHold, defaultInitialHold)
+	c.InitialHoldTime = orDefault(c.InitialHoldTime, defaultInitialHold)
 	c.MaxRetryAfter = orDefault(c.MaxRetryAfter, defaultMaxRetryAfter)
 	return c
 }
--- a/workspace/request.go
+++ b/workspace/request.go
@@ -17,22 +17,22 @@
 	Priority int
 	// Patience bounds the wait for a slot of this request; zero leaves it to
 	// Config.MaxWait alone.
-	Patience time.Duration
+	MaxWait time.Duration
 	// Deadline is when the answer must be complete; 0 means none.
 	Deadline time.Duration
 	// Cost is the expected number of tokens, for Limits.TokensPerSecond.
-	Cost int
+	ExpectedTokens int
 	// Expected is the expected run time; 0 means as measured for the workspace.
-	Expected time.Duration
+	ExpectedHoldTime time.Duration
 }
 
 // Verdict is the answer to a request that was not refused.
-type Verdict int
+type Decision int
 
 // The verdicts. The zero value belongs to refusals.
 const (
 	// Refused means the request has not run and never will.
-	Refused Verdict = iota
+	Refused Decision = iota
 	// Admitted means the request holds a slot until Done.
 	Admitted
 	// Queued means a Grant or a Refusal follows.
--- a/workspace/schedule.go
+++ b/workspace/schedule.go
@@ -67,7 +67,7 @@
 	e.sequence = a.sequence
 	a.entries[e.request.ID] = e
 	a.queued++
-	s.queuedCost += e.request.Cost
+	s.queuedCost += e.request.ExpectedTokens
 	s.queue.put(e)
 	a.deadlines.put(e)
 	a.update(now, s)
@@ -76,7 +76,7 @@
 // leaveQueue takes a request out of the queue; the caller updates its owner.
 func (a *Admission) leaveQueue(e *entry) {
 	a.queued--
-	e.owner.queuedCost -= e.request.Cost
+	e.owner.queuedCost -= e.request.ExpectedTokens
 	e.owner.queue.remove(e)
 	a.deadlines.remove(e)
 }
@@ -161,7 +161,7 @@
 	s.virtual += e.charged.Seconds() * e.chargeRate
 	a.leaveQueue(e)
 	s.requests.take(now, 1)
-	s.tokens.take(now, float64(e.request.Cost))
+	s.tokens.take(now, float64(e.request.ExpectedTokens))
 	a.sequence++
 	s.lastGrant = a.sequence
 	e.running = true
@@ -211,7 +211,7 @@
 	ready := waiting && !s.atConcurrencyLimit()
 	pause := time.Duration(0)
 	if ready {
-		pause = s.untilRate(now, s.queue.top().request.Cost)
+		pause = s.untilRate(now, s.queue.top().request.ExpectedTokens)
 	}
 	if ready && pause == 0 {
 		a.deficits.put(s)
--- a/workspace/simulation_test.go
+++ b/workspace/simulation_test.go
@@ -34,7 +34,7 @@
 }
 
 // arrive sends a request and returns its id.
-func (b *bench) arrive(r Request) (string, Verdict, error) {
+func (b *bench) arrive(r Request) (string, Decision, error) {
 	b.serial++
 	r.ID = fmt.Sprint(b.serial)
 	b.owner[r.ID] = r.Workspace
