--- a/call/exchange_test.go
+++ b/call/exchange_test.go
@@ -184,7 +184,7 @@
 	x.w.after(d, func() {
 		x.awake(func() {
 			if x.action.Kind == call.Receive && x.claims[len(x.claims)-1] == claimID {
-				x.follow(x.machine.Cut(x.w.now, f, notSent))
+				x.follow(x.machine.Interrupted(x.w.now, f, notSent))
 			}
 		})
 	})
--- a/call/repeatable.go
+++ b/call/repeatable.go
@@ -92,14 +92,14 @@
 	case *agentv1.DispatchResponse_End:
 		return m.end(now, kind.End)
 	case *agentv1.DispatchResponse_Broken:
-		return m.Cut(now, errBroken(kind.Broken.GetMessage()), !kind.Broken.GetMayHaveRun())
+		return m.Interrupted(now, errBroken(kind.Broken.GetMessage()), !kind.Broken.GetMayHaveRun())
 	}
-	return m.Cut(now, errBroken("the agent sent a message of an unknown kind"), false)
+	return m.Interrupted(now, errBroken("the agent sent a message of an unknown kind"), false)
 }
 
 // Cut reports that the attempt ended without a whole answer. notRun is true
 // only when it is proved that no endpoint was asked.
-func (m *Repeatable) Cut(now time.Duration, f *fault.Error, notRun bool) Action {
+func (m *Repeatable) Interrupted(now time.Duration, f *fault.Error, notRun bool) Action {
 	m.mayHaveRun = m.mayHaveRun || !notRun
 	if m.started {
 		return m.resume(now, f)
@@ -121,7 +121,7 @@
 func (m *Repeatable) refused(now time.Duration, r *agentv1.Refused) Action {
 	f := faultOf(r)
 	if m.answer.opened {
-		return m.Cut(now, f, false)
+		return m.Interrupted(now, f, false)
 	}
 	if m.started && f.Kind == fault.NotFound {
 		return m.giveUp(now, errBroken("the engine no longer has the stream"))
@@ -160,7 +160,7 @@
 func (m *Repeatable) chunk(now time.Duration, c *agentv1.Chunk) Action {
 	fresh, ok := m.answer.take(c)
 	if !ok {
-		return m.Cut(now, errBroken("a part of the answer is missing"), false)
+		return m.Interrupted(now, errBroken("a part of the answer is missing"), false)
 	}
 	if m.started {
 		return m.receive(now, fresh)
@@ -178,7 +178,7 @@
 
 func (m *Repeatable) end(now time.Duration, end *agentv1.End) Action {
 	if !m.answer.whole(end) {
-		return m.Cut(now, errBroken("the answer ended before it was whole"), false)
+		return m.Interrupted(now, errBroken("the answer ended before it was whole"), false)
 	}
 	action := Action{Kind: Finish, Verdict: &Verdict{Outcome: Answered}}
 	if !m.started {
--- a/call/repeatable_test.go
+++ b/call/repeatable_test.go
@@ -87,7 +87,7 @@
 			a = m.Response(now, pending[0])
 			pending = pending[1:]
 		default:
-			a = m.Cut(now, fault.New(fault.Unknown, "the connection broke", ""), false)
+			a = m.Interrupted(now, fault.New(fault.Unknown, "the connection broke", ""), false)
 		}
 	}
 }
@@ -183,7 +183,7 @@
 					answered++
 					break
 				}
-				a = m.Cut(now, fault.New(fault.Unknown, "broken", ""), false)
+				a = m.Interrupted(now, fault.New(fault.Unknown, "broken", ""), false)
 			}
 			attempts += m.Counts().Attempts
 		}
--- a/call/single_response.go
+++ b/call/single_response.go
@@ -24,15 +24,15 @@
 	case *agentv1.DispatchResponse_End:
 		return m.end(now, kind.End)
 	case *agentv1.DispatchResponse_Broken:
-		return m.Cut(now, errBroken(kind.Broken.GetMessage()), false)
+		return m.Interrupted(now, errBroken(kind.Broken.GetMessage()), false)
 	}
-	return m.Cut(now, errBroken("the agent sent a message of an unknown kind"), false)
+	return m.Interrupted(now, errBroken("the agent sent a message of an unknown kind"), false)
 }
 
 // refusedByAgent follows a refusal. After the head it is no refusal at all.
 func (m *AtMostOnce) refusedByAgent(now time.Duration, f *fault.Error) Action {
 	if m.answer.opened || f.Kind == fault.Unknown {
-		return m.Cut(now, f, false)
+		return m.Interrupted(now, f, false)
 	}
 	return m.notRun(now, f)
 }
@@ -49,7 +49,7 @@
 func (m *AtMostOnce) chunk(now time.Duration, c *agentv1.Chunk) Action {
 	fresh, ok := m.answer.take(c)
 	if !ok {
-		return m.Cut(now, errBroken("a part of the answer is missing"), false)
+		return m.Interrupted(now, errBroken("a part of the answer is missing"), false)
 	}
 	action := Action{Kind: Receive}
 	if m.buffered.bytes <= m.options.Policy.MaxBufferedBytes {
@@ -69,7 +69,7 @@
 // end takes the whole answer: the caller has it at once, then it is recorded.
 func (m *AtMostOnce) end(now time.Duration, end *agentv1.End) Action {
 	if !m.answer.whole(end) {
-		return m.Cut(now, errBroken("the answer ended before it was whole"), false)
+		return m.Interrupted(now, errBroken("the answer ended before it was whole"), false)
 	}
 	record := m.record()
 	head, parts := m.answer.head, m.buffered.release()
@@ -96,7 +96,7 @@
 
 // Cut reports that the dispatch ended without a whole answer. notRun is true
 // only when it is proved that the dispatch was not sent.
-func (m *AtMostOnce) Cut(now time.Duration, f *fault.Error, notRun bool) Action {
+func (m *AtMostOnce) Interrupted(now time.Duration, f *fault.Error, notRun bool) Action {
 	m.buffered.release()
 	switch {
 	case m.started:
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -147,7 +147,7 @@
 	}
 	notRun := f.Kind != fault.Unknown && f.Kind != fault.Internal && x.attempt.parts == 0
 	x.attempt.failed = !left && x.now() < x.request.deadline
-	return x.machine.Cut(x.now(), f, notRun)
+	return x.machine.Interrupted(x.now(), f, notRun)
 }
 
 // observe learns from a response how the endpoint does.
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -23,7 +23,7 @@
 	Picked(now time.Duration, t call.Target) call.Action
 	PickFailed(now time.Duration, f *fault.Error) call.Action
 	Response(now time.Duration, r *agentv1.DispatchResponse) call.Action
-	Cut(now time.Duration, f *fault.Error, notRun bool) call.Action
+	Interrupted(now time.Duration, f *fault.Error, notRun bool) call.Action
 	Counts() call.Counts
 }
 
