--- a/workspace/admission.go
+++ b/workspace/admission.go
@@ -11,48 +11,50 @@
 	config Config
 	slots  int
 
-	// known holds the limits of every configured workspace.
-	known map[string]Limits
-	// guaranteed holds those of known with a guaranteed share.
+	// limits holds the limits of every configured workspace.
+	limits map[string]Limits
+	// guaranteed holds the limits of the workspaces with a guaranteed share.
 	guaranteed guarantees
-	// guaranteedSum is the sum of GuaranteedShare over known.
+	// guaranteedSum is the sum of GuaranteedShare over guaranteed.
 	guaranteedSum float64
-	// guaranteedSlots is the sum of their whole guaranteed slots.
-	guaranteedSlots int
+	// reservedSlots is the sum of the reserved slots over guaranteed.
+	reservedSlots int
 
-	// active holds the workspaces with requests, or with any in recent time.
-	active map[string]*state
-	// entries holds the requests that wait or are in flight.
+	// active holds the workspaces that have requests or had some recently.
+	active map[string]*workspaceState
+	// entries holds the requests that are queued or in flight.
 	entries  map[string]*entry
 	queued   int
 	inFlight int
 	sequence uint64
 
-	// activeWeight and activeBase are sums over the workspaces that are not idle.
-	activeWeight float64
-	activeBase   float64
-	// heldSum and returnsSum are sums over active.
-	heldSum    int
-	returnsSum returns
-	// virtualNow is the virtual time at which a workspace starts.
-	virtualNow float64
-
-	// deficits and virtuals hold the workspaces whose next request may start as
-	// soon as there is a slot.
-	deficits indexedHeap[*state]
-	virtuals indexedHeap[*state]
-	// crowds holds the workspaces with a queue.
-	crowds indexedHeap[*state]
-	// timers holds the workspaces that wait for a rate limit or to be forgotten.
-	timers indexedHeap[*state]
-	// deadlines holds the waiting requests by their latest start.
+	// activeWeight and activeShareSlots are sums over the workspaces that are not idle.
+	activeWeight     float64
+	activeShareSlots float64
+	// reservedInUse and totalExpectedReturns are sums over active.
+	reservedInUse        int
+	totalExpectedReturns slotEstimate
+	// minVirtualTime is the virtual time at which a newly active workspace starts.
+	minVirtualTime float64
+
+	// byDeficit and byVirtualTime hold the workspaces whose next request may start as
+	// soon as a slot is free.
+	byDeficit     indexedHeap[*workspaceState]
+	byVirtualTime indexedHeap[*workspaceState]
+	// byQueueLength holds the workspaces with queued requests.
+	byQueueLength indexedHeap[*workspaceState]
+	// timers holds the workspaces that wait for a rate limit or for the end of their
+	// retention.
+	timers indexedHeap[*workspaceState]
+	// deadlines holds the queued requests by their latest start.
 	deadlines indexedHeap[*entry]
 
-	measured hold
-	// startSum is the sum of the start times in flight, for their mean age.
-	startSum time.Duration
+	holdTime holdTimeEstimate
+	// startTimeSum is the sum of the start times of the requests in flight, for their
+	// mean age.
+	startTimeSum time.Duration
 
-	// grants and refusals have been decided but not yet been returned.
+	// grants and refusals have been decided but not yet returned.
 	grants   []Grant
 	refusals []Refusal
 }
@@ -60,78 +62,78 @@
 // NewAdmission returns an Admission with no slots.
 func NewAdmission(config Config) *Admission {
 	return &Admission{
-		config:    config.withDefaults(),
-		known:     make(map[string]Limits),
-		active:    make(map[string]*state),
-		entries:   make(map[string]*entry),
-		deficits:  indexedHeap[*state]{less: lessDeficit, index: func(s *state) *int { return &s.deficitIndex }},
-		virtuals:  indexedHeap[*state]{less: lessVirtual, index: func(s *state) *int { return &s.virtualIndex }},
-		crowds:    indexedHeap[*state]{less: moreCrowded, index: func(s *state) *int { return &s.crowdIndex }},
-		timers:    indexedHeap[*state]{less: lessTimer, index: func(s *state) *int { return &s.timerIndex }},
-		deadlines: indexedHeap[*entry]{less: lessLatestStart, index: func(e *entry) *int { return &e.deadlineIndex }},
+		config:        config.withDefaults(),
+		limits:        make(map[string]Limits),
+		active:        make(map[string]*workspaceState),
+		entries:       make(map[string]*entry),
+		byDeficit:     indexedHeap[*workspaceState]{less: lessDeficit, index: func(s *workspaceState) *int { return &s.deficitIndex }},
+		byVirtualTime: indexedHeap[*workspaceState]{less: lessVirtualTime, index: func(s *workspaceState) *int { return &s.virtualTimeIndex }},
+		byQueueLength: indexedHeap[*workspaceState]{less: longerQueue, index: func(s *workspaceState) *int { return &s.queueLengthIndex }},
+		timers:        indexedHeap[*workspaceState]{less: lessWakeTime, index: func(s *workspaceState) *int { return &s.timerIndex }},
+		deadlines:     indexedHeap[*entry]{less: lessLatestStart, index: func(e *entry) *int { return &e.deadlineIndex }},
 	}
 }
 
 func lessLatestStart(a, b *entry) bool { return a.latestStart < b.latestStart }
 
-// Configure sets the limits of the named workspaces and leaves the others.
-// Requests that wait or run are kept. Grants that follow are returned by Tick.
+// Configure sets the limits of the named workspaces and leaves the others unchanged.
+// Requests that are queued or in flight are kept. Tick returns the resulting grants.
 func (a *Admission) Configure(now time.Duration, limits map[string]Limits) {
-	for name, each := range limits {
-		a.known[name] = each
-		a.guaranteed = a.guaranteed.set(name, each)
+	for name, workspaceLimits := range limits {
+		a.limits[name] = workspaceLimits
+		a.guaranteed = a.guaranteed.put(name, workspaceLimits)
 		if s, ok := a.active[name]; ok {
-			a.setLimits(now, s, each)
+			a.setLimits(now, s, workspaceLimits)
 		}
 	}
 	a.guaranteedSum = a.guaranteed.sum()
-	a.reshape(now)
+	a.recompute(now)
 }
 
-// Remove forgets the limits of workspaces; Config.Default applies to what they
-// still have waiting or in flight.
+// Remove removes the limits of workspaces; Config.Default applies to their remaining
+// requests.
 func (a *Admission) Remove(now time.Duration, names ...string) {
 	for _, name := range names {
-		delete(a.known, name)
+		delete(a.limits, name)
 		a.guaranteed = a.guaranteed.remove(name)
 		if s, ok := a.active[name]; ok {
 			a.setLimits(now, s, a.config.Default)
 		}
 	}
 	a.guaranteedSum = a.guaranteed.sum()
-	a.reshape(now)
+	a.recompute(now)
 }
 
-// SetCapacity sets the number of slots. Requests in flight beyond it finish.
-// Grants that follow are returned by Tick.
+// SetCapacity sets the number of slots. Requests in flight beyond it run to completion.
+// Tick returns the resulting grants.
 func (a *Admission) SetCapacity(now time.Duration, slots int) {
 	if slots = max(slots, 0); slots == a.slots {
 		return
 	}
 	a.slots = slots
-	a.reshape(now)
+	a.recompute(now)
 }
 
-// Arrive decides on a new request. With Admitted it holds a slot; with Queued a
-// Grant or a Refusal follows from Done, Cancel or Tick; an error is a
-// *fault.Error and means that the request has not run.
+// Arrive decides on a new request. An Admitted request holds a slot; for a Queued one, a
+// Grant or a Refusal follows from Done, Cancel or Tick. An error is a *fault.Error and
+// means that the request has not run.
 func (a *Admission) Arrive(now time.Duration, r Request) (Decision, error) {
-	a.advance(now)
+	a.handleDue(now)
 	if _, exists := a.entries[r.ID]; exists {
-		return Refused, fault.Newf(fault.Conflict, "give every request an id of its own",
+		return Refused, fault.Newf(fault.Conflict, "use a unique id for every request",
 			"request %q is already waiting or in flight", r.ID)
 	}
-	s := a.activate(now, r.Workspace)
+	s := a.activeState(now, r.Workspace)
 	e := &entry{
 		request:       r,
-		owner:         s,
+		workspace:     s,
 		arrived:       now,
 		queueIndex:    notInHeap,
 		deadlineIndex: notInHeap,
 	}
 	e.latestStart = a.latestStart(e, a.startsAtOnce(now, e))
-	if refusal := a.refuse(now, e); refusal != nil {
-		a.update(now, s)
+	if refusal := a.checkArrival(now, e); refusal != nil {
+		a.updateHeaps(now, s)
 		return Refused, refusal
 	}
 	a.enqueue(now, e)
@@ -143,24 +145,24 @@
 	return Admitted, nil
 }
 
-// Done frees the slot of a request that has ended and returns what starts next.
-// An unknown id is ignored.
+// Done releases the slot of a request that has ended and returns the requests that start
+// next. An unknown id is ignored.
 func (a *Admission) Done(now time.Duration, id string) []Grant {
-	a.advance(now)
+	a.handleDue(now)
 	if e, ok := a.entries[id]; ok && e.running {
-		a.learn(now, e)
-		a.release(now, e)
+		a.recordHoldTime(now, e)
+		a.releaseSlot(now, e)
 	}
 	return a.takeGrants(now)
 }
 
-// Cancel withdraws a request, waiting or in flight, and returns what starts
-// next. Its run time is not learnt from. An unknown id is ignored.
+// Cancel withdraws a request that is queued or in flight and returns the requests that
+// start next. Its hold time is not added to the estimates. An unknown id is ignored.
 func (a *Admission) Cancel(now time.Duration, id string) []Grant {
-	a.advance(now)
+	a.handleDue(now)
 	if e, ok := a.entries[id]; ok {
 		if e.running {
-			a.release(now, e)
+			a.releaseSlot(now, e)
 		} else {
 			a.dequeue(now, e)
 		}
@@ -168,26 +170,26 @@
 	return a.takeGrants(now)
 }
 
-// Settle corrects the tokens that a request in flight was charged by its Cost
-// to the number that it really used.
+// AdjustTokens replaces the expected tokens that a request in flight was charged by the
+// number that it used.
 func (a *Admission) AdjustTokens(now time.Duration, id string, tokens int) {
 	if e, ok := a.entries[id]; ok && e.running {
-		e.owner.tokens.take(now, float64(tokens-e.request.ExpectedTokens))
+		e.workspace.tokenRate.take(now, float64(tokens-e.request.ExpectedTokens))
 		e.request.ExpectedTokens = tokens
 	}
 }
 
-// Tick returns what became due by now: requests that start and requests that
-// were refused after they had been queued.
+// Tick returns the grants and refusals that are due by now, including requests that were
+// refused after they had been queued.
 func (a *Admission) Tick(now time.Duration) ([]Grant, []Refusal) {
-	a.advance(now)
+	a.handleDue(now)
 	grants := a.takeGrants(now)
 	refusals := a.refusals
 	a.refusals = nil
 	return grants, refusals
 }
 
-// NextWake returns when Tick has something to do, if nothing else happens.
+// NextWake returns when Tick must be called next if nothing else happens before.
 func (a *Admission) NextWake(now time.Duration) (time.Duration, bool) {
 	if len(a.grants) > 0 || len(a.refusals) > 0 {
 		return now, true
@@ -204,26 +206,25 @@
 
 // Load is a summary of an Admission for metrics.
 type Load struct {
-	// Slots is the capacity; InFlight and Queued count requests; Active counts
-	// workspaces with state.
+	// Slots is the capacity; InFlight and Queued count requests; ActiveWorkspaces counts
+	// the workspaces with state.
 	Slots, InFlight, Queued, ActiveWorkspaces int
 }
 
-// Load returns the present load.
 func (a *Admission) Load() Load {
 	return Load{Slots: a.slots, InFlight: a.inFlight, Queued: a.queued, ActiveWorkspaces: len(a.active)}
 }
 
-// Hold returns how long requests hold their slots in the mean: Config.InitialHold before
-// any has been measured.
+// MeanHoldTime returns the mean time that requests hold their slots, or
+// Config.InitialHoldTime before any has been measured.
 func (a *Admission) MeanHoldTime() time.Duration {
-	if a.measured.samples == 0 {
+	if a.holdTime.samples == 0 {
 		return a.config.InitialHoldTime
 	}
-	return seconds(a.measured.mean)
+	return seconds(a.holdTime.mean)
 }
 
-// takeGrants starts what can start and returns all grants not yet returned.
+// takeGrants starts the requests that can start and returns all grants not yet returned.
 func (a *Admission) takeGrants(now time.Duration) []Grant {
 	a.schedule(now)
 	grants := a.grants
@@ -231,7 +232,7 @@
 	return grants
 }
 
-// withdrawGrant takes back the grant of a request that Arrive reports itself.
+// withdrawGrant drops the grant of a request that Arrive reports as Admitted.
 func (a *Admission) withdrawGrant(id string) {
 	for i := len(a.grants) - 1; i >= 0; i-- {
 		if a.grants[i].ID == id {
--- a/workspace/bench_test.go
+++ b/workspace/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkDecision measures an arrival and an end with all slots taken, with
-// few and many known and active workspaces.
+// BenchmarkDecision measures one arrival and one end while all slots are taken, with few
+// and many configured and active workspaces.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []struct{ known, active int }{{10, 10}, {37000, 10}, {37000, 1000}} {
 		b.Run(fmt.Sprintf("known=%d/active=%d", size.known, size.active), func(b *testing.B) {
@@ -24,15 +24,15 @@
 			running := make([]string, 0, 2*slots)
 			now := time.Duration(0)
 			arrive := func(i int, id string) {
-				verdict, err := a.Arrive(now, Request{ID: id, Workspace: names[i%size.active]})
+				decision, err := a.Arrive(now, Request{ID: id, Workspace: names[i%size.active]})
 				if err != nil {
 					b.Fatal(err)
 				}
-				if verdict == Admitted {
+				if decision == Admitted {
 					running = append(running, id)
 				}
 			}
-			for i := range 2 * slots { // half of them wait
+			for i := range 2 * slots { // half of them are queued
 				arrive(i, fmt.Sprint("request-", i))
 			}
 			b.ReportAllocs()
--- a/workspace/estimate.go
+++ b/workspace/estimate.go
@@ -5,73 +5,74 @@
 	"time"
 )
 
-// surelyEnding is a probability that counts as certainty. With it everything can
-// be lent if the mean run time is no more than a third of ReclaimWithin.
-const surelyEnding = 0.95
+// certainReturnProbability is the probability from which a slot counts as certain to be
+// returned. With 0.95, all slots can be lent if the mean hold time is at most a third of
+// ReclaimWithin.
+const certainReturnProbability = 0.95
 
-// leastHold keeps rates finite when run times are nearly zero, in seconds.
-const leastHold = 1e-6
+// minHoldTime keeps rates finite when hold times are close to zero, in seconds.
+const minHoldTime = 1e-6
 
-// leastRate keeps estimates finite when nothing drains, per second.
-const leastRate = 1e-3
+// minRate keeps estimates finite when no slot is being released, per second.
+const minRate = 1e-3
 
-// learn takes in the run time of a request that ended.
-func (a *Admission) learn(now time.Duration, e *entry) {
-	a.measured.add(now - e.started)
-	e.owner.measured.add(now - e.started)
+// recordHoldTime adds the hold time of a request that ended to the estimates.
+func (a *Admission) recordHoldTime(now time.Duration, e *entry) {
+	a.holdTime.addSample(now - e.started)
+	e.workspace.holdTime.addSample(now - e.started)
 }
 
-// holdOf returns the estimate for a workspace, or that of all workspaces if it
-// has none yet.
-func (a *Admission) holdOf(s *state) hold {
-	if s.measured.samples > 0 {
-		return s.measured
+// holdTimeOf returns the estimate of a workspace, or that of all workspaces if the
+// workspace has no samples yet.
+func (a *Admission) holdTimeOf(s *workspaceState) holdTimeEstimate {
+	if s.holdTime.samples > 0 {
+		return s.holdTime
 	}
-	if a.measured.samples > 0 {
-		return a.measured
+	if a.holdTime.samples > 0 {
+		return a.holdTime
 	}
 	initial := a.config.InitialHoldTime.Seconds()
-	return hold{mean: initial, deviation: initial / 2}
+	return holdTimeEstimate{mean: initial, deviation: initial / 2}
 }
 
-// expectedHold is the run time that is expected of a request.
-func (a *Admission) expectedHold(e *entry) time.Duration {
+// expectedHoldTime returns the expected hold time of a request.
+func (a *Admission) expectedHoldTime(e *entry) time.Duration {
 	if e.request.ExpectedHoldTime > 0 {
 		return e.request.ExpectedHoldTime
 	}
-	estimate := a.holdOf(e.owner)
+	estimate := a.holdTimeOf(e.workspace)
 	return seconds(estimate.mean)
 }
 
-// deadlineMargin is how many mean deviations beyond the mean run time a request
-// that must wait has to leave before its deadline.
+// deadlineMargin is the number of mean deviations beyond the mean hold time that must
+// remain until the deadline of a request that has to wait.
 const deadlineMargin = 1
 
-// runTime is the time that a request must have from its start to its deadline. A
-// request that starts at once is given a chance if a quick run would do; one that
-// waits for a slot that others could use must leave room for a slow run.
-func (a *Admission) runTime(e *entry, atOnce bool) time.Duration {
+// requiredTime returns the time that a request needs between its start and its deadline.
+// A request that starts at once is admitted if a fast run would meet the deadline; one
+// that waits for a slot that others could use must leave room for a slow run.
+func (a *Admission) requiredTime(e *entry, atOnce bool) time.Duration {
 	if e.request.ExpectedHoldTime > 0 {
 		return e.request.ExpectedHoldTime
 	}
-	estimate := a.holdOf(e.owner)
+	estimate := a.holdTimeOf(e.workspace)
 	if atOnce {
-		return seconds(estimate.quick())
+		return seconds(estimate.optimistic())
 	}
 	return seconds(estimate.mean + deadlineMargin*estimate.deviation)
 }
 
-// latestStart is when the request must start to meet its deadline, and no later
-// than MaxWait from its arrival.
+// latestStart returns the time by which the request must start to meet its deadline, at
+// most its maximum wait after its arrival.
 func (a *Admission) latestStart(e *entry, atOnce bool) time.Duration {
 	latest := e.arrived + a.maxWait(e)
 	if e.request.Deadline == 0 {
 		return latest
 	}
-	return min(latest, e.request.Deadline-a.runTime(e, atOnce))
+	return min(latest, e.request.Deadline-a.requiredTime(e, atOnce))
 }
 
-// maxWait is how long a request waits at most.
+// maxWait returns the maximum wait of a request.
 func (a *Admission) maxWait(e *entry) time.Duration {
 	if e.request.MaxWait > 0 {
 		return min(e.request.MaxWait, a.config.MaxWait)
@@ -79,70 +80,71 @@
 	return a.config.MaxWait
 }
 
-// baseOf is the guaranteed share in slots, scaled down if the shares of all
+// shareSlotsOf returns the guaranteed share in slots, scaled down if the shares of all
 // workspaces add up to more than 1.
-func (a *Admission) baseOf(limits Limits) float64 {
+func (a *Admission) shareSlotsOf(limits Limits) float64 {
 	return max(limits.GuaranteedShare, 0) * float64(a.slots) / max(a.guaranteedSum, 1)
 }
 
-// wholeSlots is the part of a guaranteed share that is held ready for its
-// workspace; it forgives the rounding of shares such as a tenth.
+// wholeSlots returns the part of a guaranteed share that is reserved for its workspace.
+// It tolerates the rounding error of shares such as 0.1.
 func wholeSlots(base float64) int { return int(base + roundingSlack) }
 
-// returnsOf is how many of the slots that s would have borrowed with inFlight
-// requests are expected back within ReclaimWithin. Run times count as
-// exponential, with the mean measured or the mean age in flight, if that is
-// longer: requests much longer than those before are noticed before they end.
-func (a *Admission) returnsOf(now time.Duration, s *state, inFlight int) returns {
-	borrowed := float64(inFlight - s.whole)
+// expectedReturnsOf estimates how many of the slots that s would have borrowed with
+// inFlight requests are returned within ReclaimWithin. Hold times are taken as
+// exponentially distributed, with the measured mean or the mean age of the requests in
+// flight, whichever is longer: requests much longer than earlier ones are thus noticed
+// before they end.
+func (a *Admission) expectedReturnsOf(now time.Duration, s *workspaceState, inFlight int) slotEstimate {
+	borrowed := float64(inFlight - s.reserved)
 	if borrowed <= 0 {
-		return returns{}
+		return slotEstimate{}
 	}
-	mean := max(a.holdOf(s).mean, leastHold)
+	mean := max(a.holdTimeOf(s).mean, minHoldTime)
 	if s.inFlight > 0 {
-		mean = max(mean, meanAge(now, s.inFlight, s.startSum))
+		mean = max(mean, meanAge(now, s.inFlight, s.startTimeSum))
 	}
-	ending := 1 - math.Exp(-a.config.ReclaimWithin.Seconds()/mean)
-	if ending >= surelyEnding {
-		return returns{mean: borrowed}
+	returnProbability := 1 - math.Exp(-a.config.ReclaimWithin.Seconds()/mean)
+	if returnProbability >= certainReturnProbability {
+		return slotEstimate{mean: borrowed}
 	}
-	expected := float64(inFlight) * ending
-	return returns{mean: min(borrowed, expected), variance: expected * (1 - ending)}
+	expected := float64(inFlight) * returnProbability
+	return slotEstimate{mean: min(borrowed, expected), variance: expected * (1 - returnProbability)}
 }
 
-// refreshReturns brings the part of s in returnsSum to now.
-func (a *Admission) refreshReturns(now time.Duration, s *state) {
-	a.returnsSum = a.returnsSum.minus(s.returns)
-	s.returns = a.returnsOf(now, s, s.inFlight)
-	a.returnsSum = a.returnsSum.plus(s.returns)
+// refreshExpectedReturns updates the contribution of s to the expected returns.
+func (a *Admission) refreshExpectedReturns(now time.Duration, s *workspaceState) {
+	a.totalExpectedReturns = a.totalExpectedReturns.minus(s.expectedReturns)
+	s.expectedReturns = a.expectedReturnsOf(now, s, s.inFlight)
+	a.totalExpectedReturns = a.totalExpectedReturns.plus(s.expectedReturns)
 }
 
-// releaseRate is how many slots become free per second, from the run times
-// measured. It falls when the requests in flight grow much older than those
-// before them, as when endpoints stall.
+// releaseRate returns the number of slots released per second, from the measured hold
+// times. It falls when the requests in flight become much older than earlier ones, as
+// when endpoints stall.
 func (a *Admission) releaseRate(now time.Duration) float64 {
 	if a.inFlight == 0 {
 		return 0
 	}
 	mean := a.config.InitialHoldTime.Seconds()
-	if a.measured.samples > 0 {
-		mean = a.measured.mean
+	if a.holdTime.samples > 0 {
+		mean = a.holdTime.mean
 	}
-	age := meanAge(now, a.inFlight, a.startSum)
-	return float64(min(a.inFlight, a.slots)) / max(mean, age/2, leastHold)
+	age := meanAge(now, a.inFlight, a.startTimeSum)
+	return float64(min(a.inFlight, a.slots)) / max(mean, age/2, minHoldTime)
 }
 
-// meanAge is the mean time since the starts that add up to startSum, in seconds.
-// The sum of the starts may overflow, but the sum of the ages is right again,
-// because integers wrap around.
+// meanAge returns the mean time since the starts that add up to startSum, in seconds. The
+// sum of the starts may overflow, but the sum of the ages is still correct because
+// integers wrap around.
 func meanAge(now time.Duration, inFlight int, startSum time.Duration) float64 {
 	ages := now*time.Duration(inFlight) - startSum
 	return ages.Seconds() / float64(inFlight)
 }
 
-// wait estimates how long a request will wait until it starts.
-func (a *Admission) wait(now time.Duration, e *entry) time.Duration {
-	s := e.owner
+// estimateWait estimates how long a request waits until it starts.
+func (a *Admission) estimateWait(now time.Duration, e *entry) time.Duration {
+	s := e.workspace
 	if a.startsAtOnce(now, e) {
 		return 0
 	}
@@ -157,50 +159,50 @@
 
 // startsAtOnce reports whether a new request would start now.
 func (a *Admission) startsAtOnce(now time.Duration, e *entry) bool {
-	s := e.owner
+	s := e.workspace
 	if a.inFlight >= a.slots || s.queue.len() > 0 || s.atConcurrencyLimit() {
 		return false
 	}
-	if s.untilRate(now, e.request.ExpectedTokens) > 0 {
+	if s.rateLimitDelay(now, e.request.ExpectedTokens) > 0 {
 		return false
 	}
-	return s.guaranteed() || (a.deficits.len() == 0 && a.mayLend(now, s))
+	return s.belowReserved() || (a.byDeficit.len() == 0 && a.mayBorrow(now, s))
 }
 
-// slotWait estimates when s gets its needed-th slot from now: those that it is
-// entitled to from the free slots and all releases, the others at its own drain.
-func (a *Admission) slotWait(now time.Duration, s *state, needed int) time.Duration {
-	entitled := s.base
-	if a.mayLend(now, s) {
+// slotWait estimates when s gets its needed-th slot from now: slots that it is entitled
+// to come from the free slots and all releases, the others at the drain rate of s.
+func (a *Admission) slotWait(now time.Duration, s *workspaceState, needed int) time.Duration {
+	entitled := s.shareSlots
+	if a.mayBorrow(now, s) {
 		entitled = a.entitlement(s)
 	}
 	if s.limits.MaxConcurrent > 0 {
 		entitled = min(entitled, float64(s.limits.MaxConcurrent))
 	}
-	prompt := min(max(entitled-float64(s.inFlight), 0), float64(needed))
+	entitledNow := min(max(entitled-float64(s.inFlight), 0), float64(needed))
 	free := float64(max(a.slots-a.inFlight, 0))
-	wait := max(prompt-free, 0) / max(a.releaseRate(now), leastRate)
-	if rest := float64(needed) - prompt; rest > 0 {
-		wait += rest / a.drain(now, s)
+	wait := max(entitledNow-free, 0) / max(a.releaseRate(now), minRate)
+	if rest := float64(needed) - entitledNow; rest > 0 {
+		wait += rest / a.drainRate(now, s)
 	}
 	return seconds(min(wait, a.sharedWait(now, s)))
 }
 
-// sharedWait is how long it takes until all that wait now, and one more, have a
-// slot: s waits no longer than that even if its own share is used up, as slots
-// that others do not ask for are lent. It is without bound where they are not.
-func (a *Admission) sharedWait(now time.Duration, s *state) float64 {
-	if s.atConcurrencyLimit() || !a.mayLend(now, s) {
+// sharedWait returns the time until all queued requests, and one more, have a slot. It is
+// an upper bound of the wait of s even if the share of s is used up, because slots that
+// others do not request are lent. It is infinite where s may not borrow.
+func (a *Admission) sharedWait(now time.Duration, s *workspaceState) float64 {
+	if s.atConcurrencyLimit() || !a.mayBorrow(now, s) {
 		return math.Inf(1)
 	}
-	return float64(a.queued+1) / max(a.releaseRate(now), leastRate)
+	return float64(a.queued+1) / max(a.releaseRate(now), minRate)
 }
 
-// drain is how many slots per second s gets while others want theirs too: its
-// entitled part of all releases or, if that is more, what it releases itself.
-func (a *Admission) drain(now time.Duration, s *state) float64 {
+// drainRate returns the number of slots per second that s gets under contention: its
+// entitled part of all releases or, if that is more, the slots that s releases itself.
+func (a *Admission) drainRate(now time.Duration, s *workspaceState) float64 {
 	rate := a.releaseRate(now) * a.entitlement(s) / float64(max(a.slots, 1))
-	mean := max(a.holdOf(s).mean, leastHold)
+	mean := max(a.holdTimeOf(s).mean, minHoldTime)
 	own := float64(s.inFlight) / mean
 	rate = max(rate, min(own, a.releaseRate(now)))
 	if s.limits.MaxConcurrent > 0 {
@@ -209,27 +211,27 @@
 	if s.limits.RequestsPerSecond > 0 {
 		rate = min(rate, s.limits.RequestsPerSecond)
 	}
-	return max(rate, leastRate)
+	return max(rate, minRate)
 }
 
-// leastEntitlement keeps virtual times finite, in slots.
-const leastEntitlement = 1e-6
+// minEntitlement keeps virtual times finite, in slots.
+const minEntitlement = 1e-6
 
-// entitlement is the guaranteed share of s and its weighted share of the rest,
-// in slots, as if it were active.
-func (a *Admission) entitlement(s *state) float64 {
-	weight, base := a.activeWeight, a.activeBase
+// entitlement returns the guaranteed share of s plus its weighted share of the rest, in
+// slots, as if s were active.
+func (a *Admission) entitlement(s *workspaceState) float64 {
+	weight, base := a.activeWeight, a.activeShareSlots
 	if s.idle() {
 		weight += s.limits.weight()
-		base += s.base
+		base += s.shareSlots
 	}
 	rest := max(float64(a.slots)-base, 0)
-	return s.base + rest*s.limits.weight()/max(weight, s.limits.weight())
+	return s.shareSlots + rest*s.limits.weight()/max(weight, s.limits.weight())
 }
 
-// rateWait is how long the rate limits hold back the needed-th request of s,
-// whose cost comes on top of the costs of those ahead.
-func (a *Admission) rateWait(now time.Duration, s *state, needed, cost int) time.Duration {
-	tokens := float64(s.queuedCost) + min(float64(cost), s.tokens.capacity())
-	return max(s.requests.until(now, float64(needed)), s.tokens.until(now, tokens))
+// rateWait returns how long the rate limits delay the needed-th request of s, whose
+// tokens are added to those of the requests ahead of it.
+func (a *Admission) rateWait(now time.Duration, s *workspaceState, needed, cost int) time.Duration {
+	tokens := float64(s.queuedTokens) + min(float64(cost), s.tokenRate.capacity())
+	return max(s.requestRate.until(now, float64(needed)), s.tokenRate.until(now, tokens))
 }
--- a/workspace/example_test.go
+++ b/workspace/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/lilackeel/lilackeel/workspace"
 )
 
-// Two workspaces share one slot. The second request waits in the queue until
-// the first has ended, and then starts by a Grant.
+// Two workspaces share one slot. The second request is queued until the first has ended,
+// and then starts by a Grant.
 func Example() {
 	admission := workspace.NewAdmission(workspace.Config{})
 	admission.SetCapacity(0, 1)
--- a/workspace/gate.go
+++ b/workspace/gate.go
@@ -13,17 +13,17 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// Metrics of all gates of the process.
+// Metrics over all gates of the process.
 var (
 	admittedTotal = metrics.NewCounter(`lilackeel_admission_requests_total{outcome="admitted"}`)
 	queuedTotal   = metrics.NewCounter(`lilackeel_admission_requests_total{outcome="queued"}`)
 	waitSeconds   = metrics.NewHistogram(`lilackeel_admission_wait_seconds`)
 )
 
-// The places where a request is refused, for metrics.
+// Values of the metric label place: where a request was refused.
 const (
-	onArrival = "arrival"
-	inQueue   = "queue"
+	refusedOnArrival = "arrival"
+	refusedInQueue   = "queue"
 )
 
 // countRefusal counts a refused request by the kind of its fault.
@@ -32,13 +32,14 @@
 	metrics.GetOrCreateCounter(name).Inc()
 }
 
-// Result is what a request used.
+// Usage reports what a request consumed.
 type Usage struct {
-	// Tokens is the number of tokens really used; 0 means as expected.
+	// Tokens is the number of tokens used; 0 means as expected.
 	Tokens int
 }
 
-// Gate is an Admission that is safe for concurrent use and wakes itself up.
+// Gate wraps an Admission with a lock and a timer, so that it is safe for concurrent use
+// and requests can block until they are admitted.
 type Gate struct {
 	clock func() time.Duration
 
@@ -47,79 +48,77 @@
 	waiting   map[string]chan error
 	sequence  uint64
 	timer     *time.Timer
-	// armedFor is when the timer fires; valid if armed.
-	armedFor time.Duration
-	armed    bool
+	// timerAt is when the timer fires; valid if timerSet.
+	timerAt  time.Duration
+	timerSet bool
 }
 
-// NewGate returns a gate around admission, which must not be used directly any
-// more. The clock returns the time since an arbitrary start.
+// NewGate returns a gate around admission, which must not be used directly afterwards.
+// The clock returns the time since an arbitrary start.
 func NewGate(admission *Admission, clock func() time.Duration) *Gate {
 	return &Gate{clock: clock, admission: admission, waiting: make(map[string]chan error)}
 }
 
 // Configure sets the limits of the named workspaces.
 func (g *Gate) Configure(limits map[string]Limits) {
-	g.do(func(now time.Duration) { g.admission.Configure(now, limits) })
+	g.update(func(now time.Duration) { g.admission.Configure(now, limits) })
 }
 
-// Remove forgets the limits of workspaces.
+// Remove removes the limits of workspaces.
 func (g *Gate) Remove(names ...string) {
-	g.do(func(now time.Duration) { g.admission.Remove(now, names...) })
+	g.update(func(now time.Duration) { g.admission.Remove(now, names...) })
 }
 
 // SetCapacity sets the number of slots.
 func (g *Gate) SetCapacity(slots int) {
-	g.do(func(now time.Duration) { g.admission.SetCapacity(now, slots) })
+	g.update(func(now time.Duration) { g.admission.SetCapacity(now, slots) })
 }
 
-// Load returns the present load.
 func (g *Gate) Load() Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.admission.Load()
 }
 
-// Hold returns how long requests hold their slots in the mean.
+// MeanHoldTime returns the mean time that requests hold their slots.
 func (g *Gate) MeanHoldTime() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.admission.MeanHoldTime()
 }
 
-// Acquire waits for a slot. On success the caller must call release exactly when
-// the request has ended; further calls do nothing. An error is a *fault.Error
-// and means that the request has not run. An empty ID is filled in; a zero
-// Deadline is taken from ctx.
+// Acquire waits for a slot. On success the caller must call release when the request has
+// ended; only the first call has an effect. An error is a *fault.Error and means that the
+// request has not run. An empty ID is generated; a zero Deadline is taken from ctx.
 func (g *Gate) Acquire(ctx context.Context, r Request) (release func(Usage), err error) {
-	verdict, granted, err := g.arrive(ctx, &r)
+	decision, result, err := g.arrive(ctx, &r)
 	switch {
 	case err != nil:
-		countRefusal(onArrival, err)
+		countRefusal(refusedOnArrival, err)
 		return nil, err
-	case verdict == Admitted:
+	case decision == Admitted:
 		admittedTotal.Inc()
 		return g.releaser(r.ID), nil
 	}
 	queuedTotal.Inc()
 	started := g.clock()
 	select {
-	case err = <-granted:
+	case err = <-result:
 	case <-ctx.Done():
-		err = g.abandon(ctx, r.ID, granted)
+		err = g.abandon(ctx, r.ID, result)
 	}
 	if err != nil {
-		countRefusal(inQueue, err)
+		countRefusal(refusedInQueue, err)
 		return nil, err
 	}
 	waitSeconds.Update((g.clock() - started).Seconds())
 	return g.releaser(r.ID), nil
 }
 
-// arrive hands the request to the admission and, if it is queued, registers the
-// channel on which its grant (nil) or refusal comes.
-func (g *Gate) arrive(ctx context.Context, r *Request) (verdict Decision, granted chan error, err error) {
-	g.do(func(now time.Duration) {
+// arrive passes the request to the admission and, if it is queued, registers the channel
+// that receives nil when the request is granted, or its refusal.
+func (g *Gate) arrive(ctx context.Context, r *Request) (decision Decision, result chan error, err error) {
+	g.update(func(now time.Duration) {
 		if r.ID == "" {
 			g.sequence++
 			r.ID = "gate-" + strconv.FormatUint(g.sequence, 10)
@@ -127,43 +126,43 @@
 		if deadline, ok := ctx.Deadline(); ok && r.Deadline == 0 {
 			r.Deadline = max(now+time.Until(deadline), 1)
 		}
-		verdict, err = g.admission.Arrive(now, *r)
-		if verdict == Queued {
-			granted = make(chan error, 1)
-			g.waiting[r.ID] = granted
+		decision, err = g.admission.Arrive(now, *r)
+		if decision == Queued {
+			result = make(chan error, 1)
+			g.waiting[r.ID] = result
 		}
 	})
-	return verdict, granted, err
+	return decision, result, err
 }
 
-// abandon withdraws a queued request whose caller has left. A grant that came at
-// the same moment is given back.
-func (g *Gate) abandon(ctx context.Context, id string, granted chan error) error {
-	g.do(func(now time.Duration) {
+// abandon withdraws a queued request whose context has ended. If the request was granted
+// concurrently, its slot is released.
+func (g *Gate) abandon(ctx context.Context, id string, result chan error) error {
+	g.update(func(now time.Duration) {
 		delete(g.waiting, id)
 		g.deliver(g.admission.Cancel(now, id), nil)
 	})
 	select {
-	case err := <-granted:
+	case err := <-result:
 		if err != nil {
 			return err
 		}
 	default:
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return fault.New(fault.DeadlineTooShort, "not run: the deadline passed in the queue", "allow more time").Because(ctx.Err())
+		return fault.New(fault.DeadlineTooShort, "not run: the deadline passed while the request was queued", "use a longer deadline").Because(ctx.Err())
 	}
-	return fault.New(fault.Unavailable, "not run: the caller left the queue", "call again if it is still wanted").Because(ctx.Err())
+	return fault.New(fault.Unavailable, "not run: the caller cancelled the request while it was queued", "send the request again if it is still needed").Because(ctx.Err())
 }
 
-// releaser returns the function that frees the slot of a request once.
+// releaser returns the function that releases the slot of a request once.
 func (g *Gate) releaser(id string) func(Usage) {
 	var once sync.Once
-	return func(result Usage) {
+	return func(usage Usage) {
 		once.Do(func() {
-			g.do(func(now time.Duration) {
-				if result.Tokens > 0 {
-					g.admission.AdjustTokens(now, id, result.Tokens)
+			g.update(func(now time.Duration) {
+				if usage.Tokens > 0 {
+					g.admission.AdjustTokens(now, id, usage.Tokens)
 				}
 				g.deliver(g.admission.Done(now, id), nil)
 			})
@@ -171,50 +170,50 @@
 	}
 }
 
-// do runs one change under the lock, delivers what follows from it and arms the
-// timer for what is due next.
-func (g *Gate) do(change func(now time.Duration)) {
+// update runs a change under the lock, delivers the resulting grants and refusals and
+// sets the timer for the next due time.
+func (g *Gate) update(change func(now time.Duration)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock()
 	change(now)
 	g.deliver(g.admission.Tick(now))
-	g.arm(now)
+	g.armTimer(now)
 }
 
-// deliver tells the waiting callers. The channels have room for one answer each,
-// and each request gets one.
+// deliver notifies the waiting callers. Each request gets exactly one result, for which
+// its channel has room, so sending never blocks.
 func (g *Gate) deliver(grants []Grant, refusals []Refusal) {
 	for _, grant := range grants {
-		g.answer(grant.ID, nil)
+		g.notify(grant.ID, nil)
 	}
 	for _, refusal := range refusals {
-		g.answer(refusal.ID, refusal.Fault)
+		g.notify(refusal.ID, refusal.Fault)
 	}
 }
 
-func (g *Gate) answer(id string, err error) {
-	if granted, ok := g.waiting[id]; ok {
+func (g *Gate) notify(id string, err error) {
+	if result, ok := g.waiting[id]; ok {
 		delete(g.waiting, id)
-		granted <- err
+		result <- err
 	}
 }
 
-// arm sets the timer to the next wake, if that is sooner than the one set.
-func (g *Gate) arm(now time.Duration) {
+// armTimer sets the timer to the next due time, if that is sooner than the current one.
+func (g *Gate) armTimer(now time.Duration) {
 	wake, ok := g.admission.NextWake(now)
-	if !ok || (g.armed && g.armedFor <= wake) {
+	if !ok || (g.timerSet && g.timerAt <= wake) {
 		return
 	}
 	if g.timer != nil {
 		g.timer.Stop()
 	}
-	g.armed = true
-	g.armedFor = wake
-	g.timer = time.AfterFunc(max(wake-now, 0)+time.Nanosecond, g.wake)
+	g.timerSet = true
+	g.timerAt = wake
+	g.timer = time.AfterFunc(max(wake-now, 0)+time.Nanosecond, g.onTimer)
 }
 
-// wake runs when the timer fires.
-func (g *Gate) wake() {
-	g.do(func(time.Duration) { g.armed = false })
+// onTimer runs when the timer fires.
+func (g *Gate) onTimer() {
+	g.update(func(time.Duration) { g.timerSet = false })
 }
--- a/workspace/gate_test.go
+++ b/workspace/gate_test.go
@@ -15,7 +15,7 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// newGate returns a gate on the clock of a synctest bubble.
+// newGate returns a gate that uses the clock of a synctest bubble.
 func newGate(config Config, slots int) *Gate {
 	start := time.Now()
 	gate := NewGate(NewAdmission(config), func() time.Duration { return time.Since(start) })
@@ -23,7 +23,7 @@
 	return gate
 }
 
-func TestGateNeverLetsMoreThanItsSlotsRunAndAnswersEveryCaller(t *testing.T) {
+func TestGateBoundsConcurrencyAndAnswersEveryCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		gate := newGate(Config{MaxWait: 2 * time.Second}, 10)
@@ -33,7 +33,7 @@
 			callers.Go(func() {
 				ctx, cancel := context.WithTimeout(t.Context(), time.Duration(i%7+1)*300*time.Millisecond)
 				defer cancel()
-				if i%5 == 0 { // some callers leave
+				if i%5 == 0 { // some callers cancel
 					time.AfterFunc(100*time.Millisecond, cancel)
 				}
 				release, err := gate.Acquire(ctx, Request{Workspace: fmt.Sprint("w", i%3)})
@@ -46,7 +46,7 @@
 				running.Add(-1)
 				served.Add(1)
 				release(Usage{})
-				release(Usage{}) // frees nothing twice
+				release(Usage{}) // a second release has no effect
 			})
 		}
 		callers.Wait()
@@ -60,7 +60,7 @@
 	})
 }
 
-func TestACallerThatLeavesTheQueueHasNotRunAndHoldsNothing(t *testing.T) {
+func TestCancelledCallerLeavesQueueWithoutSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		gate := newGate(Config{}, 1)
@@ -79,14 +79,14 @@
 		is.Equal(fault.KindOf(err), fault.Unavailable)
 		is.True(errors.Is(err, context.Canceled))
 		release(Usage{})
-		first, err := gate.Acquire(t.Context(), Request{ID: "again", Workspace: "w"}) // the slot is free for the next one
+		first, err := gate.Acquire(t.Context(), Request{ID: "again", Workspace: "w"}) // the slot is free for the next request
 		is.NoErr(err)
 		first(Usage{})
 		release, err = gate.Acquire(t.Context(), Request{ID: "again", Workspace: "w"})
 		is.NoErr(err)
-		first(Usage{}) // a second release does not end the later request of the same id
+		first(Usage{}) // a second release does not end the later request with the same id
 		is.Equal(gate.Load().InFlight, 1)
 		release(Usage{})
-		time.Sleep(time.Minute) // the timer of the gate ends
+		time.Sleep(time.Minute) // let the timer of the gate fire
 	})
 }
--- a/workspace/guarantee.go
+++ b/workspace/guarantee.go
@@ -5,19 +5,20 @@
 	"strings"
 )
 
-// guarantee is the limits of one workspace with a guaranteed share.
+// guarantee is a workspace with a guaranteed share and its limits.
 type guarantee struct {
 	workspace string
 	limits    Limits
 }
 
-// guarantees holds the workspaces that have a guaranteed share, ordered by name
-// so that their sums come out the same in every run. Shares add up to one at
-// most, so that these are few however many workspaces are known.
+// guarantees holds the workspaces that have a guaranteed share, ordered by name so that
+// floating-point sums over them are the same in every run. The shares add up to about 1,
+// so there are few of them however many workspaces are configured.
 type guarantees []guarantee
 
-// set notes the limits of a workspace.
-func (g guarantees) set(workspace string, limits Limits) guarantees {
+// put adds or replaces the limits of a workspace; without a guaranteed share, the
+// workspace is removed.
+func (g guarantees) put(workspace string, limits Limits) guarantees {
 	if limits.GuaranteedShare <= 0 {
 		return g.remove(workspace)
 	}
@@ -29,7 +30,6 @@
 	return slices.Insert(g, at, guarantee{workspace, limits})
 }
 
-// remove forgets a workspace.
 func (g guarantees) remove(workspace string) guarantees {
 	if at, found := g.find(workspace); found {
 		return slices.Delete(g, at, at+1)
@@ -38,16 +38,16 @@
 }
 
 func (g guarantees) find(workspace string) (int, bool) {
-	return slices.BinarySearchFunc(g, workspace, func(one guarantee, name string) int {
-		return strings.Compare(one.workspace, name)
+	return slices.BinarySearchFunc(g, workspace, func(item guarantee, name string) int {
+		return strings.Compare(item.workspace, name)
 	})
 }
 
 // sum returns the sum of the guaranteed shares.
 func (g guarantees) sum() float64 {
 	total := 0.0
-	for _, one := range g {
-		total += one.limits.GuaranteedShare
+	for _, item := range g {
+		total += item.limits.GuaranteedShare
 	}
 	return total
 }
--- a/workspace/heap.go
+++ b/workspace/heap.go
@@ -3,8 +3,8 @@
 // notInHeap is the index of an item that is in no heap.
 const notInHeap = -1
 
-// indexedHeap is a binary heap whose items know their place, so that any item
-// can be removed or moved in logarithmic time.
+// indexedHeap is a binary heap whose items store their index, so that any item can be
+// removed or moved in logarithmic time.
 type indexedHeap[T any] struct {
 	items []T
 	less  func(a, b T) bool
@@ -13,7 +13,7 @@
 
 func (h *indexedHeap[T]) len() int { return len(h.items) }
 
-// top returns the least item, or the zero value of an empty heap.
+// top returns the smallest item, or the zero value if the heap is empty.
 func (h *indexedHeap[T]) top() (item T) {
 	if len(h.items) > 0 {
 		item = h.items[0]
@@ -21,7 +21,7 @@
 	return item
 }
 
-// put adds the item, or moves it after its key changed.
+// put adds the item, or restores its position after its key has changed.
 func (h *indexedHeap[T]) put(item T) {
 	at := *h.index(item)
 	if at == notInHeap {
@@ -29,12 +29,12 @@
 		h.items = append(h.items, item)
 		*h.index(item) = at
 	}
-	if !h.down(at) {
-		h.up(at)
+	if !h.siftDown(at) {
+		h.siftUp(at)
 	}
 }
 
-// remove takes the item out; one that is not in the heap is left alone.
+// remove removes the item; it does nothing if the item is not in the heap.
 func (h *indexedHeap[T]) remove(item T) {
 	at := *h.index(item)
 	if at == notInHeap {
@@ -46,19 +46,19 @@
 	h.items[last] = zero
 	h.items = h.items[:last]
 	*h.index(item) = notInHeap
-	if at < last && !h.down(at) {
-		h.up(at)
+	if at < last && !h.siftDown(at) {
+		h.siftUp(at)
 	}
 }
 
-// rebuild restores the order after many keys changed.
+// rebuild restores the heap order after many keys have changed.
 func (h *indexedHeap[T]) rebuild() {
 	for at := len(h.items)/2 - 1; at >= 0; at-- {
-		h.down(at)
+		h.siftDown(at)
 	}
 }
 
-func (h *indexedHeap[T]) up(at int) {
+func (h *indexedHeap[T]) siftUp(at int) {
 	for at > 0 {
 		parent := (at - 1) / 2
 		if !h.less(h.items[at], h.items[parent]) {
@@ -69,8 +69,8 @@
 	}
 }
 
-// down reports whether the item moved.
-func (h *indexedHeap[T]) down(at int) bool {
+// siftDown reports whether the item moved.
+func (h *indexedHeap[T]) siftDown(at int) bool {
 	from := at
 	for {
 		child := 2*at + 1
--- a/workspace/limits.go
+++ b/workspace/limits.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Limits is what a workspace may use. The zero value has the least importance,
+// Limits configures what a workspace may use. The zero value has the lowest importance,
 // no guaranteed share and no upper bounds.
 type Limits struct {
 	// Importance is the weight of the workspace when slots are scarce; values
 	// below 1 count as 1.
 	Importance int
-	// GuaranteedShare is the share of all slots, 0 to 1, that the workspace gets
-	// whenever it needs them. If the shares of all workspaces add up to more
-	// than 1, each is scaled down in proportion.
+	// GuaranteedShare is the share of all slots, 0 to 1, that the workspace gets whenever
+	// it needs them. If the shares of all workspaces add up to more than 1, they are
+	// scaled down proportionally.
 	GuaranteedShare float64
 	// MaxConcurrent bounds the requests in flight; 0 means no bound.
 	MaxConcurrent int
-	// RequestsPerSecond bounds the rate of starts; 0 means no bound.
+	// RequestsPerSecond bounds the rate at which requests start; 0 means no bound.
 	RequestsPerSecond float64
-	// TokensPerSecond bounds the rate of Request.Cost; 0 means no bound.
+	// TokensPerSecond bounds the rate of tokens, see Request.ExpectedTokens; 0 means no
+	// bound.
 	TokensPerSecond float64
-	// MaxQueue bounds the requests that wait; 0 means Config.DefaultQueue.
+	// MaxQueue bounds the number of queued requests; 0 means Config.DefaultQueue.
 	MaxQueue int
 }
 
@@ -27,34 +28,36 @@
 
 // Config is the policy of an Admission. Zero fields get the defaults below.
 type Config struct {
-	// Default applies to workspaces that Configure has not named. Its
-	// GuaranteedShare is ignored.
+	// Default applies to workspaces that Configure has not named. Its GuaranteedShare is
+	// ignored.
 	Default Limits
-	// DefaultQueue bounds the queue of a workspace that sets no bound.
+	// DefaultQueue bounds the queue of a workspace that sets no bound itself.
 	DefaultQueue int
-	// MaxQueued bounds the requests that wait over all workspaces. Beyond it the
-	// workspace with the longest queue for its importance loses a request.
+	// MaxQueued bounds the number of queued requests over all workspaces. Beyond it, the
+	// workspace whose queue is longest in relation to its importance has a request
+	// refused.
 	MaxQueued int
-	// MaxWait bounds the time that a request may wait, whatever its deadline.
+	// MaxWait bounds the time that a request may be queued, whatever its deadline.
 	MaxWait time.Duration
-	// ReclaimWithin is how soon lent slots must be had back by the workspaces
-	// that they are guaranteed to. Slots that the measured run times would not
-	// free in time are not lent. A negative value lends without this limit.
+	// ReclaimWithin is the time within which lent slots must be available again to the
+	// workspaces that they are guaranteed to. Slots that would not be released in time,
+	// judged by the measured hold times, are not lent. A negative value removes this
+	// restriction.
 	ReclaimWithin time.Duration
-	// InitialHold is the run time that is assumed before any was measured.
+	// InitialHoldTime is the hold time that is assumed before any has been measured.
 	InitialHoldTime time.Duration
 	// MaxRetryAfter bounds the Retry-After of refusals.
 	MaxRetryAfter time.Duration
 }
 
-// The defaults of Config.
+// Defaults of Config.
 const (
-	defaultQueue         = 256
-	defaultMaxQueued     = 8192
-	defaultMaxWait       = 10 * time.Second
-	defaultReclaimWithin = time.Second
-	defaultInitialHold   = time.Second
-	defaultMaxRetryAfter = 60 * time.Second
+	defaultQueue           = 256
+	defaultMaxQueued       = 8192
+	defaultMaxWait         = 10 * time.Second
+	defaultReclaimWithin   = time.Second
+	defaultInitialHoldTime = time.Second
+	defaultMaxRetryAfter   = 60 * time.Second
 )
 
 // withDefaults replaces zero fields by the defaults.
@@ -64,7 +67,7 @@
 	c.MaxQueued = orDefault(c.MaxQueued, defaultMaxQueued)
 	c.MaxWait = orDefault(c.MaxWait, defaultMaxWait)
 	c.ReclaimWithin = orDefault(c.ReclaimWithin, defaultReclaimWithin)
-	c.InitialHoldTime = orDefault(c.InitialHoldTime, defaultInitialHold)
+	c.InitialHoldTime = orDefault(c.InitialHoldTime, defaultInitialHoldTime)
 	c.MaxRetryAfter = orDefault(c.MaxRetryAfter, defaultMaxRetryAfter)
 	return c
 }
--- a/workspace/request.go
+++ b/workspace/request.go
@@ -8,38 +8,39 @@
 
 // Request asks for one slot.
 type Request struct {
-	// ID is unique among the requests that wait or are in flight.
+	// ID is unique among the requests that are queued or in flight.
 	ID string
-	// Workspace is the workspace that pays for the request.
+	// Workspace is the workspace that the request is charged to.
 	Workspace string
-	// Priority orders the requests of one workspace; higher goes first. It has no
-	// effect on other workspaces.
+	// Priority orders the requests of one workspace; higher goes first. It has no effect
+	// on other workspaces.
 	Priority int
-	// Patience bounds the wait for a slot of this request; zero leaves it to
-	// Config.MaxWait alone.
+	// MaxWait bounds the time that this request may be queued; 0 means Config.MaxWait,
+	// which is the upper bound in any case.
 	MaxWait time.Duration
-	// Deadline is when the answer must be complete; 0 means none.
+	// Deadline is when the response must be complete; 0 means none.
 	Deadline time.Duration
-	// Cost is the expected number of tokens, for Limits.TokensPerSecond.
+	// ExpectedTokens is the expected number of tokens, charged to Limits.TokensPerSecond.
 	ExpectedTokens int
-	// Expected is the expected run time; 0 means as measured for the workspace.
+	// ExpectedHoldTime is the expected time that the request holds its slot; 0 means as
+	// measured for the workspace.
 	ExpectedHoldTime time.Duration
 }
 
-// Verdict is the answer to a request that was not refused.
+// Decision is the result of Admission.Arrive.
 type Decision int
 
-// The verdicts. The zero value belongs to refusals.
+// The decisions. Refused is the zero value.
 const (
-	// Refused means the request has not run and never will.
+	// Refused means that the request has not run and never will.
 	Refused Decision = iota
-	// Admitted means the request holds a slot until Done.
+	// Admitted means that the request holds a slot until Done.
 	Admitted
-	// Queued means a Grant or a Refusal follows.
+	// Queued means that a Grant or a Refusal follows.
 	Queued
 )
 
-// Grant gives a slot to a request that was queued.
+// Grant assigns a slot to a request that was queued.
 type Grant struct {
 	// ID is the request.
 	ID string
@@ -49,36 +50,37 @@
 	Waited time.Duration
 }
 
-// Refusal ends a request that was queued; it has not run.
+// Refusal rejects a request that was queued; it has not run.
 type Refusal struct {
 	// ID is the request.
 	ID string
 	// Workspace is its workspace.
 	Workspace string
-	// Fault says why, and when asking again makes sense.
+	// Fault says why the request was refused and when a retry makes sense.
 	Fault *fault.Error
 }
 
-// entry is a request that waits or is in flight.
+// entry is a request that is queued or in flight.
 type entry struct {
 	request     Request
-	owner       *state
+	workspace   *workspaceState
 	sequence    uint64
 	arrived     time.Duration
 	latestStart time.Duration
-	// started is when the slot was granted, valid if running.
+	// started is when the slot was granted; valid if running.
 	started time.Duration
 	running bool
-	// charged is the expected run time that was added to the owner's virtual time
-	// at the start, multiplied by chargeRate; the end corrects it.
-	charged    time.Duration
-	chargeRate float64
-	// queueIndex and deadlineIndex are places in heaps, or notInHeap.
+	// chargedTime is the expected hold time that was added, multiplied by chargeRate, to
+	// the virtual time of the workspace at the start. It is corrected by the actual hold
+	// time at the end.
+	chargedTime time.Duration
+	chargeRate  float64
+	// queueIndex and deadlineIndex are indices in heaps, or notInHeap.
 	queueIndex    int
 	deadlineIndex int
 }
 
-// before reports whether e is to start before other, both of one workspace.
+// before reports whether e starts before other, a request of the same workspace.
 func (e *entry) before(other *entry) bool {
 	if e.request.Priority != other.request.Priority {
 		return e.request.Priority > other.request.Priority
--- a/workspace/schedule.go
+++ b/workspace/schedule.go
@@ -5,277 +5,280 @@
 	"time"
 )
 
-// advance handles what became due by now: requests past their latest start,
-// rate limits that opened, and idle workspaces to forget.
-func (a *Admission) advance(now time.Duration) {
+// handleDue handles what is due by now: requests past their latest start, workspaces
+// whose rate limit admits their next request, and idle workspaces past their retention.
+func (a *Admission) handleDue(now time.Duration) {
 	for e := a.deadlines.top(); e != nil && e.latestStart <= now; e = a.deadlines.top() {
 		a.expire(now, e)
 	}
 	for s := a.timers.top(); s != nil && s.wakeAt <= now; s = a.timers.top() {
 		if s.idle() {
-			a.forget(s)
+			a.evictState(s)
 			continue
 		}
-		a.update(now, s)
+		a.updateHeaps(now, s)
 	}
 }
 
-// expire refuses a waiting request that can no longer be answered in time.
+// expire refuses a queued request that has reached its latest start.
 func (a *Admission) expire(now time.Duration, e *entry) {
 	a.dequeue(now, e)
 	a.refusals = append(a.refusals, Refusal{
 		ID:        e.request.ID,
 		Workspace: e.request.Workspace,
-		Fault:     a.lateFault(now, e, a.wait(now, e)),
+		Fault:     a.lateStartFault(now, e, a.estimateWait(now, e)),
 	})
 }
 
-// activate returns the state of a workspace, made on first use.
-func (a *Admission) activate(now time.Duration, name string) *state {
+// activeState returns the state of a workspace and creates it on first use.
+func (a *Admission) activeState(now time.Duration, name string) *workspaceState {
 	if s, ok := a.active[name]; ok {
 		return s
 	}
-	limits, ok := a.known[name]
+	limits, ok := a.limits[name]
 	if !ok {
 		limits = a.config.Default
 	}
-	s := newState(name, limits)
-	s.requests.setRate(now, limits.RequestsPerSecond)
-	s.tokens.setRate(now, limits.TokensPerSecond)
-	s.base = a.baseOf(limits)
-	s.whole = wholeSlots(s.base)
-	s.virtual = a.virtualNow
+	s := newWorkspaceState(name, limits)
+	s.requestRate.setRate(now, limits.RequestsPerSecond)
+	s.tokenRate.setRate(now, limits.TokensPerSecond)
+	s.shareSlots = a.shareSlotsOf(limits)
+	s.reserved = wholeSlots(s.shareSlots)
+	s.virtualTime = a.minVirtualTime
 	a.active[name] = s
 	return s
 }
 
-// forget drops the state of an idle workspace.
-func (a *Admission) forget(s *state) {
+// evictState drops the state of an idle workspace.
+func (a *Admission) evictState(s *workspaceState) {
 	a.timers.remove(s)
 	delete(a.active, s.name)
 }
 
 // enqueue adds a request to the queue of its workspace.
 func (a *Admission) enqueue(now time.Duration, e *entry) {
-	s := e.owner
+	s := e.workspace
 	if s.idle() {
 		a.activeWeight += s.limits.weight()
-		a.activeBase += s.base
-		s.virtual = max(s.virtual, a.virtualNow)
+		a.activeShareSlots += s.shareSlots
+		s.virtualTime = max(s.virtualTime, a.minVirtualTime)
 	}
 	a.sequence++
 	e.sequence = a.sequence
 	a.entries[e.request.ID] = e
 	a.queued++
-	s.queuedCost += e.request.ExpectedTokens
+	s.queuedTokens += e.request.ExpectedTokens
 	s.queue.put(e)
 	a.deadlines.put(e)
-	a.update(now, s)
+	a.updateHeaps(now, s)
 }
 
-// leaveQueue takes a request out of the queue; the caller updates its owner.
-func (a *Admission) leaveQueue(e *entry) {
+// removeFromQueue removes a request from its queue; the caller must update the heaps of
+// its workspace.
+func (a *Admission) removeFromQueue(e *entry) {
 	a.queued--
-	e.owner.queuedCost -= e.request.ExpectedTokens
-	e.owner.queue.remove(e)
+	e.workspace.queuedTokens -= e.request.ExpectedTokens
+	e.workspace.queue.remove(e)
 	a.deadlines.remove(e)
 }
 
-// dequeue ends a waiting request.
+// dequeue removes a queued request that will not start.
 func (a *Admission) dequeue(now time.Duration, e *entry) {
-	a.leaveQueue(e)
+	a.removeFromQueue(e)
 	delete(a.entries, e.request.ID)
-	a.removeIfIdle(e.owner)
-	a.update(now, e.owner)
+	a.updateSumsIfIdle(e.workspace)
+	a.updateHeaps(now, e.workspace)
 }
 
-// schedule starts waiting requests while there are slots for them.
+// schedule starts queued requests while slots are available to them.
 func (a *Admission) schedule(now time.Duration) {
 	for a.inFlight < a.slots {
-		s := a.next(now)
+		s := a.nextWorkspace(now)
 		if s == nil {
 			return
 		}
-		a.start(now, s.queue.top())
+		a.grantSlot(now, s.queue.top())
 	}
 }
 
-// next returns the workspace whose request starts next, or nil: one below its
-// guaranteed share, else one below its weighted share of the rest, else the one
-// with the least virtual time. The last two borrow, if lending allows it.
-func (a *Admission) next(now time.Duration) *state {
-	candidate := a.deficits.top()
-	if candidate == nil || candidate.guaranteed() {
+// nextWorkspace returns the workspace whose request starts next, or nil. A workspace with
+// reserved slots left goes first, then one below its weighted share of the rest, then the
+// one with the least virtual time. The last two borrow slots and are chosen only if
+// mayBorrow allows it.
+func (a *Admission) nextWorkspace(now time.Duration) *workspaceState {
+	candidate := a.byDeficit.top()
+	if candidate == nil || candidate.belowReserved() {
 		return candidate
 	}
-	if candidate.excess() > a.fairExcess() {
-		candidate = a.virtuals.top()
+	if candidate.excess() > a.fairExcessPerWeight() {
+		candidate = a.byVirtualTime.top()
 	}
-	if !a.mayLend(now, candidate) {
+	if !a.mayBorrow(now, candidate) {
 		return nil
 	}
 	return candidate
 }
 
-// fairExcess is the weighted share, per unit of importance, of the slots that
-// are not guaranteed to active workspaces.
-func (a *Admission) fairExcess() float64 {
+// fairExcessPerWeight returns the number of slots per unit of weight that remain after
+// the guaranteed shares of the active workspaces.
+func (a *Admission) fairExcessPerWeight() float64 {
 	if a.activeWeight <= 0 {
 		return math.Inf(1)
 	}
-	return (float64(a.slots) - a.activeBase) / a.activeWeight
+	return (float64(a.slots) - a.activeShareSlots) / a.activeWeight
 }
 
-// mayLend reports whether s can take one slot beyond its guaranteed share and
-// leave enough for the unused guaranteed slots of the others: free slots and lent
-// slots that are expected back within ReclaimWithin.
-func (a *Admission) mayLend(now time.Duration, s *state) bool {
-	lent := a.inFlight - a.heldSum
-	always := max(lendingFloor*float64(a.slots), 1)
-	if s.guaranteed() || a.config.ReclaimWithin < 0 || float64(lent) < always {
+// mayBorrow reports whether s can take one slot beyond its reserved slots and still leave
+// enough for the unused reserved slots of the others, counting free slots and lent slots
+// that are expected back within ReclaimWithin.
+func (a *Admission) mayBorrow(now time.Duration, s *workspaceState) bool {
+	lent := a.inFlight - a.reservedInUse
+	minLent := max(minLentFraction*float64(a.slots), 1)
+	if s.belowReserved() || a.config.ReclaimWithin < 0 || float64(lent) < minLent {
 		return true
 	}
-	a.refreshReturns(now, s)
-	back := a.returnsSum.minus(s.returns).plus(a.returnsOf(now, s, s.inFlight+1))
+	a.refreshExpectedReturns(now, s)
+	returned := a.totalExpectedReturns.minus(s.expectedReturns).plus(a.expectedReturnsOf(now, s, s.inFlight+1))
 	free := float64(a.slots - a.inFlight - 1)
-	unused := float64(a.guaranteedSlots - a.heldSum)
-	return free+back.safe() >= unused-roundingSlack
+	unused := float64(a.reservedSlots - a.reservedInUse)
+	return free+returned.lowerBound() >= unused-roundingSlack
 }
 
-// lendingFloor is the part of all slots that is lent in any case, so that
-// workspaces without a guaranteed share are served even if the guaranteed shares
-// take up everything. At least one slot is.
-const lendingFloor = 0.05
+// minLentFraction is the fraction of all slots that may always be lent, so that
+// workspaces without a guaranteed share are served even if the guaranteed shares cover
+// all slots. It amounts to at least one slot.
+const minLentFraction = 0.05
 
-// roundingSlack absorbs the rounding of sums of shares, in slots.
+// roundingSlack tolerates the rounding errors of sums of shares, in slots.
 const roundingSlack = 1e-6
 
-// start gives a slot to a waiting request.
-func (a *Admission) start(now time.Duration, e *entry) {
-	s := e.owner
-	if top := a.virtuals.top(); top != nil {
-		a.virtualNow = max(a.virtualNow, top.virtual)
+// grantSlot starts a queued request.
+func (a *Admission) grantSlot(now time.Duration, e *entry) {
+	s := e.workspace
+	if top := a.byVirtualTime.top(); top != nil {
+		a.minVirtualTime = max(a.minVirtualTime, top.virtualTime)
 	}
-	e.charged = a.expectedHold(e)
-	e.chargeRate = 1 / max(a.entitlement(s), leastEntitlement)
-	s.virtual += e.charged.Seconds() * e.chargeRate
-	a.leaveQueue(e)
-	s.requests.take(now, 1)
-	s.tokens.take(now, float64(e.request.ExpectedTokens))
+	e.chargedTime = a.expectedHoldTime(e)
+	e.chargeRate = 1 / max(a.entitlement(s), minEntitlement)
+	s.virtualTime += e.chargedTime.Seconds() * e.chargeRate
+	a.removeFromQueue(e)
+	s.requestRate.take(now, 1)
+	s.tokenRate.take(now, float64(e.request.ExpectedTokens))
 	a.sequence++
 	s.lastGrant = a.sequence
 	e.running = true
 	e.started = now
-	s.startSum += now
-	a.startSum += now
+	s.startTimeSum += now
+	a.startTimeSum += now
 	a.changeInFlight(now, s, 1)
 	a.grants = append(a.grants, Grant{ID: e.request.ID, Workspace: s.name, Waited: now - e.arrived})
 }
 
-// release frees the slot of a request in flight.
-func (a *Admission) release(now time.Duration, e *entry) {
-	s := e.owner
-	s.virtual += (now - e.started - e.charged).Seconds() * e.chargeRate
+// releaseSlot releases the slot of a request in flight.
+func (a *Admission) releaseSlot(now time.Duration, e *entry) {
+	s := e.workspace
+	s.virtualTime += (now - e.started - e.chargedTime).Seconds() * e.chargeRate
 	delete(a.entries, e.request.ID)
-	s.startSum -= e.started
-	a.startSum -= e.started
+	s.startTimeSum -= e.started
+	a.startTimeSum -= e.started
 	a.changeInFlight(now, s, -1)
 }
 
-// changeInFlight adds change to the requests in flight of s and keeps the sums.
-func (a *Admission) changeInFlight(now time.Duration, s *state, change int) {
-	a.heldSum -= s.held()
+// changeInFlight adds change to the requests in flight of s and updates the sums.
+func (a *Admission) changeInFlight(now time.Duration, s *workspaceState, change int) {
+	a.reservedInUse -= s.reservedInUse()
 	s.inFlight += change
-	a.heldSum += s.held()
+	a.reservedInUse += s.reservedInUse()
 	a.inFlight += change
-	a.refreshReturns(now, s)
-	a.removeIfIdle(s)
-	a.update(now, s)
+	a.refreshExpectedReturns(now, s)
+	a.updateSumsIfIdle(s)
+	a.updateHeaps(now, s)
 }
 
-// removeIfIdle takes a workspace that has become idle out of the sums. With no requests
-// left, the sums start from zero again, which ends the drift of their rounding.
-func (a *Admission) removeIfIdle(s *state) {
+// updateSumsIfIdle removes a workspace that has become idle from the sums. Once no
+// requests are left at all, the sums restart from zero, which discards accumulated
+// rounding errors.
+func (a *Admission) updateSumsIfIdle(s *workspaceState) {
 	if s.idle() {
 		a.activeWeight -= s.limits.weight()
-		a.activeBase -= s.base
+		a.activeShareSlots -= s.shareSlots
 	}
 	if a.inFlight == 0 && a.queued == 0 {
-		a.activeWeight, a.activeBase, a.heldSum, a.returnsSum = 0, 0, 0, returns{}
+		a.activeWeight, a.activeShareSlots, a.reservedInUse, a.totalExpectedReturns = 0, 0, 0, slotEstimate{}
 	}
 }
 
-// update puts s in the heaps that it belongs to.
-func (a *Admission) update(now time.Duration, s *state) {
+// updateHeaps adds s to the heaps that it belongs to and removes it from the others.
+func (a *Admission) updateHeaps(now time.Duration, s *workspaceState) {
 	waiting := s.queue.len() > 0
 	ready := waiting && !s.atConcurrencyLimit()
-	pause := time.Duration(0)
+	delay := time.Duration(0)
 	if ready {
-		pause = s.untilRate(now, s.queue.top().request.ExpectedTokens)
+		delay = s.rateLimitDelay(now, s.queue.top().request.ExpectedTokens)
 	}
-	if ready && pause == 0 {
-		a.deficits.put(s)
-		a.virtuals.put(s)
+	if ready && delay == 0 {
+		a.byDeficit.put(s)
+		a.byVirtualTime.put(s)
 	} else {
-		a.deficits.remove(s)
-		a.virtuals.remove(s)
+		a.byDeficit.remove(s)
+		a.byVirtualTime.remove(s)
 	}
 	if waiting {
-		a.crowds.put(s)
+		a.byQueueLength.put(s)
 	} else {
-		a.crowds.remove(s)
+		a.byQueueLength.remove(s)
 	}
 	switch {
-	case pause > 0:
-		a.setTimer(s, now+pause)
+	case delay > 0:
+		a.setTimer(s, now+delay)
 	case s.idle():
-		a.setTimer(s, now+s.untilForgotten(now))
+		a.setTimer(s, now+s.retention(now))
 	default:
 		a.timers.remove(s)
 	}
 }
 
-func (a *Admission) setTimer(s *state, at time.Duration) {
+func (a *Admission) setTimer(s *workspaceState, at time.Duration) {
 	s.wakeAt = at
 	a.timers.put(s)
 }
 
-// setLimits changes the limits of an active workspace; reshape must follow.
-func (a *Admission) setLimits(now time.Duration, s *state, limits Limits) {
+// setLimits changes the limits of an active workspace; recompute must follow.
+func (a *Admission) setLimits(now time.Duration, s *workspaceState, limits Limits) {
 	s.limits = limits
-	s.requests.setRate(now, limits.RequestsPerSecond)
-	s.tokens.setRate(now, limits.TokensPerSecond)
+	s.requestRate.setRate(now, limits.RequestsPerSecond)
+	s.tokenRate.setRate(now, limits.TokensPerSecond)
 }
 
-// sumWholeSlots runs when limits or the number of slots change.
-func (a *Admission) sumWholeSlots() {
-	a.guaranteedSlots = 0
-	for _, one := range a.guaranteed {
-		a.guaranteedSlots += wholeSlots(a.baseOf(one.limits))
+// sumReservedSlots must run after limits or the number of slots have changed.
+func (a *Admission) sumReservedSlots() {
+	a.reservedSlots = 0
+	for _, g := range a.guaranteed {
+		a.reservedSlots += wholeSlots(a.shareSlotsOf(g.limits))
 	}
 }
 
-// reshape computes all that depends on the capacity or the limits of the active
-// workspaces anew.
-func (a *Admission) reshape(now time.Duration) {
-	a.sumWholeSlots()
-	a.activeWeight, a.activeBase, a.heldSum, a.returnsSum = 0, 0, 0, returns{}
+// recompute recalculates everything that depends on the number of slots or on the limits
+// of the active workspaces.
+func (a *Admission) recompute(now time.Duration) {
+	a.sumReservedSlots()
+	a.activeWeight, a.activeShareSlots, a.reservedInUse, a.totalExpectedReturns = 0, 0, 0, slotEstimate{}
 	for _, s := range a.active {
-		s.base = a.baseOf(s.limits)
-		s.whole = wholeSlots(s.base)
-		s.returns = a.returnsOf(now, s, s.inFlight)
-		a.heldSum += s.held()
-		a.returnsSum = a.returnsSum.plus(s.returns)
+		s.shareSlots = a.shareSlotsOf(s.limits)
+		s.reserved = wholeSlots(s.shareSlots)
+		s.expectedReturns = a.expectedReturnsOf(now, s, s.inFlight)
+		a.reservedInUse += s.reservedInUse()
+		a.totalExpectedReturns = a.totalExpectedReturns.plus(s.expectedReturns)
 		if !s.idle() {
 			a.activeWeight += s.limits.weight()
-			a.activeBase += s.base
+			a.activeShareSlots += s.shareSlots
 		}
 	}
-	a.deficits.rebuild()
-	a.virtuals.rebuild()
-	a.crowds.rebuild()
+	a.byDeficit.rebuild()
+	a.byVirtualTime.rebuild()
+	a.byQueueLength.rebuild()
 	for _, s := range a.active {
-		a.update(now, s)
+		a.updateHeaps(now, s)
 	}
 	a.schedule(now)
 }
--- a/workspace/simulation_test.go
+++ b/workspace/simulation_test.go
@@ -5,107 +5,107 @@
 	"time"
 )
 
-// bench drives an Admission in virtual time. Each granted request runs for the
-// time that holdFor gives.
-type bench struct {
+// simulation drives an Admission in virtual time. Each request that starts holds its slot
+// for the time that holdTimeFor returns.
+type simulation struct {
 	*Admission
-	now      time.Duration
-	holdFor  func(workspace string) time.Duration
-	ends     map[string]time.Duration
-	held     map[string]time.Duration
-	starts   map[string]time.Duration
-	refusals []Refusal
-	owner    map[string]string
-	serial   int
+	now         time.Duration
+	holdTimeFor func(workspace string) time.Duration
+	endTimes    map[string]time.Duration
+	slotTime    map[string]time.Duration
+	startTimes  map[string]time.Duration
+	refusals    []Refusal
+	workspaceOf map[string]string
+	lastID      int
 }
 
-func newBench(config Config, slots int, limits map[string]Limits) *bench {
-	b := &bench{
-		Admission: NewAdmission(config),
-		holdFor:   func(string) time.Duration { return time.Second },
-		ends:      make(map[string]time.Duration),
-		held:      make(map[string]time.Duration),
-		starts:    make(map[string]time.Duration),
-		owner:     make(map[string]string),
+func newSimulation(config Config, slots int, limits map[string]Limits) *simulation {
+	sim := &simulation{
+		Admission:   NewAdmission(config),
+		holdTimeFor: func(string) time.Duration { return time.Second },
+		endTimes:    make(map[string]time.Duration),
+		slotTime:    make(map[string]time.Duration),
+		startTimes:  make(map[string]time.Duration),
+		workspaceOf: make(map[string]string),
 	}
-	b.Configure(0, limits)
-	b.SetCapacity(0, slots)
-	return b
+	sim.Configure(0, limits)
+	sim.SetCapacity(0, slots)
+	return sim
 }
 
 // arrive sends a request and returns its id.
-func (b *bench) arrive(r Request) (string, Decision, error) {
-	b.serial++
-	r.ID = fmt.Sprint(b.serial)
-	b.owner[r.ID] = r.Workspace
-	verdict, err := b.Arrive(b.now, r)
-	if verdict == Admitted {
-		b.begin(r.ID)
+func (sim *simulation) arrive(r Request) (string, Decision, error) {
+	sim.lastID++
+	r.ID = fmt.Sprint(sim.lastID)
+	sim.workspaceOf[r.ID] = r.Workspace
+	decision, err := sim.Arrive(sim.now, r)
+	if decision == Admitted {
+		sim.recordStart(r.ID)
 	}
-	return r.ID, verdict, err
+	return r.ID, decision, err
 }
 
-func (b *bench) begin(id string) {
-	b.starts[id] = b.now
-	b.ends[id] = b.now + b.holdFor(b.owner[id])
+func (sim *simulation) recordStart(id string) {
+	sim.startTimes[id] = sim.now
+	sim.endTimes[id] = sim.now + sim.holdTimeFor(sim.workspaceOf[id])
 }
 
-func (b *bench) begun(grants []Grant) {
+func (sim *simulation) recordGrants(grants []Grant) {
 	for _, grant := range grants {
-		b.begin(grant.ID)
+		sim.recordStart(grant.ID)
 	}
 }
 
-// run handles everything that is due up to the given time.
-func (b *bench) run(until time.Duration) {
+// run processes all events up to the given time.
+func (sim *simulation) run(until time.Duration) {
 	for {
 		next, ending := until, ""
-		for id, end := range b.ends {
+		for id, end := range sim.endTimes {
 			if end < next || (end == next && (ending == "" || id < ending)) {
 				next, ending = end, id
 			}
 		}
-		if wake, ok := b.NextWake(b.now); ok && wake < next {
+		if wake, ok := sim.NextWake(sim.now); ok && wake < next {
 			next, ending = wake, ""
 		}
-		b.now = next
+		sim.now = next
 		if ending != "" {
-			delete(b.ends, ending)
-			b.held[b.owner[ending]] += b.now - b.starts[ending]
-			b.begun(b.Done(b.now, ending))
+			delete(sim.endTimes, ending)
+			sim.slotTime[sim.workspaceOf[ending]] += sim.now - sim.startTimes[ending]
+			sim.recordGrants(sim.Done(sim.now, ending))
 		}
-		grants, refusals := b.Tick(b.now)
-		b.begun(grants)
-		b.refusals = append(b.refusals, refusals...)
-		if wake, ok := b.NextWake(b.now); b.now >= until && (!ok || wake > b.now) && !b.due() {
+		grants, refusals := sim.Tick(sim.now)
+		sim.recordGrants(grants)
+		sim.refusals = append(sim.refusals, refusals...)
+		if wake, ok := sim.NextWake(sim.now); sim.now >= until && (!ok || wake > sim.now) && !sim.hasDueEnd() {
 			return
 		}
 	}
 }
 
-func (b *bench) due() bool {
-	for _, end := range b.ends {
-		if end <= b.now {
+func (sim *simulation) hasDueEnd() bool {
+	for _, end := range sim.endTimes {
+		if end <= sim.now {
 			return true
 		}
 	}
 	return false
 }
 
-// inFlightOf counts the requests of a workspace that hold a slot.
-func (b *bench) inFlightOf(workspace string) int {
+// inFlightIn returns the number of requests of a workspace that hold a slot.
+func (sim *simulation) inFlightIn(workspace string) int {
 	count := 0
-	for id := range b.ends {
-		if b.owner[id] == workspace {
+	for id := range sim.endTimes {
+		if sim.workspaceOf[id] == workspace {
 			count++
 		}
 	}
 	return count
 }
 
-// queueOf returns the number of requests of a workspace that wait.
-func (b *bench) queueOf(name string) int {
-	if s, ok := b.active[name]; ok {
+// queueLength returns the number of queued requests of a workspace.
+func (sim *simulation) queueLength(name string) int {
+	if s, ok := sim.active[name]; ok {
 		return s.queue.len()
 	}
 	return 0
--- a/workspace/state.go
+++ b/workspace/state.go
@@ -5,57 +5,59 @@
 	"time"
 )
 
-// idleRetention is how long the state of an idle workspace is kept, so that a
-// workspace cannot shed its virtual time by pausing for a moment.
+// idleRetention is how long the state of an idle workspace is kept, so that a workspace
+// cannot reset its virtual time by pausing briefly.
 const idleRetention = 10 * time.Second
 
-// state is what an Admission knows of one active workspace.
-type state struct {
+// workspaceState is the state of one active workspace.
+type workspaceState struct {
 	name   string
 	limits Limits
 
-	// queue holds the waiting requests, the next to start on top.
+	// queue holds the queued requests, the next to start on top.
 	queue indexedHeap[*entry]
-	// queuedCost is the sum of Cost over queue.
-	queuedCost int
-	inFlight   int
-	// startSum is the sum of the start times in flight, for their mean age.
-	startSum time.Duration
-
-	// base is the guaranteed share in slots, and whole the whole slots of it.
-	base  float64
-	whole int
-	// returns is how many lent slots are expected back in ReclaimWithin.
-	returns returns
-	// virtual is the virtual time in seconds, as in weighted fair queueing:
-	// slot-seconds used per slot of the entitlement. A workspace that uses just what it is entitled to keeps pace
-	// with real time.
-	virtual float64
-	// lastGrant breaks ties: the workspace served longest ago goes first.
+	// queuedTokens is the sum of ExpectedTokens over queue.
+	queuedTokens int
+	inFlight     int
+	// startTimeSum is the sum of the start times of the requests in flight, for their
+	// mean age.
+	startTimeSum time.Duration
+
+	// shareSlots is the guaranteed share in slots, reserved its whole slots.
+	shareSlots float64
+	reserved   int
+	// expectedReturns is the number of borrowed slots that are expected back within
+	// ReclaimWithin.
+	expectedReturns slotEstimate
+	// virtualTime is the virtual time of weighted fair queueing in seconds: slot-seconds
+	// used per slot of the entitlement. It advances at the rate of real time for a
+	// workspace that uses exactly its entitlement.
+	virtualTime float64
+	// lastGrant breaks ties: the workspace that was served least recently goes first.
 	lastGrant uint64
 
-	measured hold
-	requests bucket
-	tokens   bucket
-	// retryAt is the latest time at which a refused request was told to retry.
-	retryAt time.Duration
-	// wakeAt is when update must run again; valid while in the timer heap.
+	holdTime    holdTimeEstimate
+	requestRate bucket
+	tokenRate   bucket
+	// lastRetryAt is the latest time at which a refused request was told to retry.
+	lastRetryAt time.Duration
+	// wakeAt is when updateHeaps must run again; valid while s is in the timer heap.
 	wakeAt time.Duration
 
-	deficitIndex int
-	virtualIndex int
-	crowdIndex   int
-	timerIndex   int
+	deficitIndex     int
+	virtualTimeIndex int
+	queueLengthIndex int
+	timerIndex       int
 }
 
-func newState(name string, limits Limits) *state {
-	s := &state{
-		name:         name,
-		limits:       limits,
-		deficitIndex: notInHeap,
-		virtualIndex: notInHeap,
-		crowdIndex:   notInHeap,
-		timerIndex:   notInHeap,
+func newWorkspaceState(name string, limits Limits) *workspaceState {
+	s := &workspaceState{
+		name:             name,
+		limits:           limits,
+		deficitIndex:     notInHeap,
+		virtualTimeIndex: notInHeap,
+		queueLengthIndex: notInHeap,
+		timerIndex:       notInHeap,
 	}
 	s.queue = indexedHeap[*entry]{
 		less:  (*entry).before,
@@ -64,77 +66,79 @@
 	return s
 }
 
-// guaranteed reports whether the next slot falls within the whole slots of the
-// guaranteed share. A fraction that is left over counts through the entitlement:
-// rounded up, many small shares would add up to more than all slots.
-func (s *state) guaranteed() bool { return s.inFlight < s.whole }
+// belowReserved reports whether the next slot is one of the reserved slots. The
+// fractional part of the guaranteed share counts through the entitlement instead: rounded
+// up, many small shares would add up to more than all slots.
+func (s *workspaceState) belowReserved() bool { return s.inFlight < s.reserved }
 
-// held is how many of the whole guaranteed slots are in use.
-func (s *state) held() int { return min(s.whole, s.inFlight) }
+// reservedInUse returns how many of the reserved slots are in use.
+func (s *workspaceState) reservedInUse() int { return min(s.reserved, s.inFlight) }
 
-// excess is how far the next slot would go beyond base, relative to the weight.
-func (s *state) excess() float64 {
-	return (float64(s.inFlight+1) - s.base) / s.limits.weight()
+// excess returns how far the next slot would exceed shareSlots, relative to the weight.
+func (s *workspaceState) excess() float64 {
+	return (float64(s.inFlight+1) - s.shareSlots) / s.limits.weight()
 }
 
-// crowding is the length of the queue relative to the weight.
-func (s *state) crowding() float64 {
+// weightedQueueLength returns the length of the queue relative to the weight.
+func (s *workspaceState) weightedQueueLength() float64 {
 	return float64(s.queue.len()) / s.limits.weight()
 }
 
-// returns is an expected number of slots and its variance.
-type returns struct {
+// slotEstimate is an expected number of slots and its variance.
+type slotEstimate struct {
 	mean, variance float64
 }
 
-func (r returns) plus(other returns) returns {
-	return returns{r.mean + other.mean, r.variance + other.variance}
+func (r slotEstimate) plus(other slotEstimate) slotEstimate {
+	return slotEstimate{r.mean + other.mean, r.variance + other.variance}
 }
 
-func (r returns) minus(other returns) returns {
-	return returns{r.mean - other.mean, r.variance - other.variance}
+func (r slotEstimate) minus(other slotEstimate) slotEstimate {
+	return slotEstimate{r.mean - other.mean, r.variance - other.variance}
 }
 
-// returnsMargin is how many standard deviations returns are counted short.
-const returnsMargin = 2
+// lowerBoundSigmas is the number of standard deviations between the mean and lowerBound.
+const lowerBoundSigmas = 2
 
-// safe is a number of slots that will hardly be fallen short of.
-func (r returns) safe() float64 {
-	return max(r.mean-returnsMargin*math.Sqrt(max(r.variance, 0)), 0)
+// lowerBound returns a number of slots that the actual number is unlikely to fall below.
+func (r slotEstimate) lowerBound() float64 {
+	return max(r.mean-lowerBoundSigmas*math.Sqrt(max(r.variance, 0)), 0)
 }
 
-// idle reports whether nothing waits or runs.
-func (s *state) idle() bool { return s.inFlight == 0 && s.queue.len() == 0 }
+// idle reports whether no request is queued or in flight.
+func (s *workspaceState) idle() bool { return s.inFlight == 0 && s.queue.len() == 0 }
 
 // atConcurrencyLimit reports whether MaxConcurrent is reached.
-func (s *state) atConcurrencyLimit() bool {
+func (s *workspaceState) atConcurrencyLimit() bool {
 	return s.limits.MaxConcurrent > 0 && s.inFlight >= s.limits.MaxConcurrent
 }
 
-// untilRate returns how long the rate limits hold back a start of the given
-// cost. A cost beyond what the bucket can hold starts from a full bucket.
-func (s *state) untilRate(now time.Duration, cost int) time.Duration {
-	tokens := min(float64(cost), s.tokens.capacity())
-	return max(s.requests.until(now, 1), s.tokens.until(now, tokens))
+// rateLimitDelay returns how long the rate limits delay the start of a request with the
+// given number of tokens. A request with more tokens than the bucket can hold starts when
+// the bucket is full.
+func (s *workspaceState) rateLimitDelay(now time.Duration, cost int) time.Duration {
+	tokens := min(float64(cost), s.tokenRate.capacity())
+	return max(s.requestRate.until(now, 1), s.tokenRate.until(now, tokens))
 }
 
-// untilForgotten returns how long the state of an idle workspace still matters.
-func (s *state) untilForgotten(now time.Duration) time.Duration {
+// retention returns how long the state of an idle workspace must be kept.
+func (s *workspaceState) retention(now time.Duration) time.Duration {
 	return max(idleRetention,
-		s.requests.until(now, s.requests.capacity()),
-		s.tokens.until(now, s.tokens.capacity()))
+		s.requestRate.until(now, s.requestRate.capacity()),
+		s.tokenRate.until(now, s.tokenRate.capacity()))
 }
 
-// lessDeficit orders workspaces by how far they are below what they are entitled
-// to: first those below their guaranteed share, then by weighted excess.
-func lessDeficit(a, b *state) bool {
-	if a.guaranteed() != b.guaranteed() {
-		return a.guaranteed()
+// lessDeficit orders workspaces by how far they are below their entitlement: first those
+// that have reserved slots left, by the used fraction of these, then the others by
+// weighted excess.
+func lessDeficit(a, b *workspaceState) bool {
+	if a.belowReserved() != b.belowReserved() {
+		return a.belowReserved()
 	}
 	keyA, keyB := a.excess(), b.excess()
-	if a.guaranteed() {
-		keyA = float64(a.inFlight) / float64(a.whole)
-		keyB = float64(b.inFlight) / float64(b.whole)
+	if a.belowReserved() {
+		keyA = float64(a.inFlight) / float64(a.reserved)
+		keyB = float64(b.inFlight) / float64(b.reserved)
 	}
 	if keyA != keyB {
 		return keyA < keyB
@@ -142,16 +146,16 @@
 	return a.lastGrant < b.lastGrant
 }
 
-// lessVirtual orders workspaces by virtual time.
-func lessVirtual(a, b *state) bool {
-	if a.virtual != b.virtual {
-		return a.virtual < b.virtual
+// lessVirtualTime orders workspaces by virtual time.
+func lessVirtualTime(a, b *workspaceState) bool {
+	if a.virtualTime != b.virtualTime {
+		return a.virtualTime < b.virtualTime
 	}
 	return a.lastGrant < b.lastGrant
 }
 
-// moreCrowded orders workspaces by weighted queue length, the longest first.
-func moreCrowded(a, b *state) bool { return a.crowding() > b.crowding() }
+// longerQueue orders workspaces by weighted queue length, the longest first.
+func longerQueue(a, b *workspaceState) bool { return a.weightedQueueLength() > b.weightedQueueLength() }
 
-// lessTimer orders workspaces by when they wake.
-func lessTimer(a, b *state) bool { return a.wakeAt < b.wakeAt }
+// lessWakeTime orders workspaces by wakeAt.
+func lessWakeTime(a, b *workspaceState) bool { return a.wakeAt < b.wakeAt }
