--- a/call/action.go
+++ b/call/action.go
@@ -7,29 +7,30 @@
 	controlv1 "github.com/lilackeel/lilackeel/api/control/v1"
 )
 
-// Kind says what the driver has to do next, and how it reports the result.
+// ActionKind is the kind of step that the driver has to perform next. It determines how
+// the driver reports the result.
 type ActionKind int
 
 // The kinds of action.
 const (
 	// Pick: choose an endpoint; report by Picked or PickFailed.
 	Pick ActionKind = iota + 1
-	// Claim: ask the control replicas for Claim; report by Claimed.
+	// Claim: request the claim ClaimID from the control replicas; report by Claimed.
 	Claim
-	// Dispatch: send one attempt to Target; report by Response or Cut.
+	// Dispatch: send one attempt to Target; report by Response or Interrupted.
 	Dispatch
-	// Receive: wait for the next response of the attempt; report by Response
-	// or Cut.
+	// Receive: wait for the next response of the attempt; report by Response or
+	// Interrupted.
 	Receive
-	// Revoke: ask the agent at Target what became of ClaimID; report by Revoked.
+	// Revoke: ask the agent at Target to revoke ClaimID or to report its result; report
+	// by Revoked.
 	Revoke
 	// Settle: record State and Answer for ClaimID; report by Settled.
 	Settle
-	// Finish: nothing more will be tried.
+	// Finish: the call has ended.
 	Finish
 )
 
-// String returns the name of the kind.
 func (k ActionKind) String() string {
 	names := [...]string{"none", "pick", "claim", "dispatch", "receive", "revoke", "settle", "finish"}
 	if k < 0 || int(k) >= len(names) {
@@ -38,46 +39,45 @@
 	return names[k]
 }
 
-// Target is the endpoint of an attempt and the agent that gates it.
+// Target is the endpoint of an attempt and the agent in front of it.
 type Target struct {
-	// Endpoint is the endpoint's id.
+	// Endpoint is the id of the endpoint.
 	Endpoint string
 	// Agent is the name of the agent, AgentAddr its address.
 	Agent, AgentAddr string
-	// Incarnation is the agent's incarnation that the attempt is meant for.
+	// Incarnation is the incarnation of the agent that the attempt is intended for.
 	Incarnation uint64
-	// TicketNS is a ticket that this incarnation issued before the target was
-	// picked. Only a Single needs it.
+	// TicketNS is a ticket that this incarnation issued before the target was picked.
+	// Only an AtMostOnce needs it.
 	TicketNS int64
 }
 
-// Action is one step of a call. The driver first writes Head and Data to the
-// caller, then the final answer if Verdict is set and not yet written, then
-// waits for Delay and carries out Kind.
+// Action is one step of a call. The driver first writes Head and Data to the caller, then
+// the final answer if Verdict is set and not yet written, then waits for Delay and
+// performs the step of the given Kind.
 type Action struct {
-	// Kind is what has to be done.
 	Kind ActionKind
-	// Delay is the wait before it.
+	// Delay is the wait before the step.
 	Delay time.Duration
 
-	// Head, when set, opens the answer to the caller.
+	// Head, if set, is the head of the answer to the caller.
 	Head *agentv1.Head
-	// Data is the next part of the answer's body.
+	// Data is the next part of the body of the answer.
 	Data [][]byte
-	// Verdict, when set, is final. Finish always carries it; Settle may carry it
-	// so that the caller need not wait for the record.
+	// Verdict, if set, is final. Finish always carries it; Settle may carry it so that
+	// the caller need not wait for the record.
 	Verdict *Verdict
 
 	// Attempt numbers the attempt of a Dispatch, from 1.
 	Attempt uint32
-	// Target is where a Dispatch, a Claim or a Revoke is directed.
+	// Target is the destination of a Dispatch or Revoke, and the endpoint of a Claim.
 	Target Target
 	// Exclude lists the endpoints that a Pick should avoid.
 	Exclude []string
-	// Offset is where a Dispatch resumes the answer's body.
+	// Offset is the body offset at which a Dispatch resumes the answer.
 	Offset uint64
-	// ReceiveTimeout bounds the wait for the next response; zero is the
-	// caller's deadline.
+	// ReceiveTimeout bounds the wait for the next response; zero means until the deadline
+	// of the caller.
 	ReceiveTimeout time.Duration
 
 	// ClaimID is the claim of a Claim, Dispatch, Revoke or Settle.
@@ -87,17 +87,17 @@
 	Answer *controlv1.Answer
 }
 
-// Policy bounds what is tried for a call. The zero value is not useful; start
-// from DefaultPolicy.
+// Policy bounds the attempts, waits and buffers of a call. The zero value is not usable;
+// start from DefaultPolicy.
 type Policy struct {
-	// MaxAttempts is the number of attempts of a call, resumes not counted.
+	// MaxAttempts is the maximum number of attempts of a call, not counting resumes.
 	MaxAttempts int
-	// MaxResumes is the number of times a cut stream is resumed.
+	// MaxResumes is the maximum number of times an interrupted stream is resumed.
 	MaxResumes int
-	// HoldBytes is how much of an answer that is not streamed is held back
-	// until it is whole, so that a cut answer can still be repeated.
+	// MaxBufferedBytes is how much of an answer that is not streamed is buffered until it
+	// is complete, so that the call can still be retried if the answer is interrupted.
 	MaxBufferedBytes int
-	// RecordBytes is the largest answer body that is recorded for a claim.
+	// MaxRecordedBodyBytes is the largest answer body that is recorded for a claim.
 	MaxRecordedBodyBytes int
 	// Backoff is the wait before a retry.
 	Backoff Backoff
@@ -105,22 +105,22 @@
 	FirstByteTimeout time.Duration
 	// IdleTimeout bounds the wait for the next part of a streamed answer.
 	IdleTimeout time.Duration
-	// ClaimTimeout is how long a claim is asked for while no quorum answers.
+	// ClaimTimeout is how long a claim is requested while no quorum responds.
 	ClaimTimeout time.Duration
-	// RevokeAfter is how long another request's claim is waited for before its
-	// agent is asked.
+	// RevokeAfter is how long to wait for another request that holds the key before its
+	// agent is asked to revoke its claim.
 	RevokeAfter time.Duration
-	// RevokeTimeout is how long an agent that does not answer is asked.
+	// RevokeTimeout is how long an agent that does not respond is asked.
 	RevokeTimeout time.Duration
-	// SettleTimeout is how long the record of an ended call is tried.
+	// SettleTimeout is how long writing the record of an ended call is retried.
 	SettleTimeout time.Duration
-	// Poll is the wait between two questions about a claim.
+	// Poll is the delay between two requests about a claim.
 	Poll Backoff
-	// RetryAfter is the Retry-After when nothing better is known.
+	// RetryAfter is the Retry-After of verdicts whose fault does not set one.
 	RetryAfter time.Duration
 }
 
-// DefaultPolicy suits zones a few milliseconds apart.
+// DefaultPolicy is intended for zones that are a few milliseconds apart.
 var DefaultPolicy = Policy{
 	MaxAttempts:          3,
 	MaxResumes:           3,
@@ -137,12 +137,13 @@
 	RetryAfter:           DefaultRetryAfter,
 }
 
-// Counts says what a call met on its way.
+// Counts holds statistics of a call.
 type Counts struct {
-	// Attempts is the number of dispatches, Resumes the resumed ones of them.
+	// Attempts is the number of dispatches, Resumes how many of them resumed a stream.
 	Attempts, Resumes int
-	// Foreign is the number of responses that belonged to another attempt.
+	// Foreign is the number of responses that belonged to another attempt and were
+	// dropped.
 	Foreign int
-	// Duplicates is the number of responses that repeated what was known.
+	// Duplicates is the number of responses that brought nothing new.
 	Duplicates int
 }
--- a/call/share_test.go
+++ b/call/budget_test.go
@@ -7,9 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// TestASharedBudgetDoesNotGrowWithTheEntries lets 3, 14 and 60 entries without traffic
-// retry as much as they may for ten seconds.
-func TestASharedBudgetDoesNotGrowWithTheEntries(t *testing.T) {
+// TestSharedBudgetIsIndependentOfEntryCount guards against the total of retries growing
+// with the number of entries: 3, 14 and 60 entries without traffic retry as often as they
+// may for ten seconds.
+func TestSharedBudgetIsIndependentOfEntryCount(t *testing.T) {
 	for _, entries := range []int{3, 14, 60} {
 		is := is.New(t)
 		retries := 0
@@ -22,7 +23,7 @@
 				}
 			}
 		}
-		is.True(retries <= 50+10+entries) // each entry may always repeat one call
+		is.True(retries <= 50+10+entries) // each entry always has a burst of at least one retry
 		is.True(retries >= 40)
 	}
 }
--- a/call/deadline_test.go
+++ b/call/deadline_test.go
@@ -11,9 +11,9 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// While no quorum grants the claim, the entry asks again and again; the verdict
-// must come at the deadline and not after one more wait.
-func TestVerdictIsNotHeldBackByAPoll(t *testing.T) {
+// While no quorum grants the claim, the machine polls; the verdict must come at the
+// deadline and not after one more poll delay.
+func TestVerdictIsDueAtDeadlineWhilePolling(t *testing.T) {
 	is := is.New(t)
 	const deadline = 3 * time.Second
 	noQuorum := fault.New(fault.NoQuorum, "no quorum", "ask again")
--- a/call/digest.go
+++ b/call/digest.go
@@ -8,13 +8,13 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// Digest identifies what a key stands for: SHA-256 over method, path with
-// query, and body, each preceded by its length.
+// Digest identifies the request that an idempotency key stands for: SHA-256 over method,
+// path with query, and body, each preceded by its length.
 func Digest(method, path string, body []byte) []byte {
 	return digest([]byte(method), []byte(path), body)
 }
 
-// digest is SHA-256 over parts, each preceded by its length.
+// digest returns the SHA-256 of parts, each preceded by its length.
 func digest(parts ...[]byte) []byte {
 	hash := sha256.New()
 	var length [8]byte
@@ -26,10 +26,10 @@
 	return hash.Sum(nil)
 }
 
-// MaxKeyLength bounds an idempotency key, in bytes.
+// MaxKeyLength bounds the length of an idempotency key, in bytes.
 const MaxKeyLength = 255
 
-// CheckKey returns a fault unless key can serve as an idempotency key.
+// CheckKey returns a fault unless key is a valid idempotency key.
 func CheckKey(key string) *fault.Error {
 	remedy := fmt.Sprintf("send a key of 1 to %d printable ASCII characters, such as a UUID", MaxKeyLength)
 	if key == "" {
@@ -40,7 +40,7 @@
 	}
 	for i := range len(key) {
 		if key[i] < ' ' || key[i] > '~' {
-			return fault.New(fault.Invalid, "the idempotency key has a character that is not printable ASCII", remedy)
+			return fault.New(fault.Invalid, "the idempotency key contains a character that is not printable ASCII", remedy)
 		}
 	}
 	return nil
--- a/call/direct.go
+++ b/call/direct.go
@@ -8,13 +8,13 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// Direct drives a call to endpoints that no agent gates. Nothing but the entry's
-// own memory keeps such a call from running twice: so it must be one whose
-// repeats, if the caller sends any, are requests of their own.
+// Direct drives a call to endpoints that have no agent in front of them. Only the memory
+// of the entry prevents such a call from running twice. It must therefore be a call whose
+// retries by the caller, if any, count as requests of their own.
 //
-// Invariants: a call that must run at most once is sent again only after proof
-// that no attempt has run; a refusal says not run only under the same proof; no
-// more endpoints are sent to than MaxAttempts.
+// Invariants: a call that must run at most once is sent again only after proof that no
+// attempt has run; a verdict is NotRun only under the same proof; the call is sent to at
+// most MaxAttempts endpoints.
 type Direct struct {
 	options DirectOptions
 	// sent counts the attempts that an endpoint may have received.
@@ -25,7 +25,7 @@
 	mayHaveRun bool
 }
 
-// DirectOptions describe one direct call.
+// DirectOptions describes one direct call.
 type DirectOptions struct {
 	// Deadline is when the caller must have the final answer.
 	Deadline time.Duration
@@ -33,59 +33,59 @@
 	Repeatable bool
 	// MaxAttempts is the number of endpoints that the call may be sent to.
 	MaxAttempts int
-	// Backoff is the wait before a retry, RetryAfter what callers are told when
-	// nothing better is known.
+	// Backoff is the delay before a retry. RetryAfter is the Retry-After of refusals
+	// whose fault does not set one.
 	Backoff    Backoff
 	RetryAfter time.Duration
 	// Budget bounds the retries of all calls together.
 	Budget *Budget
-	// Rand spreads the waits.
+	// Rand provides the jitter of delays.
 	Rand *rand.Rand
 }
 
-// maxUnsent is how many endpoints may turn out to be out of reach before the
-// call is refused. They cost the fleet nothing, but the caller time.
-const maxUnsent = 3
+// maxUnreachable is how many unreachable endpoints are tried before the call is refused.
+// They add no load to the endpoints but delay the caller.
+const maxUnreachable = 3
 
-// Progress says how far an attempt came.
+// AttemptOutcome is the outcome of an attempt that ended without a complete answer.
 type AttemptOutcome int
 
-// How far an attempt came.
+// The outcomes of an attempt.
 const (
-	// Unsent: no endpoint has got any of it.
+	// Unsent: no endpoint has received any of the request.
 	Unsent AttemptOutcome = iota + 1
-	// Rejected: an endpoint has answered that it did not run it.
+	// Rejected: an endpoint has answered that it did not run the request.
 	Rejected
-	// Ran: it may have run.
+	// MayHaveRun: an endpoint may have run the request.
 	MayHaveRun
 )
 
-// Step is what follows from the end of an attempt.
+// RetryDecision is what follows an attempt: a retry or a verdict.
 type RetryDecision struct {
-	// Again is true when another endpoint is to be tried after Delay.
+	// Retry is true if another endpoint is to be tried after Delay.
 	Retry bool
 	Delay time.Duration
-	// Verdict is the final word otherwise.
+	// Verdict is the result of the call if there is no retry.
 	Verdict *Verdict
 }
 
-// NewDirect returns the machine of one direct call, which counts as live traffic
-// in the budget.
+// NewDirect returns the state machine of one direct call and deposits the call in the
+// budget.
 func NewDirect(o DirectOptions) *Direct {
 	o.Budget.Deposit()
 	o.MaxAttempts = max(o.MaxAttempts, 1)
 	return &Direct{options: o}
 }
 
-// Attempts returns the attempts that an endpoint may have received.
+// Attempts returns the number of attempts that an endpoint may have received.
 func (d *Direct) Attempts() int { return d.sent }
 
 // MayHaveRun reports whether an endpoint may have run an attempt.
 func (d *Direct) MayHaveRun() bool { return d.mayHaveRun }
 
-// Ended reports the end of an attempt without a whole answer.
-func (d *Direct) AttemptFailed(now time.Duration, p AttemptOutcome, f *fault.Error) RetryDecision {
-	switch p {
+// AttemptFailed reports that an attempt ended without a complete answer.
+func (d *Direct) AttemptFailed(now time.Duration, outcome AttemptOutcome, f *fault.Error) RetryDecision {
+	switch outcome {
 	case Unsent:
 		d.unsent++
 	case Rejected:
@@ -94,7 +94,7 @@
 		d.sent++
 		d.mayHaveRun = true
 	}
-	if !d.mayRetry(now, p) {
+	if !d.mayRetry(now, outcome) {
 		return RetryDecision{Verdict: d.FailureVerdict(now, f)}
 	}
 	delay := d.options.Backoff.Delay(d.options.Rand, d.sent+d.unsent-1)
@@ -104,8 +104,8 @@
 	return RetryDecision{Retry: true, Delay: delay}
 }
 
-// Moved reports the end of an attempt that was ended to go on at another endpoint. Its
-// retry has been taken out of the budget already.
+// AttemptRerouted reports that an attempt was aborted to continue at another endpoint.
+// Its retry has already been withdrawn from the budget.
 func (d *Direct) AttemptRerouted(now time.Duration, f *fault.Error) RetryDecision {
 	d.sent++
 	d.mayHaveRun = true
@@ -115,9 +115,9 @@
 	return RetryDecision{Retry: true}
 }
 
-// ReplaceAnswer reports whether an endpoint's whole answer with this status is to
-// be dropped in favour of another attempt, which it then counts and has withdrawn
-// from the budget. Otherwise the answer is to be delivered.
+// RetryOnStatus reports whether a complete answer with this status is to be dropped in
+// favour of another attempt. If so, the attempt has been counted and its retry withdrawn
+// from the budget; otherwise the answer is to be delivered.
 func (d *Direct) RetryOnStatus(now time.Duration, status int) (RetryDecision, bool) {
 	if status < http.StatusInternalServerError || !d.options.Repeatable || d.sent+1 >= d.options.MaxAttempts {
 		return RetryDecision{}, false
@@ -131,21 +131,21 @@
 	return RetryDecision{Retry: true, Delay: delay}, true
 }
 
-// mayRetry reports whether one more endpoint may be tried. An attempt that
-// reached no endpoint costs neither an attempt nor the budget.
-func (d *Direct) mayRetry(now time.Duration, p AttemptOutcome) bool {
+// mayRetry reports whether another endpoint may be tried. An attempt that reached no
+// endpoint counts neither as an attempt nor against the budget.
+func (d *Direct) mayRetry(now time.Duration, outcome AttemptOutcome) bool {
 	switch {
 	case now >= d.options.Deadline, d.mayHaveRun && !d.options.Repeatable:
 		return false
-	case p == Unsent:
-		return d.unsent < maxUnsent
+	case outcome == Unsent:
+		return d.unsent < maxUnreachable
 	case d.sent >= d.options.MaxAttempts:
 		return false
 	}
 	return d.options.Budget.Withdraw(now)
 }
 
-// GiveUp returns the final word on a call that gets no answer.
+// FailureVerdict returns the verdict on a call that gets no answer.
 func (d *Direct) FailureVerdict(now time.Duration, f *fault.Error) *Verdict {
 	late := now >= d.options.Deadline
 	switch {
--- a/call/direct_test.go
+++ b/call/direct_test.go
@@ -11,7 +11,7 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-func newDirect(repeatable bool, attempts int) *Direct {
+func newTestDirect(repeatable bool, attempts int) *Direct {
 	return NewDirect(DirectOptions{
 		Deadline: time.Second, Repeatable: repeatable, MaxAttempts: attempts, RetryAfter: 100 * time.Millisecond,
 		Backoff: Backoff{Base: time.Millisecond, Max: time.Millisecond},
@@ -20,16 +20,16 @@
 }
 
 var (
-	errCut  = fault.New(fault.Unknown, "cut", "ask again")
-	errFull = fault.New(fault.Overloaded, "full", "ask again")
+	errInterrupted = fault.New(fault.Unknown, "cut", "ask again")
+	errOverloaded  = fault.New(fault.Overloaded, "full", "ask again")
 )
 
-// TestDirectCallsKeepTheirPromises plays every order of up to five ends of
-// attempts and checks the invariants of Direct on each.
-func TestDirectCallsKeepTheirPromises(t *testing.T) {
-	progresses := []AttemptOutcome{Unsent, Rejected, MayHaveRun}
-	var play func(history []AttemptOutcome)
-	play = func(history []AttemptOutcome) {
+// TestDirectInvariants runs every sequence of up to five attempt outcomes and checks the
+// invariants of Direct on each.
+func TestDirectInvariants(t *testing.T) {
+	outcomes := []AttemptOutcome{Unsent, Rejected, MayHaveRun}
+	var checkAll func(history []AttemptOutcome)
+	checkAll = func(history []AttemptOutcome) {
 		for _, repeatable := range []bool{false, true} {
 			for attempts := 1; attempts <= 3; attempts++ {
 				checkDirect(t, repeatable, attempts, history)
@@ -38,75 +38,75 @@
 		if len(history) == 5 {
 			return
 		}
-		for _, p := range progresses {
-			play(append(history[:len(history):len(history)], p))
+		for _, outcome := range outcomes {
+			checkAll(append(history[:len(history):len(history)], outcome))
 		}
 	}
-	play(nil)
+	checkAll(nil)
 }
 
 func checkDirect(t *testing.T, repeatable bool, attempts int, history []AttemptOutcome) {
 	t.Helper()
 	is := is.New(t)
-	d := newDirect(repeatable, attempts)
+	d := newTestDirect(repeatable, attempts)
 	ran, sent := 0, 0
-	for i, p := range history {
-		if p != Unsent {
+	for i, outcome := range history {
+		if outcome != Unsent {
 			sent++
 		}
-		if p == MayHaveRun {
+		if outcome == MayHaveRun {
 			ran++
 		}
-		f := errFull
-		if p == MayHaveRun {
-			f = errCut
+		f := errOverloaded
+		if outcome == MayHaveRun {
+			f = errInterrupted
 		}
-		step := d.AttemptFailed(time.Duration(i)*time.Millisecond, p, f)
-		is.True(step.Retry == (step.Verdict == nil)) // one of the two
+		step := d.AttemptFailed(time.Duration(i)*time.Millisecond, outcome, f)
+		is.True(step.Retry == (step.Verdict == nil)) // either a retry or a verdict
 		is.True(sent <= attempts)                    // no more endpoints than allowed
 		is.True(repeatable || ran <= 1)              // at most once
 		if step.Verdict == nil {
-			is.True(repeatable || ran == 0) // never sent again after it may have run
+			is.True(repeatable || ran == 0) // no retry after it may have run
 			continue
 		}
-		is.Equal(step.Verdict.Outcome == NotRun, ran == 0) // not run is true
-		promise := step.Verdict.HTTPStatus() == http.StatusServiceUnavailable || step.Verdict.HTTPStatus() == http.StatusTooManyRequests
-		is.Equal(promise, ran == 0)
-		is.Equal(step.Verdict.Fault.RetryAfter > 0, ran == 0) // says when to come back
+		is.Equal(step.Verdict.Outcome == NotRun, ran == 0) // NotRun is reported only if nothing has run
+		refusal := step.Verdict.HTTPStatus() == http.StatusServiceUnavailable || step.Verdict.HTTPStatus() == http.StatusTooManyRequests
+		is.Equal(refusal, ran == 0)
+		is.Equal(step.Verdict.Fault.RetryAfter > 0, ran == 0) // refusals carry a Retry-After
 		return
 	}
 }
 
-func TestAFailureOfTheEndpointIsRepeatedOnlyWhereAllowed(t *testing.T) {
+func TestErrorStatusIsRetriedOnlyWhereAllowed(t *testing.T) {
 	is := is.New(t)
 	replaced := func(d *Direct, now time.Duration, status int) bool {
 		step, ok := d.RetryOnStatus(now, status)
 		return ok && step.Retry
 	}
-	is.True(!replaced(newDirect(false, 2), 0, 500))
-	is.True(!replaced(newDirect(true, 1), 0, 500))
-	is.True(!replaced(newDirect(true, 2), 0, 404))
-	is.True(!replaced(newDirect(true, 2), time.Second, 500))
-	d := newDirect(true, 2)
+	is.True(!replaced(newTestDirect(false, 2), 0, 500))
+	is.True(!replaced(newTestDirect(true, 1), 0, 500))
+	is.True(!replaced(newTestDirect(true, 2), 0, 404))
+	is.True(!replaced(newTestDirect(true, 2), time.Second, 500))
+	d := newTestDirect(true, 2)
 	is.True(replaced(d, 0, 500))
 	is.True(!replaced(d, 0, 500)) // both attempts are used up
 	is.True(d.MayHaveRun())
 	is.Equal(d.Attempts(), 1)
 }
 
-func TestARetryNeedsTheBudget(t *testing.T) {
+func TestRetryNeedsBudget(t *testing.T) {
 	is := is.New(t)
 	budget := NewBudget(BudgetConfig{Burst: 1})
 	first := NewDirect(DirectOptions{Deadline: time.Second, MaxAttempts: 2, Budget: budget, Rand: rand.New(rand.NewPCG(1, 1)), RetryAfter: time.Millisecond})
-	is.True(first.AttemptFailed(0, Rejected, errFull).Retry)
+	is.True(first.AttemptFailed(0, Rejected, errOverloaded).Retry)
 	second := NewDirect(DirectOptions{Deadline: time.Second, MaxAttempts: 2, Budget: budget, Rand: rand.New(rand.NewPCG(1, 1)), RetryAfter: time.Millisecond})
-	is.True(!second.AttemptFailed(0, Rejected, errFull).Retry)
+	is.True(!second.AttemptFailed(0, Rejected, errOverloaded).Retry)
 }
 
-func TestACallThatMayHaveRunTimesOutAsUnknown(t *testing.T) {
+func TestTimedOutCallThatMayHaveRunIsUnknown(t *testing.T) {
 	is := is.New(t)
-	d := newDirect(false, 1)
-	v := d.AttemptFailed(time.Second, MayHaveRun, errCut).Verdict
+	d := newTestDirect(false, 1)
+	v := d.AttemptFailed(time.Second, MayHaveRun, errInterrupted).Verdict
 	is.Equal(v.Outcome, Unknown)
 	is.Equal(v.HTTPStatus(), http.StatusGatewayTimeout)
 }
--- a/call/faults.go
+++ b/call/fault.go
@@ -8,8 +8,8 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// faultOf returns the fault that a refusal carries.
-func faultOf(r *agentv1.Refused) *fault.Error {
+// faultFromRefusal returns the fault that a refusal carries.
+func faultFromRefusal(r *agentv1.Refused) *fault.Error {
 	kind := fault.Kind(r.GetKind())
 	if kind == "" {
 		kind = fault.Unavailable
@@ -19,16 +19,16 @@
 	return f
 }
 
-func errBroken(text string) *fault.Error {
-	return fault.Newf(fault.Unknown, "ask again; a model call may be repeated, another call only with the same idempotency key",
-		"the answer was cut: %s", text)
+func errIncomplete(text string) *fault.Error {
+	return fault.Newf(fault.Unknown, "retry; a model call may be repeated, any other call only with the same idempotency key",
+		"the response is incomplete: %s", text)
 }
 
-func errDeadline() *fault.Error {
-	return fault.New(fault.DeadlineTooShort, "the deadline passed", "ask again with a longer deadline")
+func errDeadlinePassed() *fault.Error {
+	return fault.New(fault.DeadlineTooShort, "the deadline passed", "retry with a longer deadline")
 }
 
-// isTransient reports whether the same request may succeed later.
+// isTransient reports whether a retry of the same request may succeed.
 func isTransient(kind fault.Kind) bool {
 	switch kind {
 	case fault.Invalid, fault.Unauthenticated, fault.NotFound, fault.KeyReused, fault.Corrupt, fault.Internal:
@@ -37,8 +37,8 @@
 	return true
 }
 
-// isEventStream reports whether an answer is a stream of server-sent events,
-// which is delivered as it comes.
+// isEventStream reports whether an answer is a stream of server-sent events, which is
+// forwarded as it arrives.
 func isEventStream(head *agentv1.Head) bool {
 	for _, h := range head.GetHeaders() {
 		if strings.EqualFold(h.GetName(), "Content-Type") {
--- a/call/fingerprint.go
+++ b/call/fingerprint.go
@@ -2,12 +2,13 @@
 
 import "encoding/hex"
 
-// Fingerprint tells whether two requests are the same but for their ids: its caller, its
-// method, its path with query, and its body.
+// Fingerprint identifies equal requests, regardless of their request ids: it covers the
+// caller, the method, the path with query, and the body.
 type Fingerprint [16]byte
 
-// FingerprintOf returns the fingerprint of a request. The caller is its workspace: keys
-// change, and what one workspace sends never counts against another.
+// FingerprintOf returns the fingerprint of a request. The caller is the workspace and not
+// the API key: keys are rotated, and requests of one workspace must never count against
+// another.
 func FingerprintOf(caller, method, target string, body []byte) Fingerprint {
 	return Fingerprint(digest([]byte(caller), []byte(method), []byte(target), body)[:len(Fingerprint{})])
 }
--- a/call/outcome.go
+++ b/call/outcome.go
@@ -7,12 +7,12 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// Outcome is what finally became of a request.
+// Outcome is the final outcome of a request.
 type Outcome int
 
 // The outcomes.
 const (
-	// Answered means that the caller has the endpoint's whole answer.
+	// Answered means that the caller has the complete answer of the endpoint.
 	Answered Outcome = iota + 1
 	// NotRun means that no endpoint has run the request or ever will.
 	NotRun
@@ -20,7 +20,7 @@
 	Unknown
 )
 
-// String returns the outcome as it stands in HeaderOutcome.
+// String returns the outcome as sent in HeaderOutcome.
 func (o Outcome) String() string {
 	switch o {
 	case Answered:
@@ -45,34 +45,34 @@
 	HeaderReplayed = "Idempotent-Replayed"
 )
 
-// DefaultRetryAfter is the Retry-After when nothing better is known.
+// DefaultRetryAfter is the Retry-After of refusals whose fault does not set one.
 const DefaultRetryAfter = time.Second
 
-// Verdict is the final word on a request.
+// Verdict is the final result of a request.
 type Verdict struct {
-	// Outcome is what became of the request.
 	Outcome Outcome
-	// Fault says why the request has no answer; nil when it was answered.
+	// Fault says why the request has no answer; nil if it was answered.
 	Fault *fault.Error
-	// Status overrides the HTTP status that belongs to the fault; zero does not.
+	// Status overrides the HTTP status that the outcome and the fault imply; zero means
+	// no override.
 	Status int
-	// Replayed is true for an answer recorded by an earlier request.
+	// Replayed is true for an answer that was recorded by an earlier request.
 	Replayed bool
 }
 
 // Refuse returns the verdict on a request that has not run.
 func Refuse(f *fault.Error) *Verdict { return &Verdict{Outcome: NotRun, Fault: f} }
 
-// RefuseWith is Refuse with an HTTP status of its own.
+// RefuseWithStatus is Refuse with an explicit HTTP status.
 func RefuseWithStatus(status int, f *fault.Error) *Verdict {
 	return &Verdict{Outcome: NotRun, Fault: f, Status: status}
 }
 
-// StatusUnknown is the HTTP status of every answer whose outcome is unknown.
+// StatusUnknown is the default HTTP status of answers whose outcome is unknown.
 const StatusUnknown = http.StatusBadGateway
 
-// notRunStatus maps a fault kind to the HTTP status of a refusal. A kind that
-// is not listed is a defect of lilackeel.
+// notRunStatus maps a fault kind to the HTTP status of a refusal. A kind that is missing
+// here is a bug and yields status 500.
 var notRunStatus = map[fault.Kind]int{
 	fault.Invalid:          http.StatusBadRequest,
 	fault.Unauthenticated:  http.StatusUnauthorized,
@@ -105,8 +105,8 @@
 	return http.StatusInternalServerError
 }
 
-// RetryAfterSeconds returns the value of the Retry-After header, rounded up to
-// whole seconds, and zero where asking again does not help.
+// RetryAfterSeconds returns the value of the Retry-After header, rounded up to whole
+// seconds, and zero if a retry cannot succeed.
 func (v *Verdict) RetryAfterSeconds() int64 {
 	if v.Fault == nil || v.Fault.RetryAfter <= 0 {
 		return 0
@@ -114,8 +114,7 @@
 	return int64((v.Fault.RetryAfter + time.Second - 1) / time.Second)
 }
 
-// ErrorBody is the JSON body of an answer without a whole result, in the shape
-// that OpenAI's clients read.
+// ErrorBody is the JSON body of an error, in the format that OpenAI clients parse.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
@@ -124,15 +123,15 @@
 type ErrorDetail struct {
 	// Type is the fault kind.
 	Type fault.Kind `json:"type"`
-	// Message says what happened.
+	// Message describes the error.
 	Message string `json:"message"`
-	// Remedy says what to do next.
+	// Remedy tells the caller how to proceed.
 	Remedy string `json:"remedy"`
 	// Outcome is not-run or unknown.
 	Outcome string `json:"outcome"`
 	// RequestID identifies the request.
 	RequestID string `json:"request_id"`
-	// RetryAfterMS says when asking again makes sense, in milliseconds.
+	// RetryAfterMS is the time after which a retry makes sense, in milliseconds.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 }
 
--- a/call/limited_test.go
+++ b/call/ratelimit_test.go
@@ -13,8 +13,8 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// Guards against endpoints that take no more requests now using up the attempts and the retry
-// budget of requests that another endpoint would serve.
+// Guards against rate-limited endpoints using up the attempts and the retry budget of
+// requests that another endpoint would serve.
 func TestRateLimitedEndpointsArePassedOver(t *testing.T) {
 	is := is.New(t)
 	budget := call.NewBudget(call.BudgetConfig{})
@@ -41,31 +41,32 @@
 	is.Equal(action.Verdict.Fault.RetryAfter, 700*time.Millisecond)
 }
 
-// Guards against calls that are refused although an endpoint takes requests again within their
-// time, and against calls that are held in vain.
+// Guards against refusing a call although a rate limit ends in time for it, and against
+// delaying a call that cannot finish in time anyway.
 func TestACallWaitsForAnEndpointThatOpensInTime(t *testing.T) {
 	is := is.New(t)
 	policy := call.DefaultPolicy
 	options := call.Options{RequestID: "r", Deadline: 10 * time.Second, Policy: &policy, Budget: call.NewBudget(call.BudgetConfig{}), Rand: rand.New(rand.NewPCG(1, 1))}
-	opensIn := func(d time.Duration) *fault.Error { return fault.New(fault.RateLimited, "closed", "wait").After(d) }
+	limitedFor := func(d time.Duration) *fault.Error { return fault.New(fault.RateLimited, "closed", "wait").After(d) }
 	for _, m := range []interface {
 		Start(time.Duration) call.Action
 		PickFailed(time.Duration, *fault.Error) call.Action
 	}{call.NewRepeatable(options), call.NewAtMostOnce(call.AtMostOnceOptions{Options: options})} {
 		m.Start(0)
-		action := m.PickFailed(0, opensIn(4*time.Second))
+		action := m.PickFailed(0, limitedFor(4*time.Second))
 		is.Equal(action.Kind, call.Pick)
 		is.Equal(action.Delay, 4*time.Second)
 		is.Equal(len(action.Exclude), 0)
-		action = m.PickFailed(4*time.Second, opensIn(3100*time.Millisecond))
-		is.Equal(action.Kind, call.Finish) // what is left would not do
+		action = m.PickFailed(4*time.Second, limitedFor(3100*time.Millisecond))
+		is.Equal(action.Kind, call.Finish) // the remaining time would be too short for the answer
 		is.Equal(action.Verdict.Outcome, call.NotRun)
 		is.Equal(action.Verdict.Fault.RetryAfter, 3100*time.Millisecond)
 	}
 }
 
-// Guards against a stream that is given up since its endpoint takes no requests for a moment.
-func TestAResumedStreamWaitsForItsEndpoint(t *testing.T) {
+// Guards against giving up an interrupted stream because its endpoint is briefly rate
+// limited.
+func TestResumedStreamWaitsForRateLimitedEndpoint(t *testing.T) {
 	is := is.New(t)
 	policy := call.DefaultPolicy
 	m := call.NewRepeatable(call.Options{RequestID: "r", Deadline: 10 * time.Second, Policy: &policy, Budget: call.NewBudget(call.DefaultBudget), Rand: rand.New(rand.NewPCG(1, 1))})
--- a/call/repeatable.go
+++ b/call/repeatable.go
@@ -9,53 +9,53 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// Options describe one call to a machine.
+// Options describes one call.
 type Options struct {
 	// RequestID identifies the request.
 	RequestID string
 	// Deadline is when the caller must have the final answer.
 	Deadline time.Duration
-	// Stream is true when the caller asked for a stream. Whether the answer is
-	// delivered as it comes or held until whole depends on what the endpoint
-	// sends; this only sets how long its parts are waited for.
+	// Stream is true if the caller requested a stream. It only determines how long each
+	// part of the answer is waited for; whether the answer is forwarded as it arrives or
+	// buffered until complete depends on what the endpoint sends.
 	Stream bool
-	// Policy bounds what is tried.
+	// Policy bounds the attempts, waits and buffers of the call.
 	Policy *Policy
 	// Budget bounds the retries of all calls together.
 	Budget *Budget
-	// Rand spreads the waits.
+	// Rand provides the jitter of delays.
 	Rand *rand.Rand
 }
 
 // Repeatable drives a call that may run more than once.
 //
-// Invariants: only the current attempt writes to the caller; the bytes written
-// are one gapless answer; once bytes are written the call is only ever resumed
-// at their end, by the stream that produced them, and never begun anew.
+// Invariants: only the current attempt writes to the caller; the bytes written form one
+// answer without gaps; once bytes are written, the call is only ever resumed after them,
+// on the stream that produced them, and never restarted.
 type Repeatable struct {
-	progress
+	callState
 	// mayHaveRun is true once an endpoint may have run an attempt.
 	mayHaveRun bool
 }
 
-// NewRepeatable returns the machine of one repeatable call.
+// NewRepeatable returns the state machine of one repeatable call.
 func NewRepeatable(o Options) *Repeatable {
-	return &Repeatable{progress: newProgress(o)}
+	return &Repeatable{callState: newCallState(o)}
 }
 
-// Start begins the call.
+// Start starts the call.
 func (m *Repeatable) Start(now time.Duration) Action {
 	m.options.Budget.Deposit()
 	if now >= m.options.Deadline {
-		return m.giveUp(now, errDeadline())
+		return m.giveUp(now, errDeadlinePassed())
 	}
 	return Action{Kind: Pick}
 }
 
-// Picked reports the endpoint that was chosen.
+// Picked reports the chosen endpoint.
 func (m *Repeatable) Picked(now time.Duration, t Target) Action {
 	if now >= m.options.Deadline {
-		return m.giveUp(now, errDeadline())
+		return m.giveUp(now, errDeadlinePassed())
 	}
 	m.target = t
 	m.tried = append(m.tried, t.Endpoint)
@@ -64,22 +64,22 @@
 
 // PickFailed reports that no endpoint can take the call.
 func (m *Repeatable) PickFailed(now time.Duration, f *fault.Error) Action {
-	if action, ok := m.awaitOpening(now, f); ok {
+	if action, ok := m.waitForRateLimit(now, f); ok {
 		return action
 	}
-	if m.last == nil && m.limited != nil {
-		return m.giveUp(now, m.limited)
+	if m.lastFault == nil && m.rateLimited != nil {
+		return m.giveUp(now, m.rateLimited)
 	}
-	if m.last == nil || len(m.tried) == 0 {
+	if m.lastFault == nil || len(m.tried) == 0 {
 		return m.giveUp(now, f)
 	}
 	m.tried = nil
-	return m.retryOrEnd(now, m.last)
+	return m.retryOrGiveUp(now, m.lastFault)
 }
 
 // Response reports a message of the attempt.
 func (m *Repeatable) Response(now time.Duration, r *agentv1.DispatchResponse) Action {
-	if !m.answer.owns(r) {
+	if !m.answer.isCurrent(r) {
 		return m.receive(now, nil)
 	}
 	switch kind := r.GetKind().(type) {
@@ -92,66 +92,66 @@
 	case *agentv1.DispatchResponse_End:
 		return m.end(now, kind.End)
 	case *agentv1.DispatchResponse_Broken:
-		return m.Interrupted(now, errBroken(kind.Broken.GetMessage()), !kind.Broken.GetMayHaveRun())
+		return m.Interrupted(now, errIncomplete(kind.Broken.GetMessage()), !kind.Broken.GetMayHaveRun())
 	}
-	return m.Interrupted(now, errBroken("the agent sent a message of an unknown kind"), false)
+	return m.Interrupted(now, errIncomplete("the agent sent a message of an unknown kind"), false)
 }
 
-// Cut reports that the attempt ended without a whole answer. notRun is true
-// only when it is proved that no endpoint was asked.
+// Interrupted reports that the attempt ended without a complete answer. notRun is true
+// only if it is proved that no endpoint received the call.
 func (m *Repeatable) Interrupted(now time.Duration, f *fault.Error, notRun bool) Action {
 	m.mayHaveRun = m.mayHaveRun || !notRun
-	if m.started {
+	if m.headSent {
 		return m.resume(now, f)
 	}
 	m.answer.reset()
-	m.buffered.release()
-	return m.retryOrEnd(now, f)
+	m.buffer.drain()
+	return m.retryOrGiveUp(now, f)
 }
 
-// GiveUp reports that the call must not be tried again.
+// GiveUp ends the call because it must not be retried.
 func (m *Repeatable) GiveUp(now time.Duration, f *fault.Error) Action { return m.giveUp(now, f) }
 
-// CallerGone reports that nobody waits for the answer any more.
+// CallerGone ends the call of a caller that disconnected.
 func (m *Repeatable) CallerGone(now time.Duration) Action {
-	f := fault.New(fault.Invalid, "the caller left before the answer was whole", "send the request again")
+	f := fault.New(fault.Invalid, "the caller disconnected before the response was complete", "send the request again")
 	return m.giveUp(now, f)
 }
 
 func (m *Repeatable) refused(now time.Duration, r *agentv1.Refused) Action {
-	f := faultOf(r)
-	if m.answer.opened {
+	f := faultFromRefusal(r)
+	if m.answer.headReceived {
 		return m.Interrupted(now, f, false)
 	}
-	if m.started && f.Kind == fault.NotFound {
-		return m.giveUp(now, errBroken("the engine no longer has the stream"))
+	if m.headSent && f.Kind == fault.NotFound {
+		return m.giveUp(now, errIncomplete("the engine no longer has the stream"))
 	}
-	if m.started {
+	if m.headSent {
 		return m.resume(now, f)
 	}
 	if f.Kind == fault.RateLimited && now < m.options.Deadline {
-		return m.passOver(f)
+		return m.pickAnother(f)
 	}
-	return m.retryOrEnd(now, f)
+	return m.retryOrGiveUp(now, f)
 }
 
 func (m *Repeatable) head(now time.Duration, head *agentv1.Head) Action {
 	m.mayHaveRun = true
 	first := m.answer.head == nil
 	if !m.answer.open(head) {
-		return m.giveUp(now, errBroken("the engine began another stream instead of resuming"))
+		return m.giveUp(now, errIncomplete("the engine started another stream instead of resuming"))
 	}
 	if !first {
 		return m.receive(now, nil)
 	}
-	if failsTransiently(head.GetStatus()) && m.mayRetry(now) {
+	if isTransientStatus(head.GetStatus()) && m.mayRetry(now) {
 		m.answer.reset()
-		return m.retry(now, fault.Newf(fault.Unavailable, "ask again", "the endpoint answered with status %d", head.GetStatus()))
+		return m.retry(now, fault.Newf(fault.Unavailable, "retry the request", "the endpoint answered with status %d", head.GetStatus()))
 	}
 	if !isEventStream(head) {
 		return m.receive(now, nil)
 	}
-	m.started = true
+	m.headSent = true
 	action := m.receive(now, nil)
 	action.Head = head
 	return action
@@ -160,39 +160,39 @@
 func (m *Repeatable) chunk(now time.Duration, c *agentv1.Chunk) Action {
 	fresh, ok := m.answer.take(c)
 	if !ok {
-		return m.Interrupted(now, errBroken("a part of the answer is missing"), false)
+		return m.Interrupted(now, errIncomplete("part of the body is missing"), false)
 	}
-	if m.started {
+	if m.headSent {
 		return m.receive(now, fresh)
 	}
-	m.buffered.add(fresh)
-	if m.buffered.bytes <= m.options.Policy.MaxBufferedBytes {
+	m.buffer.add(fresh)
+	if m.buffer.bytes <= m.options.Policy.MaxBufferedBytes {
 		return m.receive(now, nil)
 	}
-	m.started = true
+	m.headSent = true
 	action := m.receive(now, nil)
 	action.Head = m.answer.head
-	action.Data = m.buffered.release()
+	action.Data = m.buffer.drain()
 	return action
 }
 
 func (m *Repeatable) end(now time.Duration, end *agentv1.End) Action {
-	if !m.answer.whole(end) {
-		return m.Interrupted(now, errBroken("the answer ended before it was whole"), false)
+	if !m.answer.isComplete(end) {
+		return m.Interrupted(now, errIncomplete("it ended before its full length"), false)
 	}
 	action := Action{Kind: Finish, Verdict: &Verdict{Outcome: Answered}}
-	if !m.started {
-		m.started = true
+	if !m.headSent {
+		m.headSent = true
 		action.Head = m.answer.head
-		action.Data = m.buffered.release()
+		action.Data = m.buffer.drain()
 	}
 	return action
 }
 
-// retryOrEnd tries the call anew on another endpoint, or gives it up.
-func (m *Repeatable) retryOrEnd(now time.Duration, f *fault.Error) Action {
+// retryOrGiveUp retries the call on another endpoint, or gives it up.
+func (m *Repeatable) retryOrGiveUp(now time.Duration, f *fault.Error) Action {
 	if now >= m.options.Deadline {
-		return m.giveUp(now, errDeadline())
+		return m.giveUp(now, errDeadlinePassed())
 	}
 	if !m.mayRetry(now) {
 		return m.giveUp(now, f)
@@ -202,7 +202,7 @@
 
 // retry starts an attempt that mayRetry has allowed.
 func (m *Repeatable) retry(now time.Duration, f *fault.Error) Action {
-	m.last = f
+	m.lastFault = f
 	delay := m.nextBackoff()
 	if now+delay >= m.options.Deadline {
 		return m.giveUp(now, f)
@@ -210,7 +210,7 @@
 	return Action{Kind: Pick, Delay: delay, Exclude: m.tried}
 }
 
-// resume continues a cut stream at its offset, on the engine that has it.
+// resume continues an interrupted stream at its offset, on the engine that has it.
 func (m *Repeatable) resume(now time.Duration, f *fault.Error) Action {
 	policy := m.options.Policy
 	delay := policy.Backoff.Delay(m.options.Rand, m.answer.counts.Resumes)
@@ -226,8 +226,8 @@
 	return m.dispatch(now, delay)
 }
 
-// Redirect notifies the machine that the agent of its endpoint has a new
-// incarnation or address, before a stream is resumed there.
+// UpdateTarget tells the machine the current incarnation and address of the agent of its
+// endpoint before a stream is resumed there, and returns the target.
 func (m *Repeatable) UpdateTarget(t Target) Target {
 	if t.Endpoint == m.target.Endpoint {
 		m.target = t
@@ -236,11 +236,12 @@
 	return m.target
 }
 
-// StreamID returns the engine's name of the stream, empty before its head.
+// StreamID returns the engine's id of the stream, empty before the head has been
+// received.
 func (m *Repeatable) StreamID() string { return m.answer.head.GetStreamId() }
 
 func (m *Repeatable) dispatch(now, delay time.Duration) Action {
-	m.answer.begin(m.target.Incarnation)
+	m.answer.beginAttempt(m.target.Incarnation)
 	return Action{
 		Kind:           Dispatch,
 		Delay:          delay,
@@ -259,25 +260,26 @@
 	return action
 }
 
-// receiveTimeout bounds the wait for the next response. An answer that comes in
-// one piece may take half of the time left, so that another attempt has a chance.
+// receiveTimeout returns the timeout for the next response. An answer that is not
+// streamed may take half of the remaining time, so that there is time for another
+// attempt.
 func (m *Repeatable) receiveTimeout(now time.Duration) time.Duration {
 	left := max(m.options.Deadline-now, 1)
 	if !m.options.Stream {
-		if m.lastAttempt() {
+		if m.isLastAttempt() {
 			return left
 		}
 		return max(left/2, 1)
 	}
-	if m.answer.opened {
+	if m.answer.headReceived {
 		return min(m.options.Policy.IdleTimeout, left)
 	}
 	return min(m.options.Policy.FirstByteTimeout, left)
 }
 
-// giveUp ends the call without a whole answer.
+// giveUp ends the call without a complete answer.
 func (m *Repeatable) giveUp(now time.Duration, f *fault.Error) Action {
-	m.buffered.release()
+	m.buffer.drain()
 	verdict := Refuse(f)
 	if m.mayHaveRun {
 		verdict = &Verdict{Outcome: Unknown, Fault: f}
@@ -288,9 +290,9 @@
 	return Action{Kind: Finish, Verdict: verdict}
 }
 
-// failsTransiently reports whether an endpoint's status says that another
-// endpoint may do better.
-func failsTransiently(status int32) bool {
+// isTransientStatus reports whether another endpoint may succeed after an endpoint has
+// answered with this status.
+func isTransientStatus(status int32) bool {
 	switch int(status) {
 	case http.StatusTooManyRequests, http.StatusBadGateway,
 		http.StatusServiceUnavailable, http.StatusGatewayTimeout:
--- a/call/repeatable_test.go
+++ b/call/repeatable_test.go
@@ -17,22 +17,23 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-const wholeBody = "data: one\n\ndata: two\n\ndata: three\n\ndata: [DONE]\n\n"
+const completeBody = "data: one\n\ndata: two\n\ndata: three\n\ndata: [DONE]\n\n"
 
-// engines answers attempts of one streamed call. Each response may come twice,
-// be lost, or be followed by one of an earlier attempt.
-type engines struct {
-	rng     *rand.Rand
-	trouble float64
-	// forgetful engines begin another stream when asked to resume.
-	forgetful bool
-	earlier   []*agentv1.DispatchResponse
+// engineStub simulates engines that answer the attempts of one streamed call. Each
+// response may be duplicated, lost, or followed by one of an earlier attempt.
+type engineStub struct {
+	rng       *rand.Rand
+	faultRate float64
+	// losesStreams makes the engines start another stream when asked to resume.
+	losesStreams     bool
+	earlierResponses []*agentv1.DispatchResponse
 }
 
-// answer returns the responses of one attempt; whole is false if it is cut.
-func (e *engines) answer(a call.Action) (responses []*agentv1.DispatchResponse, whole bool) {
+// answer returns the responses of one attempt; complete is false if the attempt is
+// interrupted.
+func (e *engineStub) answer(a call.Action) (responses []*agentv1.DispatchResponse, complete bool) {
 	stream := "s" + a.Target.Endpoint
-	if e.forgetful {
+	if e.losesStreams {
 		stream = fmt.Sprint("s", a.Attempt)
 	}
 	stamp := func(r *agentv1.DispatchResponse) {
@@ -40,32 +41,33 @@
 		for _, copies := 0, e.rng.IntN(2); copies >= 0; copies-- {
 			responses = append(responses, r)
 		}
-		if len(e.earlier) > 0 && e.rng.Float64() < e.trouble {
-			responses = append(responses, e.earlier[e.rng.IntN(len(e.earlier))])
+		if len(e.earlierResponses) > 0 && e.rng.Float64() < e.faultRate {
+			responses = append(responses, e.earlierResponses[e.rng.IntN(len(e.earlierResponses))])
 		}
 	}
 	headers := []*controlv1.Header{{Name: "Content-Type", Value: "text/event-stream"}}
 	stamp(&agentv1.DispatchResponse{Kind: &agentv1.DispatchResponse_Head{Head: &agentv1.Head{Status: 200, Headers: headers, StreamId: stream}}})
-	for at := int(a.Offset); at < len(wholeBody); {
-		size := min(1+e.rng.IntN(9), len(wholeBody)-at)
+	for at := int(a.Offset); at < len(completeBody); {
+		size := min(1+e.rng.IntN(9), len(completeBody)-at)
 		from := max(int(a.Offset), at-e.rng.IntN(4))
-		lost := e.rng.Float64() < e.trouble/4
+		lost := e.rng.Float64() < e.faultRate/4
 		if !lost {
-			stamp(&agentv1.DispatchResponse{Kind: &agentv1.DispatchResponse_Chunk{Chunk: &agentv1.Chunk{Offset: uint64(from), Data: []byte(wholeBody[from : at+size])}}})
+			stamp(&agentv1.DispatchResponse{Kind: &agentv1.DispatchResponse_Chunk{Chunk: &agentv1.Chunk{Offset: uint64(from), Data: []byte(completeBody[from : at+size])}}})
 		}
 		at += size
-		if e.rng.Float64() < e.trouble/4 {
-			e.earlier = append(e.earlier, responses...)
+		if e.rng.Float64() < e.faultRate/4 {
+			e.earlierResponses = append(e.earlierResponses, responses...)
 			return responses, false
 		}
 	}
-	stamp(&agentv1.DispatchResponse{Kind: &agentv1.DispatchResponse_End{End: &agentv1.End{Length: uint64(len(wholeBody))}}})
-	e.earlier = append(e.earlier, responses...)
+	stamp(&agentv1.DispatchResponse{Kind: &agentv1.DispatchResponse_End{End: &agentv1.End{Length: uint64(len(completeBody))}}})
+	e.earlierResponses = append(e.earlierResponses, responses...)
 	return responses, true
 }
 
-// drive runs a streamed call and returns what the caller got.
-func drive(m *call.Repeatable, e *engines) (written string, v *call.Verdict, engines []string) {
+// runCall runs a streamed call and returns what the caller received, the verdict and the
+// engines used.
+func runCall(m *call.Repeatable, e *engineStub) (written string, v *call.Verdict, engines []string) {
 	now := time.Duration(0)
 	var pending []*agentv1.DispatchResponse
 	for a := m.Start(now); ; {
@@ -87,14 +89,14 @@
 			a = m.Response(now, pending[0])
 			pending = pending[1:]
 		default:
-			a = m.Interrupted(now, fault.New(fault.Unknown, "the connection broke", ""), false)
+			a = m.Interrupted(now, fault.New(fault.Unknown, "the connection was lost", ""), false)
 		}
 	}
 }
 
-// TestOwnWholeStream cuts, doubles, overlaps, loses and crosses the parts of a
-// streamed answer: the caller gets a gapless beginning of the own answer, and
-// "answered" only with all of it, all from one engine.
+// TestOwnWholeStream interrupts, duplicates, overlaps, loses and mixes up the parts of a
+// streamed answer. The caller must receive a prefix of its own answer without gaps, all
+// from one engine, and Answered must be reported only for the complete answer.
 func TestOwnWholeStream(t *testing.T) {
 	is := is.New(t)
 	proof.Cell{
@@ -102,39 +104,39 @@
 		Faults: []proof.Fault{proof.CutBothWays, proof.Late, proof.Doubled, proof.Crossed, proof.Lost},
 		Guard:  "each alone: offsets in assembly.take, end check, stream id check in assembly.open, resume instead of a new attempt",
 	}.Log(t)
-	whole, resumed := 0, 0
+	complete, resumed := 0, 0
 	for seed := range uint64(4000) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		m := call.NewRepeatable(call.Options{
 			RequestID: "r1", Deadline: time.Minute, Stream: true, Policy: &call.DefaultPolicy,
 			Budget: call.NewBudget(call.DefaultBudget), Rand: rng,
 		})
-		e := &engines{rng: rng, trouble: 0.4 * rng.Float64(), forgetful: seed%4 == 0}
-		written, v, engines := drive(m, e)
-		if len(written) > len(wholeBody) || written != wholeBody[:len(written)] {
+		e := &engineStub{rng: rng, faultRate: 0.4 * rng.Float64(), losesStreams: seed%4 == 0}
+		written, v, engines := runCall(m, e)
+		if len(written) > len(completeBody) || written != completeBody[:len(written)] {
 			t.Fatalf("seed %d: the caller got %q", seed, written)
 		}
-		if (v.Outcome == call.Answered) != (written == wholeBody && v.Fault == nil) {
+		if (v.Outcome == call.Answered) != (written == completeBody && v.Fault == nil) {
 			t.Fatalf("seed %d: %v after %q", seed, v.Outcome, written)
 		}
 		if v.Outcome != call.Answered {
-			is.Equal(v.Outcome, call.Unknown) // an engine has begun
+			is.Equal(v.Outcome, call.Unknown) // an engine has started to answer
 			continue
 		}
-		whole++
+		complete++
 		if m.Counts().Resumes > 0 {
 			resumed++
 			is.Equal(len(slices.Compact(engines)), 1) // resumed by the engine that has the stream
-			is.True(!e.forgetful)                     // another stream is no continuation
+			is.True(!e.losesStreams)                  // another stream cannot continue the answer
 		}
 	}
-	t.Logf("seeds 0 to 3999: %d whole, %d of them resumed", whole, resumed)
-	is.True(whole > 2000 && resumed > 200)
+	t.Logf("seeds 0 to 3999: %d complete, %d of them resumed", complete, resumed)
+	is.True(complete > 2000 && resumed > 200)
 }
 
-// TestGivenUpAtOnce proves that the machine waits for nothing once it will not
-// try again, and says when to come back.
-func TestGivenUpAtOnce(t *testing.T) {
+// TestGiveUpWithoutDelay checks that the machine returns its verdict without delay if
+// there will be no retry, and that the verdict has a Retry-After.
+func TestGiveUpWithoutDelay(t *testing.T) {
 	is := is.New(t)
 	budget := call.NewBudget(call.BudgetConfig{})
 	m := call.NewRepeatable(call.Options{
@@ -152,10 +154,10 @@
 	is.Equal(a.Verdict.RetryAfterSeconds(), int64(2))
 }
 
-// TestRetryBudget lets a third of the endpoints fail every call. The extra
-// attempts stay within the budget, with the failing endpoints taken out of
-// rotation the goodput holds, and while they are not yet, an outage of all
-// endpoints is not multiplied.
+// TestRetryBudget lets a third of the endpoints fail every call. The additional attempts
+// must stay within the budget, and almost all calls must succeed once outlier detection
+// has ejected the failing endpoints. Without ejection, an outage of all endpoints must
+// not multiply the load.
 func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
 	const endpoints, calls = 15, 20000
@@ -197,7 +199,7 @@
 	attempts, answered := simulate(1, true, aThird)
 	t.Logf("seed 1: a third fails: %d calls, %d attempts, %d answered", calls, attempts, answered)
 	is.True(limit(attempts))
-	is.True(answered > calls*98/100) // the outliers are found within the first seconds
+	is.True(answered > calls*98/100) // the outliers are ejected within the first seconds
 	attempts, answered = simulate(2, false, aThird)
 	t.Logf("seed 2: a third fails and stays in rotation: %d attempts, %d answered", attempts, answered)
 	is.True(limit(attempts))
--- a/call/retry.go
+++ b/call/retry.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// BudgetConfig sets a retry budget up.
+// BudgetConfig configures a retry budget.
 type BudgetConfig struct {
-	// Ratio is the share of live traffic that may be repeated, 0 to 1.
+	// Ratio is the number of retries allowed per request, 0 to 1.
 	Ratio float64
-	// MinPerSecond is the number of retries a second that are always allowed,
-	// so that a fleet with little traffic can repeat at all.
+	// MinPerSecond is the number of retries per second that are always allowed, so that
+	// retries are possible at all under low traffic.
 	MinPerSecond float64
-	// Burst is the number of retries that can be saved up. It and MinPerSecond hold for
-	// all that share a budget, see Share.
+	// Burst is the maximum number of saved retries. Burst and MinPerSecond apply to all
+	// entries that share a budget together, see ShareAmong.
 	Burst float64
 }
 
-// DefaultBudget lets one request in five be repeated.
+// DefaultBudget allows one retry per five requests.
 var DefaultBudget = BudgetConfig{Ratio: 0.2, MinPerSecond: 1, Burst: 50}
 
-// Budget bounds retries to a share of live traffic, so that an outage cannot
-// multiply the load. It is a token bucket: each request puts Ratio of a token
-// in, each retry takes one out. It is safe for concurrent use; the lock is held
-// while no other lock is taken.
+// Budget bounds retries to a fraction of the traffic, so that an outage cannot multiply
+// the load. It is a token bucket: each request adds Ratio tokens, each retry takes one.
+// It is safe for concurrent use; no other lock is taken while its lock is held.
 type Budget struct {
 	mu     sync.Mutex
 	config BudgetConfig
-	// sharers is the number of budgets that config is shared among.
-	sharers float64
-	tokens  float64
-	last    time.Duration
+	// sharers is the number of budgets that share config.
+	sharers    float64
+	tokens     float64
+	refilledAt time.Duration
 }
 
 // NewBudget returns a budget that holds Burst tokens.
 func NewBudget(cfg BudgetConfig) *Budget { return &Budget{config: cfg, sharers: 1, tokens: cfg.Burst} }
 
-// Share sets how many entries share what the configuration allows beside the ratio: a
-// bound for each entry would grow with their number, and the endpoints' does not.
+// ShareAmong sets the number of entries that share Burst and MinPerSecond. If each entry
+// had these bounds for itself, the allowed retries would grow with the number of entries,
+// but the capacity of the endpoints would not.
 func (b *Budget) ShareAmong(entries int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,24 +46,24 @@
 	b.tokens = min(b.tokens, b.burst())
 }
 
-// burst is the part of Burst that is for this budget, and never less than one retry; the
-// lock is held.
+// burst returns the part of Burst that belongs to this budget, at least one retry. The
+// lock must be held.
 func (b *Budget) burst() float64 { return max(b.config.Burst/b.sharers, 1) }
 
-// Deposit notes one request of live traffic.
+// Deposit adds the tokens of one request.
 func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.config.Ratio, b.burst())
 }
 
-// Withdraw takes one retry out of the budget; false means that there is none.
+// Withdraw takes one retry out of the budget; it returns false if none is left.
 func (b *Budget) Withdraw(now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if elapsed := now - b.last; elapsed > 0 {
+	if elapsed := now - b.refilledAt; elapsed > 0 {
 		b.tokens = min(b.tokens+elapsed.Seconds()*b.config.MinPerSecond/b.sharers, b.burst())
-		b.last = now
+		b.refilledAt = now
 	}
 	if b.tokens < 1 {
 		return false
@@ -83,7 +83,7 @@
 // maxDoublings keeps the shift in Delay from overflowing.
 const maxDoublings = 30
 
-// Delay returns the wait before retry n, counted from 0: between zero and Base
+// Delay returns a random delay before retry n, counted from 0: between zero and Base
 // doubled n times, at most Max.
 func (b Backoff) Delay(rng *rand.Rand, n int) time.Duration {
 	ceiling := min(b.Base<<min(n, maxDoublings), b.Max)
--- a/call/settle.go
+++ b/call/settle.go
@@ -8,47 +8,47 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// follow takes up the claim of another request that holds the key.
-func (m *AtMostOnce) follow(now time.Duration, c *controlv1.Claim) Action {
-	if string(c.GetDigest()) != string(m.claimant.Digest) {
-		return m.refuse(fault.New(fault.KeyReused, "the idempotency key belongs to a request with another method, path or body",
+// followHolder continues according to the claim of another request that holds the key.
+func (m *AtMostOnce) followHolder(now time.Duration, c *controlv1.Claim) Action {
+	if string(c.GetDigest()) != string(m.claimOptions.Digest) {
+		return m.finishNotRun(fault.New(fault.KeyReused, "the idempotency key belongs to a request with another method, path or body",
 			"use a new idempotency key for a new request"))
 	}
 	switch c.GetState() {
 	case controlv1.ClaimState_CLAIM_STATE_ANSWERED:
-		return m.replay(c.GetAnswer())
+		return m.replayAnswer(c.GetAnswer())
 	case controlv1.ClaimState_CLAIM_STATE_UNKNOWN:
-		return m.unknown(errLost())
+		return m.finishUnknown(errAnswerLost())
 	case controlv1.ClaimState_CLAIM_STATE_NOT_RUN:
 		if m.claims >= m.maxClaims() {
-			return m.refuse(errContended())
+			return m.finishNotRun(errKeyContended())
 		}
-		return m.reclaim(now)
+		return m.claimAgain(now)
 	}
 	return m.awaitHolder(now, c)
 }
 
-// awaitHolder polls until the holder has ended, and after RevokeAfter asks the
-// holder's agent.
+// awaitHolder polls until the holder has ended, and after RevokeAfter asks the agent of
+// the holder.
 func (m *AtMostOnce) awaitHolder(now time.Duration, c *controlv1.Claim) Action {
 	if now >= m.options.Deadline {
-		return m.unknown(errStillRunning())
+		return m.finishUnknown(errStillRunning())
 	}
 	if m.holder.GetClaimId() != c.GetClaimId() {
 		m.holder = c
 		m.awaitingRecord = false
-		m.since = now
+		m.pollingSince = now
 		m.polls = 0
 	}
-	if now-m.since < m.options.Policy.RevokeAfter {
-		return m.askClaim(m.pollDelay(now))
+	if now-m.pollingSince < m.options.Policy.RevokeAfter {
+		return m.requestClaim(m.pollDelay(now))
 	}
 	if c.GetAgentAddr() == "" {
-		// A claim without an agent only looks the key up; nothing can run it.
-		return m.settle(now, c.GetClaimId(), controlv1.ClaimState_CLAIM_STATE_NOT_RUN, nil, m.reclaim)
+		// A claim without an agent is only a lookup of the key; nothing can run it.
+		return m.settle(now, c.GetClaimId(), controlv1.ClaimState_CLAIM_STATE_NOT_RUN, nil, m.claimAgain)
 	}
-	m.begin(revokingHolder, now)
-	return m.askAgent(0, c.GetClaimId(), holderTarget(c))
+	m.enterPhase(revokingHolder, now)
+	return m.askRevoke(0, c.GetClaimId(), holderTarget(c))
 }
 
 func holderTarget(c *controlv1.Claim) Target {
@@ -60,18 +60,18 @@
 	}
 }
 
-// reclaim asks for the key anew. A call that was only looked up needs no
-// endpoint.
-func (m *AtMostOnce) reclaim(now time.Duration) Action {
+// claimAgain requests the key again. If the call is only being looked up, no endpoint is
+// needed.
+func (m *AtMostOnce) claimAgain(now time.Duration) Action {
 	m.holder = nil
 	if m.refusal != nil {
 		return m.claim(now)
 	}
-	return m.pickAnew(now)
+	return m.pickAgain(now)
 }
 
-// Revoked reports the answer of an agent that was asked about a claim; f is set
-// instead when there is none.
+// Revoked reports the response of an agent to a Revoke; f is set instead if there is
+// none.
 func (m *AtMostOnce) Revoked(now time.Duration, r *agentv1.RevokeResponse, f *fault.Error) Action {
 	if f != nil {
 		return m.revokeFailed(now)
@@ -81,61 +81,62 @@
 	}
 	switch r.GetState() {
 	case agentv1.RevokeState_REVOKE_STATE_NOT_RUN:
-		return m.notRun(now, m.last)
+		return m.retryNotRun(now, m.lastFault)
 	case agentv1.RevokeState_REVOKE_STATE_ANSWERED:
-		return m.adopt(now, m.claimID, r.GetAnswer())
+		return m.deliverKeptAnswer(now, m.claimID, r.GetAnswer())
 	case agentv1.RevokeState_REVOKE_STATE_RUNNING:
 		if now >= m.options.Deadline {
-			return m.unknown(errStillRunning())
+			return m.finishUnknown(errStillRunning())
 		}
-		m.since = now
-		return m.askAgent(m.pollDelay(now), m.claimID, m.target)
+		m.pollingSince = now
+		return m.askRevoke(m.pollDelay(now), m.claimID, m.target)
 	}
-	return m.lost(now, m.claimID)
+	return m.recordUnknown(now, m.claimID)
 }
 
-// holderRevoked goes on after the agent of the holder has answered.
+// holderRevoked continues after the agent of the holder has responded.
 func (m *AtMostOnce) holderRevoked(now time.Duration, r *agentv1.RevokeResponse) Action {
 	id := m.holder.GetClaimId()
 	switch r.GetState() {
 	case agentv1.RevokeState_REVOKE_STATE_NOT_RUN:
-		return m.settle(now, id, controlv1.ClaimState_CLAIM_STATE_NOT_RUN, nil, m.reclaim)
+		return m.settle(now, id, controlv1.ClaimState_CLAIM_STATE_NOT_RUN, nil, m.claimAgain)
 	case agentv1.RevokeState_REVOKE_STATE_ANSWERED:
 		if r.GetAnswer() == nil || r.GetAnswer().GetTruncated() {
 			return m.waitForRecord(now, id, r.GetAnswer())
 		}
-		return m.adopt(now, id, r.GetAnswer())
+		return m.deliverKeptAnswer(now, id, r.GetAnswer())
 	case agentv1.RevokeState_REVOKE_STATE_RUNNING:
-		m.begin(claiming, now)
-		return m.askClaim(m.pollDelay(now))
+		m.enterPhase(claiming, now)
+		return m.requestClaim(m.pollDelay(now))
 	}
-	return m.lost(now, id)
+	return m.recordUnknown(now, id)
 }
 
-// waitForRecord gives the holder time to record what its agent did not keep.
+// waitForRecord gives the holder time to record an answer that its agent has not kept.
 func (m *AtMostOnce) waitForRecord(now time.Duration, id string, a *controlv1.Answer) Action {
 	if m.awaitingRecord {
-		return m.adopt(now, id, a)
+		return m.deliverKeptAnswer(now, id, a)
 	}
 	m.awaitingRecord = true
-	m.begin(claiming, now)
-	return m.askClaim(m.pollDelay(now))
+	m.enterPhase(claiming, now)
+	return m.requestClaim(m.pollDelay(now))
 }
 
-// revokeFailed asks the agent again, or leaves the question to a later request.
+// revokeFailed asks the agent again, or ends the call as Unknown, so that a later request
+// under the key can ask.
 func (m *AtMostOnce) revokeFailed(now time.Duration) Action {
 	if !m.mayPoll(now, m.options.Policy.RevokeTimeout) {
-		return m.unknown(errNoAgent())
+		return m.finishUnknown(errAgentUnreachable())
 	}
 	if m.phase == revokingHolder {
-		return m.askAgent(m.pollDelay(now), m.holder.GetClaimId(), holderTarget(m.holder))
+		return m.askRevoke(m.pollDelay(now), m.holder.GetClaimId(), holderTarget(m.holder))
 	}
-	return m.askAgent(m.pollDelay(now), m.claimID, m.target)
+	return m.askRevoke(m.pollDelay(now), m.claimID, m.target)
 }
 
-// adopt delivers and records the answer that an agent kept.
-func (m *AtMostOnce) adopt(now time.Duration, id string, a *controlv1.Answer) Action {
-	delivery := m.replay(a)
+// deliverKeptAnswer delivers and records the answer that an agent has kept.
+func (m *AtMostOnce) deliverKeptAnswer(now time.Duration, id string, a *controlv1.Answer) Action {
+	delivery := m.replayAnswer(a)
 	if a == nil {
 		a = &controlv1.Answer{Truncated: true}
 	}
@@ -144,20 +145,21 @@
 	return action
 }
 
-// lost says and records that nobody can know whether the claim ran.
-func (m *AtMostOnce) lost(now time.Duration, id string) Action {
-	m.unknown(errLost())
+// recordUnknown ends the call as Unknown and records that it can no longer be determined
+// whether the claim ran.
+func (m *AtMostOnce) recordUnknown(now time.Duration, id string) Action {
+	m.finishUnknown(errAnswerLost())
 	return m.settle(now, id, controlv1.ClaimState_CLAIM_STATE_UNKNOWN, nil, nil)
 }
 
-// replay delivers a recorded answer.
-func (m *AtMostOnce) replay(a *controlv1.Answer) Action {
+// replayAnswer delivers a recorded answer.
+func (m *AtMostOnce) replayAnswer(a *controlv1.Answer) Action {
 	if a == nil || a.GetTruncated() {
-		return m.unknown(fault.Newf(fault.Unknown, "read the result back from the service; do not send the request under a new key",
-			"the call ran and was answered with status %d, but the answer was too large to be kept", a.GetStatus()))
+		return m.finishUnknown(fault.Newf(fault.Unknown, "query the service for the result; do not send the request under a new key",
+			"the call ran and was answered with status %d, but the response was too large to be kept", a.GetStatus()))
 	}
 	m.verdict = &Verdict{Outcome: Answered, Replayed: true}
-	m.started = true
+	m.headSent = true
 	action := Action{Kind: Finish, Verdict: m.verdict, Head: &agentv1.Head{Status: a.GetStatus(), Headers: a.GetHeaders()}}
 	if len(a.GetBody()) > 0 {
 		action.Data = [][]byte{a.GetBody()}
@@ -165,10 +167,11 @@
 	return action
 }
 
-// settle records how a claim ended. With a verdict the caller is told first;
-// next follows the record, Finish if nil.
+// settle records how a claim ended. If there is a verdict, the caller gets it before the
+// record is written. next returns the action after the record; if it is nil, the call
+// finishes.
 func (m *AtMostOnce) settle(now time.Duration, id string, state controlv1.ClaimState, a *controlv1.Answer, next func(time.Duration) Action) Action {
-	m.begin(settling, now)
+	m.enterPhase(settling, now)
 	m.settlement = settlement{claimID: id, state: state, answer: a, next: next}
 	return m.writeRecord(0)
 }
@@ -184,19 +187,19 @@
 	}
 }
 
-// settleNotRun says that the call has not run and frees the key.
+// settleNotRun ends the call as not run and releases the key.
 func (m *AtMostOnce) settleNotRun(now time.Duration, f *fault.Error) Action {
-	m.refuse(f)
+	m.finishNotRun(f)
 	return m.settle(now, m.claimID, controlv1.ClaimState_CLAIM_STATE_NOT_RUN, nil, nil)
 }
 
-// Settled reports that a record was written; f is set when it was not.
+// Settled reports that a record was written; f is set if it was not.
 func (m *AtMostOnce) Settled(now time.Duration, f *fault.Error) Action {
 	if f != nil && f.Kind == fault.NotFound {
-		// The claim was never granted, or has been forgotten.
+		// The claim was never granted, or has been evicted.
 		f = nil
 	}
-	retry := f != nil && isTransient(f.Kind) && now-m.since < m.options.Policy.SettleTimeout
+	retry := f != nil && isTransient(f.Kind) && now-m.pollingSince < m.options.Policy.SettleTimeout
 	if m.settlement.next == nil {
 		if retry {
 			return m.writeRecord(m.pollDelay(now))
@@ -210,55 +213,55 @@
 		return m.writeRecord(m.pollDelay(now))
 	}
 	if m.holder != nil {
-		return m.unknown(errStillRunning())
+		return m.finishUnknown(errStillRunning())
 	}
-	return m.refuse(fault.New(fault.NoQuorum, "the call was refused and not run, and its claim could not be given back",
-		"ask again with the same idempotency key").Because(f))
+	return m.finishNotRun(fault.New(fault.NoQuorum, "the call was refused and not run, and its claim could not be released",
+		"retry with the same idempotency key").Because(f))
 }
 
-// refuse ends the call as not run.
-func (m *AtMostOnce) refuse(f *fault.Error) Action {
+// finishNotRun ends the call as not run.
+func (m *AtMostOnce) finishNotRun(f *fault.Error) Action {
 	if f.RetryAfter == 0 && isTransient(f.Kind) {
 		f = f.After(m.options.Policy.RetryAfter)
 	}
-	if m.claimant.CallerKey && f.Kind != fault.KeyReused {
+	if m.claimOptions.CallerKey && f.Kind != fault.KeyReused {
 		f = WithKeepKeyAdvice(f)
 	}
 	m.verdict = Refuse(f)
 	return Action{Kind: Finish, Verdict: m.verdict}
 }
 
-// unknown ends the call as one that may have run.
-func (m *AtMostOnce) unknown(f *fault.Error) Action {
+// finishUnknown ends the call as one that may have run.
+func (m *AtMostOnce) finishUnknown(f *fault.Error) Action {
 	m.verdict = &Verdict{Outcome: Unknown, Fault: f}
 	return Action{Kind: Finish, Verdict: m.verdict}
 }
 
-func errLost() *fault.Error {
-	return fault.New(fault.Unknown, "the call may have run, and its answer is lost; it will not be run again",
-		"read the result back from the service before sending the request under a new key")
+func errAnswerLost() *fault.Error {
+	return fault.New(fault.Unknown, "the call may have run, and its response is lost; it will not be run again",
+		"query the service for the result before sending the request under a new key")
 }
 
 func errStillRunning() *fault.Error {
-	return fault.New(fault.Unknown, "the deadline passed while the call may be running",
-		"ask again with the same idempotency key to get its answer").After(DefaultRetryAfter)
+	return fault.New(fault.Unknown, "the deadline passed while the call may still be running",
+		"retry with the same idempotency key to get its response").After(DefaultRetryAfter)
 }
 
-func errNoAgent() *fault.Error {
-	return fault.New(fault.Unknown, "the call may have run, and the agent that knows cannot be reached",
-		"ask again with the same idempotency key to get its answer").After(DefaultRetryAfter)
+func errAgentUnreachable() *fault.Error {
+	return fault.New(fault.Unknown, "the call may have run, and the agent that can tell is unreachable",
+		"retry with the same idempotency key to get its response").After(DefaultRetryAfter)
 }
 
-func errContended() *fault.Error {
-	return fault.New(fault.Conflict, "several requests with this idempotency key displaced each other",
-		"send one request at a time under a key, and this one again").After(DefaultRetryAfter)
+func errKeyContended() *fault.Error {
+	return fault.New(fault.Conflict, "several concurrent requests with this idempotency key displaced each other",
+		"send one request at a time under a key, and retry this one").After(DefaultRetryAfter)
 }
 
-// KeepKey returns a copy of a refusal whose remedy adds that it speaks of this
-// request only. Even a key that was found free may be taken by another request
-// while the answer that it was free is on its way.
+// WithKeepKeyAdvice returns a copy of a refusal whose remedy advises keeping the
+// idempotency key, since the refusal applies to this request only. Even a key that was
+// found free may be claimed by another request while that response is in transit.
 func WithKeepKeyAdvice(f *fault.Error) *fault.Error {
 	copied := *f
-	copied.Remedy += "; keep the idempotency key: an earlier request with it keeps its own outcome"
+	copied.Remedy += "; keep the idempotency key, because an earlier request with it may have another outcome"
 	return &copied
 }
