--- a/endpoint/pick/zone.go
+++ b/endpoint/pick/zone.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Zone weighs the way from the entry to the endpoint.
+// Zone scores the network delay between the entry and the endpoint.
 type Zone struct {
-	// OtherZone is the added round trip to another availability zone.
-	OtherZone time.Duration
+	// CrossZoneRTT is the additional round-trip time to another availability zone.
+	CrossZoneRTT time.Duration
 }
 
 // Phase implements Scorer.
@@ -17,5 +17,5 @@
 	if q.Zone == "" || q.Zone == c.Endpoint.Zone {
 		return delay
 	}
-	return s.OtherZone + delay
+	return s.CrossZoneRTT + delay
 }
--- a/entry/admission.go
+++ b/entry/admission.go
@@ -49,7 +49,7 @@
 
 // Admit implements Admitter.
 func (a *AdmissionController) Admit(ctx context.Context, r AdmissionRequest) (func(), error) {
-	return a.AdmitTo(ctx, r.Pool, workspace.Request{Workspace: r.Workspace, Priority: r.Priority, Cost: r.Tokens})
+	return a.AdmitTo(ctx, r.Pool, workspace.Request{Workspace: r.Workspace, Priority: r.Priority, ExpectedTokens: r.Tokens})
 }
 
 // latePollInterval is the interval at which a late request checks for a free slot.
@@ -93,7 +93,9 @@
 }
 
 // MeanHoldTime implements HoldTimes.
-func (a *AdmissionController) MeanHoldTime(pool string) time.Duration { return a.gate(pool).Hold() }
+func (a *AdmissionController) MeanHoldTime(pool string) time.Duration {
+	return a.gate(pool).MeanHoldTime()
+}
 
 // acquireLateSlot takes a slot of a lock-step group that is behind its step rate, if one is free.
 // It returns the function that releases the slot.
@@ -130,7 +132,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return func() { release(workspace.Result{}) }, nil
+	return func() { release(workspace.Usage{}) }, nil
 }
 
 // gate returns the gate of a pool, which is created on first use. A new gate is configured with
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -78,7 +78,7 @@
 // refreshTarget returns the current agent of an endpoint whose stream is resumed.
 func (x *exchange) refreshTarget(old call.Target) call.Target {
 	if renewed, ok := x.server.Targets.Renew(old); ok {
-		return x.repeatable.Redirect(renewed)
+		return x.repeatable.UpdateTarget(renewed)
 	}
 	return old
 }
@@ -148,7 +148,7 @@
 	}
 	notRun := f.Kind != fault.Unknown && f.Kind != fault.Internal && x.attempt.chunks == 0
 	x.attempt.failed = !callerLeft && x.now() < x.request.deadline
-	return x.machine.Cut(x.now(), f, notRun)
+	return x.machine.Interrupted(x.now(), f, notRun)
 }
 
 // observeResponse updates the statistics of the attempt and the state of its endpoint from a
--- a/entry/config.go
+++ b/entry/config.go
@@ -132,7 +132,7 @@
 	s.Int(&cfg.MaxAttempts, "max-attempts", policy.MaxAttempts, "maximum number of attempts of one request", setting.Min(1), setting.Max(10))
 	s.Float(&cfg.RetryRatio, "retry-ratio", budget.Ratio, "retries allowed as a share of live traffic", setting.Min(0.0), setting.Max(1.0))
 	s.Float(&cfg.RetryBurst, "retry-burst", budget.Burst, "largest burst of retries", setting.Min(1.0))
-	s.Bytes(&cfg.HoldBytes, "hold-body", int64(policy.HoldBytes), "size up to which an answer is buffered until it is complete", setting.Min(int64(policy.RecordBytes)))
+	s.Bytes(&cfg.HoldBytes, "hold-body", int64(policy.MaxBufferedBytes), "size up to which an answer is buffered until it is complete", setting.Min(int64(policy.MaxRecordedBodyBytes)))
 	s.Duration(&cfg.FirstByteTimeout, "first-byte-timeout", policy.FirstByteTimeout, "longest wait for the head of a streamed answer", setting.Min(minDeadline))
 	s.Duration(&cfg.IdleTimeout, "idle-timeout", policy.IdleTimeout, "longest gap in a streamed answer", setting.Min(minDeadline))
 }
@@ -162,7 +162,7 @@
 func (cfg *Config) policy() *call.Policy {
 	policy := call.DefaultPolicy
 	policy.MaxAttempts = cfg.MaxAttempts
-	policy.HoldBytes = int(cfg.HoldBytes)
+	policy.MaxBufferedBytes = int(cfg.HoldBytes)
 	policy.FirstByteTimeout = cfg.FirstByteTimeout
 	policy.IdleTimeout = cfg.IdleTimeout
 	return &policy
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -24,7 +24,7 @@
 	Picked(now time.Duration, t call.Target) call.Action
 	PickFailed(now time.Duration, f *fault.Error) call.Action
 	Response(now time.Duration, r *agentv1.DispatchResponse) call.Action
-	Cut(now time.Duration, f *fault.Error, notRun bool) call.Action
+	Interrupted(now time.Duration, f *fault.Error, notRun bool) call.Action
 	Counts() call.Counts
 }
 
@@ -34,7 +34,7 @@
 	request    *request
 	machine    machine
 	repeatable *call.Repeatable
-	single     *call.Single
+	single     *call.AtMostOnce
 	delivery   *delivery
 	// callerCtx ends when the caller disconnects or the deadline passes. workCtx is the same for a
 	// repeatable call. For a claimed call it never ends by itself, so that the outcome of the call
@@ -89,7 +89,7 @@
 		f = f.After(call.DefaultRetryAfter)
 	}
 	if q.keyFromCaller && !q.repeatable {
-		f = call.KeepKey(f)
+		f = call.WithKeepKeyAdvice(f)
 	}
 	return call.Refuse(f)
 }
@@ -112,9 +112,9 @@
 	}
 	x.workCtx = context.WithoutCancel(x.callerCtx)
 	x.delivery.w.Header().Set(call.HeaderIdempotencyKey, q.idempotencyKey)
-	x.single = call.NewSingle(call.SingleOptions{
+	x.single = call.NewAtMostOnce(call.AtMostOnceOptions{
 		Options: options, Workspace: q.workspace.GetName(), Key: q.idempotencyKey,
-		Digest: call.Digest(q.method, q.requestURI, q.body), CallerKey: q.keyFromCaller, Unique: q.localID,
+		Digest: call.Digest(q.method, q.requestURI, q.body), CallerKey: q.keyFromCaller, ClaimIDPrefix: q.localID,
 	})
 	x.machine = x.single
 }
--- a/entry/late.go
+++ b/entry/late.go
@@ -26,7 +26,7 @@
 }
 
 // occupancyOf returns the current occupancy of a gate.
-func occupancyOf(gate *workspace.Gate) occupancy { return occupancy{gate.Load(), gate.Hold()} }
+func occupancyOf(gate *workspace.Gate) occupancy { return occupancy{gate.Load(), gate.MeanHoldTime()} }
 
 // lateQueues tracks, for each pool, the late requests that wait for a slot, the rate at which
 // they are admitted, and the slots that are reserved for them. A request is late if it can no
--- a/entry/permits.go
+++ b/entry/permits.go
@@ -65,7 +65,7 @@
 	}
 	limit := ratelimit.Limit{Rate: rate, Since: f.Sent, At: time.Since(processStart)}
 	if p.recordLimit(e.ID, limit) {
-		go p.publishLimit(ratelimit.Named{Endpoint: e.Run(), Limit: limit})
+		go p.publishLimit(ratelimit.Named{Endpoint: e.RunID(), Limit: limit})
 	}
 }
 
@@ -101,7 +101,7 @@
 // requestPermit requests the permit to send one request. If a host does not answer, the next one
 // is tried.
 func (p *PermitClient) requestPermit(ctx context.Context, e *endpoint.Endpoint, limit ratelimit.Limit) (granted bool, wait time.Duration) {
-	named := ratelimit.Named{Endpoint: e.Run(), Limit: limit}
+	named := ratelimit.Named{Endpoint: e.RunID(), Limit: limit}
 	hosts := p.permitHosts(named.Endpoint)
 	if len(hosts) == 0 {
 		return p.askLocally(named)
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -45,7 +45,7 @@
 
 func newPicker(cfg Config, table *endpoint.Table, loads *load.Tracker, index *prefix.Index, outliers *outlier.Detector) *pick.Picker {
 	if cfg.Routed {
-		return pick.New(pick.ForDirect(), table, loads, index, outliers)
+		return pick.New(pick.DirectConfig(), table, loads, index, outliers)
 	}
 	return pick.New(pick.Config{}, table, loads, index, outliers)
 }
@@ -65,7 +65,7 @@
 	settings := routed.Config{
 		Name: cfg.Name, Zone: cfg.Zone, Headers: headers, RetryStyle: cfg.RetryStyle,
 		MaxHeaderBytes: cfg.MaxHeaderBytes, MaxBodyBytes: cfg.MaxBodyBytes,
-		BodyTimeout: cfg.BodyTimeout, WriteTimeout: cfg.WriteTimeout, HoldBytes: policy.HoldBytes,
+		BodyTimeout: cfg.BodyTimeout, WriteTimeout: cfg.WriteTimeout, HoldBytes: policy.MaxBufferedBytes,
 		Backoff: policy.Backoff, RetryAfter: cfg.RetryAfter, AccessLog: cfg.AccessLog,
 	}
 	parts := routed.Parts{
@@ -79,7 +79,7 @@
 // derived from the entry's name.
 func newSuspects(cfg Config) *suspicion.Tracker {
 	suspects := suspicion.NewTracker(xxhash.Sum64String(cfg.Name))
-	metrics.GetOrCreateGauge(`lilackeel_entry_suspected_endpoints`, func() float64 { return float64(suspects.Len()) })
+	metrics.GetOrCreateGauge(`lilackeel_entry_suspected_endpoints`, func() float64 { return float64(suspects.ConfirmedCount()) })
 	return suspects
 }
 
--- a/entry/ratelimits.go
+++ b/entry/ratelimits.go
@@ -89,8 +89,8 @@
 		l.recordLimit(n.Endpoint, n.Limit)
 		return
 	}
-	id := endpoint.OfRun(n.Endpoint)
-	if e, known := view.Get(id); known && e.Run() == n.Endpoint {
+	id := endpoint.IDFromRunID(n.Endpoint)
+	if e, known := view.Get(id); known && e.RunID() == n.Endpoint {
 		l.recordLimit(id, n.Limit)
 	}
 }
@@ -240,7 +240,7 @@
 	for _, id := range l.table.All() {
 		limit, limited := l.table.Limit(id)
 		if e, ok := view.Get(id); ok && limited && e.Addr != "" {
-			limits = append(limits, ratelimit.ToProto(now, ratelimit.Named{Endpoint: e.Run(), Limit: limit}))
+			limits = append(limits, ratelimit.ToProto(now, ratelimit.Named{Endpoint: e.RunID(), Limit: limit}))
 		}
 	}
 	return limits
--- a/entry/report_handler.go
+++ b/entry/report_handler.go
@@ -26,7 +26,7 @@
 	p.mergeCrashReports(now, r.GetCrashReports())
 	p.limits.mergeLimits(now, r.GetRateLimits())
 	for _, run := range p.suspects.Merge(now, suspicion.FromProto(now, r.GetSuspicions())) {
-		p.logger.Info("an endpoint is suspected by several entries", slog.String("endpoint", endpoint.OfRun(run)))
+		p.logger.Info("an endpoint is suspected by several entries", slog.String("endpoint", endpoint.IDFromRunID(run)))
 	}
 	view := p.table.Snapshot()
 	for _, l := range r.GetLoads() {
@@ -58,7 +58,7 @@
 	if e, known := view.Get(name); known {
 		return e, true
 	}
-	return view.At(name)
+	return view.ByAddr(name)
 }
 
 // handleLoad updates the load tracker and the outlier detector. The detector also gets endpoints
@@ -67,7 +67,7 @@
 func (p *ReportSubscriber) handleLoad(now time.Duration, e *endpoint.Endpoint, l *agentv1.LoadReport) {
 	report := loadReport(e, l)
 	p.loads.Report(now, e.ID, report)
-	p.outliers.Observe(now, peerGroupOf(e), e.ID, outlier.Sample{Latency: report.OwnStep, Report: true})
+	p.outliers.Observe(now, peerGroupOf(e), e.ID, outlier.Sample{Latency: report.OwnStep, FromReport: true})
 	if p.isRemoved(e.ID) {
 		p.outliers.Forget(e.ID)
 	}
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -158,7 +158,7 @@
 	engines := p.engines[addr]
 	p.mu.Unlock()
 	for _, engine := range engines {
-		p.groups.Silent(engine)
+		p.groups.ClearReport(engine)
 	}
 }
 
--- a/entry/server.go
+++ b/entry/server.go
@@ -133,7 +133,7 @@
 	for name, values := range e.Header {
 		w.ResponseWriter.Header()[name] = values
 	}
-	s.refuse(w.ResponseWriter, r.Request, call.RefuseWith(e.Code, fault.Newf(fault.Invalid,
+	s.refuse(w.ResponseWriter, r.Request, call.RefuseWithStatus(e.Code, fault.Newf(fault.Invalid,
 		"use a method and content type that the completions API supports", "%s %s is not allowed: %s", r.Request.Method, r.Request.URL.Path, e.Message)))
 }
 
--- a/entry/services.go
+++ b/entry/services.go
@@ -36,7 +36,7 @@
 			"no service or API serves the path %s", r.URL.Path))
 	}
 	if !serviceMethods[r.Method] || r.Header.Get("Upgrade") != "" {
-		return call.RefuseWith(http.StatusMethodNotAllowed, fault.Newf(fault.Invalid, "use GET, HEAD, POST, PUT, PATCH, DELETE or OPTIONS, without Upgrade",
+		return call.RefuseWithStatus(http.StatusMethodNotAllowed, fault.Newf(fault.Invalid, "use GET, HEAD, POST, PUT, PATCH, DELETE or OPTIONS, without Upgrade",
 			"the method %s, or the upgrade that it requests, is not forwarded to services", r.Method))
 	}
 	route := matchRoute(service, r.Method, r.URL.Path)
