--- a/entry/providers.go
+++ b/entry/providers.go
@@ -45,17 +45,17 @@
 
 func newPicker(cfg Config, table *endpoint.Table, loads *load.Tracker, index *prefix.Index, outliers *outlier.Detector) *pick.Picker {
 	if cfg.Routed {
-		return pick.New(pick.ForDirect(), table, loads, index, outliers)
+		return pick.New(pick.DirectConfig(), table, loads, index, outliers)
 	}
 	return pick.New(pick.Config{}, table, loads, index, outliers)
 }
 
 func newDirectClient() *direct.Client { return direct.NewClient(direct.Config{}) }
 
-// newRouted returns the server of the published site's routes.
+// newRouted returns the server that answers requests by the routes of the published site.
 func newRouted(
 	cfg Config, table *endpoint.Table, loads *load.Tracker, outliers *outlier.Detector, picker *pick.Picker,
-	admissions *Admissions, reached *reach.Tracker, groups *lockstep.Tracker, client *direct.Client, crashes *quarantine.Tracker, permits *Permits, suspects *suspicion.Tracker, logger *slog.Logger,
+	admissions *AdmissionController, reached *reach.Tracker, groups *lockstep.Tracker, client *direct.Client, crashes *quarantine.Tracker, permits *PermitClient, suspects *suspicion.Tracker, logger *slog.Logger,
 ) *routed.Server {
 	policy := cfg.policy()
 	headers := cfg.Headers
@@ -65,7 +65,7 @@
 	settings := routed.Config{
 		Name: cfg.Name, Zone: cfg.Zone, Headers: headers, RetryStyle: cfg.RetryStyle,
 		MaxHeaderBytes: cfg.MaxHeaderBytes, MaxBodyBytes: cfg.MaxBodyBytes,
-		BodyTimeout: cfg.BodyTimeout, WriteTimeout: cfg.WriteTimeout, HoldBytes: policy.HoldBytes,
+		BodyTimeout: cfg.BodyTimeout, WriteTimeout: cfg.WriteTimeout, HoldBytes: policy.MaxBufferedBytes,
 		Backoff: policy.Backoff, RetryAfter: cfg.RetryAfter, AccessLog: cfg.AccessLog,
 	}
 	parts := routed.Parts{
@@ -75,10 +75,11 @@
 	return routed.NewServer(settings, parts, func() time.Duration { return time.Since(processStart) })
 }
 
-// newSuspects returns what this entry knows of endpoints that do not answer.
+// newSuspects returns the tracker of endpoints that are suspected of not answering. The seed is
+// derived from the entry's name.
 func newSuspects(cfg Config) *suspicion.Tracker {
 	suspects := suspicion.NewTracker(xxhash.Sum64String(cfg.Name))
-	metrics.GetOrCreateGauge(`lilackeel_entry_suspected_endpoints`, func() float64 { return float64(suspects.Len()) })
+	metrics.GetOrCreateGauge(`lilackeel_entry_suspected_endpoints`, func() float64 { return float64(suspects.ConfirmedCount()) })
 	return suspects
 }
 
--- a/routed/deliver.go
+++ b/routed/deliver.go
@@ -29,9 +29,9 @@
 	s, q := a.server, a.request
 	names := s.config.Headers
 	if r.Status != http.StatusMisdirectedRequest {
-		s.Reach.Worked(a.target.ID)
-		s.Reach.Heard(s.clock(), a.target.ID)
-		s.Suspects.Answered(s.clock(), a.started, a.target.Run())
+		s.Reach.Succeeded(a.target.ID)
+		s.Reach.Received(s.clock(), a.target.ID)
+		s.Suspects.Succeeded(s.clock(), a.started, a.target.RunID())
 		s.RateLimits.Answered(&a.target, a.feedback(r))
 	}
 	if r.Status == http.StatusMisdirectedRequest || names.NotRun != "" && r.Header.Get(names.NotRun) != "" {
@@ -39,12 +39,12 @@
 	}
 	if isPromise(r.Status) {
 		a.done(true)
-		return failed(call.Ran, fault.Newf(fault.Unknown, "ask again", "the endpoint answered %d without proof that it ran nothing", r.Status))
+		return failed(call.MayHaveRun, fault.Newf(fault.Unknown, "ask again", "the endpoint answered %d without proof that it ran nothing", r.Status))
 	}
 	success := r.Status >= http.StatusOK && r.Status < http.StatusMultipleChoices
 	if success && names.Signature != "" && r.Header.Get(names.Signature) == "" {
 		a.done(true)
-		return failed(call.Ran, fault.New(fault.Unknown, "the endpoint's answer lacks its signature", "ask again"))
+		return failed(call.MayHaveRun, fault.New(fault.Unknown, "the endpoint's answer lacks its signature", "ask again"))
 	}
 	if !success {
 		return a.failure(r)
@@ -54,7 +54,7 @@
 	}
 	if a.opened {
 		a.done(true)
-		return failed(call.Ran, fault.New(fault.Unknown, "the endpoint resumed a stream with something else", "ask again"))
+		return failed(call.MayHaveRun, fault.New(fault.Unknown, "the endpoint resumed a stream with something else", "ask again"))
 	}
 	return a.whole(r)
 }
@@ -75,9 +75,9 @@
 	f := fault.Newf(fault.Unknown, "ask again", "the endpoint answered with status %d", r.Status)
 	if a.opened {
 		a.done(true)
-		return failed(call.Ran, f)
+		return failed(call.MayHaveRun, f)
 	}
-	step, replaced := a.machine.ReplaceAnswer(a.server.clock(), r.Status)
+	step, replaced := a.machine.RetryOnStatus(a.server.clock(), r.Status)
 	if !replaced {
 		return a.whole(r)
 	}
@@ -93,7 +93,7 @@
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxRefusalBytes))
 	a.done(false)
 	if r.Status == http.StatusMisdirectedRequest {
-		s.Reach.Gone(a.target.ID)
+		s.Reach.Replaced(a.target.ID)
 	}
 	f := fault.Newf(fault.Overloaded, "ask again after the time given", "the endpoint ran nothing and answered %d", r.Status)
 	if refusal := a.poolRefusal(); refusal != nil {
@@ -127,7 +127,7 @@
 	if err != nil {
 		a.done(a.caller.Err() == nil)
 		a.noteEnded()
-		return failed(call.Ran, errCut(err))
+		return failed(call.MayHaveRun, errCut(err))
 	}
 	a.parts = 1
 	if len(held) > s.config.HoldBytes {
@@ -244,7 +244,7 @@
 		a.server.throttle.observe(poolGroup{a.target.Pool, a.group}, now, pause)
 	}
 	a.begun.Store(true)
-	a.server.Reach.Heard(now, a.target.ID)
+	a.server.Reach.Received(now, a.target.ID)
 	a.hear(now, pause)
 	if a.first == 0 {
 		a.first = now - a.request.arrived
@@ -267,7 +267,7 @@
 		pause = 0
 	}
 	longest := time.Duration(a.request.route.GetGapMs()) * time.Millisecond
-	a.server.Groups.Part(now, a.group, pause, longest)
+	a.server.Groups.Chunk(now, a.group, pause, longest)
 }
 
 // broken ends an attempt whose stream broke off. What cannot be gone on with is
