--- a/routed/throttle.go
+++ b/routed/throttle.go
@@ -124,7 +124,7 @@
 // Throttle sets the places of all pools anew, entries being the number of entries
 // that share them. It has to be called every ThrottleInterval.
 func (s *Server) Throttle(places Places, entries int) {
-	s.Budget.Share(entries)
+	s.Budget.ShareAmong(entries)
 	s.Suspects.SetEntries(entries)
 	s.setPlaces(s.table.Load(), places, entries)
 }
@@ -301,7 +301,7 @@
 		name := poolGroup{e.Pool, groupOf(s.Groups, e)}
 		load := loads[name]
 		load.own += s.Loads.InFlight(e.ID)
-		load.note(max(e.Slots, 1), s.Loads.Estimate(now, e.ID).Running, paused, reserve.Opens)
+		load.note(max(e.Slots, 1), s.Loads.Estimate(now, e.ID).Running, paused, reserve.BlockedUntil)
 		loads[name] = load
 	}
 	return loads
