--- a/control/expertmap/rescue.go
+++ b/control/expertmap/rescue.go
@@ -102,7 +102,7 @@
 		d.cfg.Logger.Info("the engine of a silent host is silent too", "group", name, "rank", rank, "error", err)
 		return
 	}
-	if status.Name() != name || status.Rank != rank {
+	if status.FormationName() != name || status.Rank != rank {
 		return // it has left the formation, of which nothing is known any more
 	}
 	stored, fence, err := d.cfg.Rescue.Read(ctx, name)
@@ -122,7 +122,7 @@
 	if !ok {
 		return
 	}
-	err = engine.Give(ctx, order) // a conflict if it was done since the status was read
+	err = engine.SendOrder(ctx, order) // a conflict if it was done since the status was read
 	d.cfg.Logger.Warn("acted for the silent host of a rank", slog.String("group", name), slog.Int("rank", rank),
 		slog.String("order", order.Kind.String()), slog.Uint64("version", order.Version), slog.Uint64("step", order.Step), slog.Any("error", err))
 }
--- a/control/expertmap/rescue_test.go
+++ b/control/expertmap/rescue_test.go
@@ -53,7 +53,7 @@
 
 func (e *heldEngine) Counts(context.Context) (rankhost.Counts, error) { return rankhost.Counts{}, nil }
 
-func (e *heldEngine) Give(_ context.Context, o rankhost.Order) error {
+func (e *heldEngine) SendOrder(_ context.Context, o rankhost.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders = append(e.orders, o)
--- a/control/formations.go
+++ b/control/formations.go
@@ -74,7 +74,7 @@
 	for _, pool := range configuration.GetSite().GetPools() {
 		engines[pool.GetName()] = pool.GetEngine()
 	}
-	pauses := site.Pauses(configuration.GetSite().GetRoutes())
+	pauses := site.MaxGaps(configuration.GetSite().GetRoutes())
 	f.shapes, f.engines, f.pauses = map[string]group.Shape{}, map[string]*fleetv1.EngineModel{}, map[string]time.Duration{}
 	for _, e := range configuration.GetEndpoints() {
 		engine := engines[e.GetPool()]
--- a/rankhost/announce.go
+++ b/rankhost/announce.go
@@ -81,7 +81,7 @@
 		Zone: a.settings.Zone,
 	}
 	if s.Open && s.Group != "" {
-		record.Group = s.Name()
+		record.Group = s.FormationName()
 		record.Rank = int32(s.Rank)
 		record.GroupSize = int32(s.Size)
 	}
@@ -90,4 +90,6 @@
 
 // EndpointOf returns the address of the engine of a rank by the id of the rank's
 // record; ok is false for the record of anything else.
-func EndpointOf(id string) (address string, ok bool) { return strings.CutPrefix(id, rankPrefix) }
+func EngineAddrFromRecordID(id string) (address string, ok bool) {
+	return strings.CutPrefix(id, rankPrefix)
+}
--- a/rankhost/answers.go
+++ b/rankhost/answers.go
@@ -71,7 +71,7 @@
 	if change.GetGroup() != h.holder.Group() {
 		return
 	}
-	if err := h.holder.Changed(change); err != nil {
+	if err := h.holder.ApplyChange(change); err != nil {
 		h.cfg.Logger.Info("cannot make out the change of an expert map", slog.Uint64("epoch", change.GetEpoch()), slog.Any("error", err))
 	}
 }
@@ -110,7 +110,7 @@
 			h.readRecord(ctx, m)
 		}
 	}
-	if epoch, digest, ok := h.holder.Needs(); ok {
+	if epoch, digest, ok := h.holder.MissingMap(); ok {
 		h.fetchMap(ctx, epoch, digest)
 	}
 }
@@ -124,7 +124,7 @@
 	h.reading = true
 	holder := h.holder
 	go func() {
-		stored, fence, err := h.cfg.Control.ReadMap(ctx, m.Group)
+		stored, fence, err := h.cfg.MapReader.ReadMap(ctx, m.Group)
 		record, malformed := mapwire.RecordOf(stored, fence)
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -148,7 +148,7 @@
 	h.fetching = true
 	holder := h.holder
 	go func() {
-		stored, _, err := h.cfg.Control.ReadMap(ctx, holder.Group())
+		stored, _, err := h.cfg.MapReader.ReadMap(ctx, holder.Group())
 		found, ok := mapwire.FindMap(stored, epoch, digest)
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -157,7 +157,7 @@
 			h.cfg.Logger.Info("cannot read an expert map yet", slog.Uint64("epoch", epoch), slog.Any("error", err))
 			return
 		}
-		holder.Fetched(epoch, found)
+		holder.AddMap(epoch, found)
 		h.wakeUp()
 	}()
 }
--- a/rankhost/change_test.go
+++ b/rankhost/change_test.go
@@ -11,8 +11,8 @@
 )
 
 // changeWorld is a holder whose record has a base map in force and the next one pending.
-func changeWorld(shape group.Shape, epoch uint64, base, next group.Map) *Holder {
-	h := NewHolder(Status{Group: "g", Formation: 1, Rank: 1, Size: shape.Ranks, Open: true, Map: versionOf(epoch)}, 1, true)
+func changeWorld(shape group.Shape, epoch uint64, base, next group.Map) *Controller {
+	h := NewController(Status{Group: "g", Formation: 1, Rank: 1, Size: shape.Ranks, Open: true, Map: versionOf(epoch)}, 1, true)
 	record := mapswitch.Record{
 		Revision: 4 * (epoch + 1), Token: 1, Epoch: epoch, Digest: base.Digest(), PendingEpoch: epoch + 1, PendingDigest: next.Digest(), LastEpoch: epoch + 1,
 	}
@@ -35,18 +35,18 @@
 	third.Slots[2] = 1
 
 	h := changeWorld(shape, firstEpoch, first, second)
-	is.NoErr(h.Changed(mapwire.ChangeOf("g/1", shape, firstEpoch, first, firstEpoch+1, second)))
-	_, _, needed := h.Needs()
+	is.NoErr(h.ApplyChange(mapwire.ChangeOf("g/1", shape, firstEpoch, first, firstEpoch+1, second)))
+	_, _, needed := h.MissingMap()
 	is.True(!needed)
-	order, ok := h.Next()
+	order, ok := h.NextOrder()
 	is.True(ok)
 	is.Equal(order.Kind, Prepare)
 	is.Equal(order.Map.Digest(), second.Digest())
 
 	later := changeWorld(shape, firstEpoch+1, second, third)
 	later.maps = h.maps
-	is.NoErr(later.Changed(mapwire.ChangeOf("g/1", shape, firstEpoch+1, second, firstEpoch+2, third)))
-	_, _, needed = later.Needs()
+	is.NoErr(later.ApplyChange(mapwire.ChangeOf("g/1", shape, firstEpoch+1, second, firstEpoch+2, third)))
+	_, _, needed = later.MissingMap()
 	is.True(!needed)
 	is.Equal(len(later.maps), 2) // the one in force is kept for the next change
 }
@@ -64,16 +64,16 @@
 	other.Slots[1] = 2
 
 	h := changeWorld(shape, firstEpoch+1, base, next)
-	is.NoErr(h.Changed(mapwire.ChangeOf("g/1", shape, firstEpoch+1, base, firstEpoch+2, next)))
-	_, _, needed := h.Needs()
+	is.NoErr(h.ApplyChange(mapwire.ChangeOf("g/1", shape, firstEpoch+1, base, firstEpoch+2, next)))
+	_, _, needed := h.MissingMap()
 	is.True(needed) // the base is not known
 	h.maps[firstEpoch+1] = base
-	is.NoErr(h.Changed(mapwire.ChangeOf("g/1", shape, firstEpoch+1, base, firstEpoch+2, other)))
-	_, _, needed = h.Needs()
+	is.NoErr(h.ApplyChange(mapwire.ChangeOf("g/1", shape, firstEpoch+1, base, firstEpoch+2, other)))
+	_, _, needed = h.MissingMap()
 	is.True(needed) // the record names another map
-	_, prepares := h.Next()
+	_, prepares := h.NextOrder()
 	is.True(!prepares)
-	is.NoErr(h.Changed(mapwire.ChangeOf("g/1", shape, firstEpoch+1, base, firstEpoch+2, next)))
-	_, _, needed = h.Needs()
+	is.NoErr(h.ApplyChange(mapwire.ChangeOf("g/1", shape, firstEpoch+1, base, firstEpoch+2, next)))
+	_, _, needed = h.MissingMap()
 	is.True(!needed)
 }
--- a/rankhost/counting.go
+++ b/rankhost/counting.go
@@ -41,5 +41,5 @@
 // experts returns the counts as a tally takes them, with all layers as one: the
 // engine does not say how many experts a layer has.
 func (c Counts) experts(group string) engineapi.Experts {
-	return engineapi.Experts{Run: group, Steps: c.Step, Tokens: [][]uint64{c.Chosen}}
+	return engineapi.Experts{Run: group, Steps: c.Step, Tokens: [][]uint64{c.Selections}}
 }
--- a/rankhost/daemon.go
+++ b/rankhost/daemon.go
@@ -62,7 +62,7 @@
 	pool := link.NewPool(dial...)
 	finder := replicas.New(pool, settings.Control)
 	host := NewHost(Config{
-		Engine: engine, Control: recordReader{finder}, Logger: logger,
+		Engine: engine, MapReader: recordReader{finder}, Logger: logger,
 		PollInterval: settings.PollInterval, CountInterval: settings.CountInterval,
 	})
 	server := grpc.NewServer(options...)
--- a/rankhost/engine.go
+++ b/rankhost/engine.go
@@ -32,7 +32,7 @@
 
 // Name returns the name of the formation, under which its expert maps are
 // decided.
-func (s Status) Name() string { return groupName(s.Group, s.Formation) }
+func (s Status) FormationName() string { return groupName(s.Group, s.Formation) }
 
 // Counts is what the requests of a rank have asked of each expert.
 type Counts struct {
@@ -41,7 +41,7 @@
 	// Started is that of the Status.
 	Started uint64
 	// Chosen counts by layer and expert, since the engine's start.
-	Chosen []uint64
+	Selections []uint64
 }
 
 // OrderKind says what an Order asks for.
@@ -88,5 +88,5 @@
 	Counts(ctx context.Context) (Counts, error)
 	// Give gives an order. Whatever it returns, only the status tells what came
 	// of it.
-	Give(ctx context.Context, o Order) error
+	SendOrder(ctx context.Context, o Order) error
 }
--- a/rankhost/holder.go
+++ b/rankhost/holder.go
@@ -22,7 +22,7 @@
 
 // Holder decides what the engine of one rank, in one formation of its group, is
 // to be ordered. It has no goroutine, socket or clock.
-type Holder struct {
+type Controller struct {
 	group     string
 	formation uint64
 	number    int
@@ -47,23 +47,23 @@
 // incarnation must differ from those of all others that served the rank. first says that
 // no other process can have served the rank in this formation: the caller has served
 // it since before the formation opened.
-func NewHolder(s Status, incarnation uint64, first bool) *Holder {
-	name := s.Name()
+func NewController(s Status, incarnation uint64, first bool) *Controller {
+	name := s.FormationName()
 	reserved := reservedBefore(s.Step)
 	if first {
 		reserved = reservation{}
 	}
-	return &Holder{
+	return &Controller{
 		group: name, formation: s.Formation, number: s.Rank, reserved: reserved,
 		rank: mapswitch.NewRank(s.Rank, name, incarnation), status: s, maps: map[uint64]group.Map{},
 	}
 }
 
 // Group returns the name of the formation.
-func (h *Holder) Group() string { return h.group }
+func (h *Controller) Group() string { return h.group }
 
 // Observe takes in the engine's status and returns the messages that follow.
-func (h *Holder) Observe(now time.Duration, s Status) []mapswitch.Message {
+func (h *Controller) Observe(now time.Duration, s Status) []mapswitch.Message {
 	h.status = s
 	h.rank.Observe(s.Step)
 	var out []mapswitch.Message
@@ -85,7 +85,7 @@
 }
 
 // Step takes in a message. A promise is put into effect before it is given.
-func (h *Holder) Step(now time.Duration, m mapswitch.Message) []mapswitch.Message {
+func (h *Controller) Step(now time.Duration, m mapswitch.Message) []mapswitch.Message {
 	if m.Group != h.group || m.Rank != h.number {
 		return nil
 	}
@@ -107,7 +107,7 @@
 
 // passed refuses a promise of a step that another switch has had, and names the
 // highest such step.
-func (h *Holder) passed(m mapswitch.Message) mapswitch.Message {
+func (h *Controller) passed(m mapswitch.Message) mapswitch.Message {
 	return mapswitch.Message{
 		Kind: mapswitch.KindRefused, Group: h.group, Rank: h.number, Token: m.Token,
 		Epoch: m.Epoch, Step: max(h.status.Step, h.reserved.highest(m.Sole)), Reason: mapswitch.ReasonPassed,
@@ -116,7 +116,7 @@
 
 // settle answers the promise that is asked for, once it is in effect or can no
 // longer be.
-func (h *Holder) settle(now time.Duration) []mapswitch.Message {
+func (h *Controller) settle(now time.Duration) []mapswitch.Message {
 	if h.asked == nil {
 		return nil
 	}
@@ -132,7 +132,7 @@
 
 // filter keeps orders to load maps back, which Next carries out, and word of
 // being prepared while no step could be promised; the coordinator asks again.
-func (h *Holder) filter(messages []mapswitch.Message) []mapswitch.Message {
+func (h *Controller) filter(messages []mapswitch.Message) []mapswitch.Message {
 	kept := messages[:0]
 	for _, m := range messages {
 		switch {
@@ -158,18 +158,18 @@
 
 // ready reports whether the engine uses the map that the record puts in force, or will
 // do so at its step without another order.
-func (h *Holder) ready() bool {
+func (h *Controller) ready() bool {
 	version := versionOf(h.rank.Record().Epoch)
 	return h.status.Map == version || h.status.Armed == version
 }
 
 // acknowledgement confirms the record to the coordinator.
-func (h *Holder) acknowledgement() mapswitch.Message {
+func (h *Controller) acknowledgement() mapswitch.Message {
 	return mapswitch.Message{Kind: mapswitch.KindAcknowledged, Group: h.group, Rank: h.number, Record: h.rank.Record()}
 }
 
 // has reports whether the engine has the map of an epoch in place.
-func (h *Holder) has(epoch uint64) bool {
+func (h *Controller) has(epoch uint64) bool {
 	version := versionOf(epoch)
 	return h.status.Map == version || version != 0 && (h.status.Prepared == version || h.status.Armed == version)
 }
@@ -182,13 +182,13 @@
 	return epoch
 }
 
-func (h *Holder) loaded(epoch, digest uint64) mapswitch.Message {
+func (h *Controller) loaded(epoch, digest uint64) mapswitch.Message {
 	return mapswitch.Message{Kind: mapswitch.KindLoaded, Group: h.group, Rank: h.number, Epoch: epoch, Digest: digest}
 }
 
 // Needs returns the epoch and digest of a map that has to be fetched before it
 // can be prepared; ok is false if there is none.
-func (h *Holder) Needs() (epoch, digest uint64, ok bool) {
+func (h *Controller) MissingMap() (epoch, digest uint64, ok bool) {
 	if !h.preparing() {
 		return 0, 0, false
 	}
@@ -197,17 +197,17 @@
 }
 
 // wantedMap returns the map that is to be prepared; ok is false if it is not known.
-func (h *Holder) wantedMap() (m group.Map, ok bool) {
+func (h *Controller) wantedMap() (m group.Map, ok bool) {
 	m, ok = h.maps[h.wanted.Epoch]
 	return m, ok && m.Digest() == h.wanted.Digest
 }
 
 // Fetched takes in a map that Needs asked for.
-func (h *Holder) Fetched(epoch uint64, m group.Map) { h.keep(epoch, m) }
+func (h *Controller) AddMap(epoch uint64, m group.Map) { h.keep(epoch, m) }
 
 // keep remembers the map of an epoch, and of the others only that in force: the next
 // change is made from it.
-func (h *Holder) keep(epoch uint64, m group.Map) {
+func (h *Controller) keep(epoch uint64, m group.Map) {
 	inForce := h.rank.Record().Epoch
 	maps.DeleteFunc(h.maps, func(known uint64, _ group.Map) bool { return known != inForce })
 	h.maps[epoch] = m
@@ -215,7 +215,7 @@
 
 // Changed takes in a map that is told by its change of another one. It is dropped if that
 // one is not known here.
-func (h *Holder) Changed(c *agentv1.MapChange) error {
+func (h *Controller) ApplyChange(c *agentv1.MapChange) error {
 	base, known := h.maps[c.GetBaseEpoch()]
 	if !known && c.GetBaseEpoch() == firstEpoch {
 		shape := mapwire.ShapeOf(c)
@@ -239,7 +239,7 @@
 // preparing reports whether a map is still to be prepared. An engine keeps one
 // prepared map: while it is the one that has been decided and not yet armed, the
 // next must wait, or the decided one could never be put in force.
-func (h *Holder) preparing() bool {
+func (h *Controller) preparing() bool {
 	epoch, record := h.wanted.Epoch, h.rank.Record()
 	inForce := versionOf(record.Epoch)
 	settled := h.status.Map == inForce || h.status.Armed == inForce
@@ -248,7 +248,7 @@
 
 // Next returns the one order that brings the engine closer to what the record
 // asks for; ok is false if there is none.
-func (h *Holder) Next() (o Order, ok bool) {
+func (h *Controller) NextOrder() (o Order, ok bool) {
 	if !h.status.Open {
 		return Order{}, false
 	}
@@ -268,7 +268,7 @@
 // nextHeld looks at a step that the engine holds. It stays held while it is
 // promised or undecided; then the engine is armed if it has to be, and only after
 // that the step is released.
-func (h *Holder) nextHeld() (Order, bool) {
+func (h *Controller) nextHeld() (Order, bool) {
 	held := h.status.Held
 	if h.asked != nil && h.asked.Step == held {
 		return Order{}, false
@@ -285,7 +285,7 @@
 
 // nextFree looks at an engine that holds no step: one that is asked for or
 // promised has to be held, and a switch that is decided has to be armed.
-func (h *Holder) nextFree() (Order, bool) {
+func (h *Controller) nextFree() (Order, bool) {
 	if h.asked != nil {
 		return h.order(Order{Kind: Hold, Step: h.asked.Step}), true
 	}
@@ -300,13 +300,13 @@
 	return Order{}, false
 }
 
-func (h *Holder) order(o Order) Order {
+func (h *Controller) order(o Order) Order {
 	o.Formation = h.formation
 	return o
 }
 
 // Busy reports whether a switch is under way that the engine takes part in.
-func (h *Holder) Busy() bool {
+func (h *Controller) SwitchInProgress() bool {
 	epoch, _ := h.rank.Promise()
 	return h.asked != nil || h.status.HasHeld || epoch != 0 || h.rank.Record().PendingEpoch != 0 || h.status.Armed != 0
 }
--- a/rankhost/host.go
+++ b/rankhost/host.go
@@ -39,7 +39,7 @@
 )
 
 // Control reads from a quorum of control replicas.
-type Control interface {
+type MapReader interface {
 	// ReadMap returns the record of a group and the fencing token of the
 	// coordinator that wrote it last, linearizably.
 	ReadMap(ctx context.Context, group string) (record *fleetv1.MapRecord, fence uint64, err error)
@@ -48,8 +48,8 @@
 // Config sets up a Host.
 type Config struct {
 	// Engine is the engine, Control reads the decided records.
-	Engine  Engine
-	Control Control
+	Engine    Engine
+	MapReader MapReader
 	// PollInterval is the time between two looks at the engine at rest,
 	// CountInterval the least time between two readings of what its experts were chosen for.
 	PollInterval, CountInterval time.Duration
@@ -66,7 +66,7 @@
 	status Status
 	// statusAt is when the status was read; zero while the engine cannot be read.
 	statusAt time.Time
-	holder   *Holder
+	holder   *Controller
 	// strange is set after an answer that was no status.
 	strange bool
 	counts  tally.Tally
@@ -152,7 +152,7 @@
 	limited, cancel := context.WithTimeout(ctx, h.patience())
 	defer cancel()
 	began := time.Now()
-	err = h.cfg.Engine.Give(limited, order)
+	err = h.cfg.Engine.SendOrder(limited, order)
 	h.answeredIn(time.Since(began), err)
 	h.cfg.Logger.Info("gave an order to the engine", slog.String("order", order.Kind.String()),
 		slog.Uint64("version", order.Version), slog.Uint64("step", order.Step), slog.Uint64("formation", order.Formation), slog.Any("error", err))
@@ -218,7 +218,7 @@
 	if !same {
 		h.holder = nil
 		if status.Group != "" {
-			h.holder = NewHolder(status, rand.Uint64()|1, h.first(before, status))
+			h.holder = NewController(status, rand.Uint64()|1, h.first(before, status))
 			clear(h.outbox)
 			h.counts = tally.Tally{}
 		}
@@ -278,7 +278,7 @@
 	if h.holder == nil {
 		return Order{}, false
 	}
-	order, ok := h.holder.Next()
+	order, ok := h.holder.NextOrder()
 	if !ok {
 		return Order{}, false
 	}
@@ -302,7 +302,7 @@
 func (h *Host) rest() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.holder != nil && h.holder.Busy() {
+	if h.holder != nil && h.holder.SwitchInProgress() {
 		return busyPoll
 	}
 	return h.cfg.PollInterval
--- a/rankhost/pause.go
+++ b/rankhost/pause.go
@@ -29,7 +29,7 @@
 func (h *Host) quiet() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.holder != nil && h.holder.Busy() {
+	if h.holder != nil && h.holder.SwitchInProgress() {
 		return 0
 	}
 	return time.Until(h.quietUntil)
--- a/rankhost/pushback_test.go
+++ b/rankhost/pushback_test.go
@@ -23,7 +23,7 @@
 
 func (e *pausingEngine) Status(context.Context) (Status, error) { return Status{}, e.reject() }
 func (e *pausingEngine) Counts(context.Context) (Counts, error) { return Counts{}, e.reject() }
-func (e *pausingEngine) Give(context.Context, Order) error      { return e.reject() }
+func (e *pausingEngine) SendOrder(context.Context, Order) error { return e.reject() }
 
 // Guards against a host that polls an engine which has asked for a pause, by itself or for others.
 func TestAHostKeepsThePauseOfItsEngine(t *testing.T) {
--- a/rankhost/ready_test.go
+++ b/rankhost/ready_test.go
@@ -19,7 +19,7 @@
 	record, err := mapswitch.Record{}.Apply(mapswitch.Entry{Kind: mapswitch.EntryCreate, Token: 1, Epoch: 1, Digest: first.Digest()})
 	is.NoErr(err)
 	status := Status{Group: "g", Formation: 1, Size: 2, Open: true, Step: 10}
-	h := NewHolder(status, 7, true)
+	h := NewController(status, 7, true)
 	h.Observe(0, status)
 	h.Step(0, mapswitch.Message{Kind: mapswitch.KindRecord, Group: "g/1", Incarnation: 7, Quorum: true, Record: record})
 	decided := record
@@ -39,7 +39,7 @@
 	h.Observe(time.Millisecond, status)
 	is.True(!acknowledged(h.Step(2*time.Millisecond, mapswitch.Message{Kind: mapswitch.KindDecided, Group: "g/1", Token: 1, Record: decided})))
 	is.True(!acknowledged(h.Observe(3*time.Millisecond, status)))
-	order, ok := h.Next()
+	order, ok := h.NextOrder()
 	is.True(ok)
 	is.Equal(order, Order{Kind: Arm, Formation: 1, Version: 2, Step: 14})
 	status.Prepared, status.Armed = 0, 2
@@ -62,7 +62,7 @@
 	is.True(!h.first(Status{Group: "h", Formation: 1, Open: true}, open)) // nothing is known of this group
 	promise := mapswitch.Message{Kind: mapswitch.KindPromise, Group: "g/2", Token: 1, Epoch: 2, Step: 42}
 	asked := func(first bool) bool {
-		holder := NewHolder(open, 7, first)
+		holder := NewController(open, 7, first)
 		holder.Observe(0, open)
 		holder.Step(0, promise)
 		return holder.asked != nil
--- a/rankhost/world_test.go
+++ b/rankhost/world_test.go
@@ -22,7 +22,7 @@
 	held                 uint64
 	hasHeld              bool
 	highest              uint64
-	holder               *Holder
+	holder               *Controller
 	number               int
 	last                 Order
 	lastAt               time.Duration
@@ -108,7 +108,7 @@
 	w.record, _ = w.record.Apply(mapswitch.Entry{Kind: mapswitch.EntryCreate, Token: 1, Epoch: 1, Digest: first.Digest()})
 	for number := range ranks {
 		e := &fakeEngine{world: w, number: number}
-		e.holder = NewHolder(e.status0(ranks), w.rng.Uint64()|1, true)
+		e.holder = NewController(e.status0(ranks), w.rng.Uint64()|1, true)
 		w.engines = append(w.engines, e)
 	}
 	w.elect()
@@ -194,15 +194,15 @@
 			})
 		}
 	}
-	if epoch, _, ok := e.holder.Needs(); ok {
-		e.holder.Fetched(epoch, w.maps[epoch])
+	if epoch, _, ok := e.holder.MissingMap(); ok {
+		e.holder.AddMap(epoch, w.maps[epoch])
 	}
 }
 
 // look is one turn of a host.
 func (w *world) look(e *fakeEngine) {
 	w.emit(e, e.holder.Observe(w.now, e.status()))
-	o, ok := e.holder.Next()
+	o, ok := e.holder.NextOrder()
 	e.nextLook = w.now + 15*time.Millisecond
 	if !ok || o.Kind == e.last.Kind && o.Step == e.last.Step && o.Version == e.last.Version && w.now-e.lastAt < 15*time.Millisecond {
 		return
@@ -322,7 +322,7 @@
 	e := w.engines[w.rng.IntN(len(w.engines))]
 	switch w.rng.IntN(4) {
 	case 0: // the host's process starts again
-		e.holder = NewHolder(e.status(), w.rng.Uint64()|1, false)
+		e.holder = NewController(e.status(), w.rng.Uint64()|1, false)
 		e.last = Order{}
 	case 1: // the host is frozen
 		e.frozenTill = w.now + time.Duration(w.rng.IntN(1500))*time.Millisecond
@@ -339,7 +339,7 @@
 	for _, e := range w.engines {
 		epoch, step := e.holder.rank.Promise()
 		_, allowed := e.holder.rank.Allowed(e.held)
-		order, ok := e.holder.Next()
+		order, ok := e.holder.NextOrder()
 		w.t.Logf("rank %d %+v promise %d at %d allowed %v asked %v wanted %d next %v %v record %+v",
 			e.number, e.status(), epoch, step, allowed, e.holder.asked, e.holder.wanted.Epoch, order.Kind, ok, e.holder.rank.Record())
 	}
--- a/routed/harness_test.go
+++ b/routed/harness_test.go
@@ -134,7 +134,7 @@
 			route("once", fleetv1.CallKind_CALL_KIND_SINGLE), route("read", fleetv1.CallKind_CALL_KIND_IDEMPOTENT),
 			route("stream", fleetv1.CallKind_CALL_KIND_STREAM), resumable, public, short,
 		},
-		Workspaces: []*fleetv1.Workspace{{Name: "crew", KeyDigests: []string{site.Digest(testKey)}}},
+		Workspaces: []*fleetv1.Workspace{{Name: "crew", KeyDigests: []string{site.KeyDigest(testKey)}}},
 	}
 }
 
--- a/routed/request.go
+++ b/routed/request.go
@@ -71,7 +71,7 @@
 		q.deadline = min(q.deadline, q.arrived+wait)
 	}
 	s.noteWait(q)
-	q.pool = site.PoolOf(q.route, xxhash.Sum64String(q.id))
+	q.pool = site.PickPool(q.route, xxhash.Sum64String(q.id))
 	q.priority = site.Priority(q.route, q.workspace)
 	if s.config.Headers.Size != nil {
 		q.work.PromptTokens, q.work.MaxTokens = s.config.Headers.Size(r.Header)
--- a/routed/throttle.go
+++ b/routed/throttle.go
@@ -151,7 +151,7 @@
 func (s *Server) place(now time.Duration, table *site.Table, entries int) *placement {
 	loads := s.poolLoads(now)
 	s.throttle.retain(loads)
-	pauses, young := site.Pauses(table.Routes()), s.young(now)
+	pauses, young := site.MaxGaps(table.Routes()), s.young(now)
 	next := &placement{pools: map[string][]room{}, reopens: reopenings(loads), sizes: sizes(loads)}
 	for _, pool := range table.Pools() {
 		next.pools[pool.GetName()] = nil
--- a/site/pauses.go
+++ b/site/pauses.go
@@ -8,7 +8,7 @@
 
 // Pauses returns the pause that the streams of each pool are held to, by its name: the
 // shortest that one of the routes promises.
-func Pauses(routes []*fleetv1.Route) map[string]time.Duration {
+func MaxGaps(routes []*fleetv1.Route) map[string]time.Duration {
 	pauses := map[string]time.Duration{}
 	for _, route := range routes {
 		gap := time.Duration(route.GetGapMs()) * time.Millisecond
--- a/site/site.go
+++ b/site/site.go
@@ -96,19 +96,19 @@
 
 // Workspace returns the workspace that a key belongs to.
 func (t *Table) Workspace(key string) (*fleetv1.Workspace, bool) {
-	workspace, known := t.workspaces[Digest(key)]
+	workspace, known := t.workspaces[KeyDigest(key)]
 	return workspace, known
 }
 
 // Digest is the form in which keys are kept: lower-case hexadecimal SHA-256.
-func Digest(key string) string {
+func KeyDigest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
 // PoolOf returns the pool that serves a request of the route. draw is uniform
 // over all values; the same draw and weights give the same pool.
-func PoolOf(route *fleetv1.Route, draw uint64) string {
+func PickPool(route *fleetv1.Route, draw uint64) string {
 	var total int64
 	for _, split := range route.GetSplits() {
 		total += split.GetWeight()
--- a/site/site_test.go
+++ b/site/site_test.go
@@ -31,16 +31,16 @@
 	r := &fleetv1.Route{Splits: []*fleetv1.Split{{Pool: "a", Weight: 3}, {Pool: "none"}, {Pool: "b", Weight: 1}}}
 	counts := map[string]int{}
 	for draw := range uint64(400) {
-		counts[PoolOf(r, draw)]++
+		counts[PickPool(r, draw)]++
 	}
 	is.Equal(counts, map[string]int{"a": 300, "b": 100})
-	is.Equal(PoolOf(&fleetv1.Route{}, 7), "")
+	is.Equal(PickPool(&fleetv1.Route{}, 7), "")
 }
 
 func TestAKeyStandsForItsWorkspace(t *testing.T) {
 	is := is.New(t)
 	first := int32(0)
-	w := &fleetv1.Workspace{Name: "crew", KeyDigests: []string{Digest("k1")}, Priority: &first}
+	w := &fleetv1.Workspace{Name: "crew", KeyDigests: []string{KeyDigest("k1")}, Priority: &first}
 	table := NewTable(&fleetv1.Site{Workspaces: []*fleetv1.Workspace{w}})
 	found, known := table.Workspace("k1")
 	is.True(known)
