--- a/control/maps.go
+++ b/control/maps.go
@@ -62,7 +62,7 @@
 	}
 	return expertmap.Rescue{
 		Engine: func(id string) rankhost.Engine {
-			if address, ok := rankhost.EngineAddrFromRecordID(id); ok {
+			if address, ok := rankhost.EngineAddr(id); ok {
 				return m.engine(address)
 			}
 			return nil
--- a/rankhost/announce.go
+++ b/rankhost/announce.go
@@ -90,6 +90,6 @@
 
 // EndpointOf returns the address of the engine of a rank by the id of the rank's
 // record; ok is false for the record of anything else.
-func EngineAddrFromRecordID(id string) (address string, ok bool) {
+func EngineAddr(id string) (address string, ok bool) {
 	return strings.CutPrefix(id, rankPrefix)
 }
