--- a/rankhost/announce.go
+++ b/rankhost/announce.go
@@ -13,36 +13,36 @@
 	"github.com/lilackeel/lilackeel/link/replicas"
 )
 
-// announceRetry is the pause after no control replica took an announcement.
-const announceRetry = 300 * time.Millisecond
+// announceRetryInterval is the delay after an announcement that no control replica accepted.
+const announceRetryInterval = 300 * time.Millisecond
 
-// rankPrefix begins the ids and pools of the records that say where ranks are
-// served, apart from the engines' own records.
-const rankPrefix = "rank:"
+// rankIDPrefix is the prefix of the ids of rank records, which keeps them distinct from the
+// engines' own endpoint records.
+const rankIDPrefix = "rank:"
 
-// announcer tells the control replicas which rank of which group is served here.
+// announcer announces the rank that this host serves to the control replicas.
 type announcer struct {
 	settings    *Settings
 	host        *Host
 	finder      *replicas.Finder
 	logger      *slog.Logger
 	incarnation uint64
-	// failing is true after a failure, so that it is logged once.
-	failing bool
+	// lastFailed reports whether the last announcement failed; only changes of it are logged.
+	lastFailed bool
 }
 
-// run announces until ctx ends, and at once when the group has changed.
+// run announces the rank periodically until ctx ends, and immediately when its group changes.
 func (a *announcer) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := a.host.Changed()
 		pause := a.settings.HeartbeatInterval
 		err := a.announce(ctx)
-		if (err != nil) != a.failing && ctx.Err() == nil {
-			a.failing = err != nil
+		if (err != nil) != a.lastFailed && ctx.Err() == nil {
+			a.lastFailed = err != nil
 			a.logger.Info("announcing the rank", slog.Bool("works", err == nil), slog.Any("error", err))
 		}
 		if err != nil {
-			pause = announceRetry
+			pause = announceRetryInterval
 		}
 		timer := time.NewTimer(pause/2 + rand.N(pause))
 		select {
@@ -61,7 +61,7 @@
 	}
 	status, _, ok := a.host.Status()
 	if ok {
-		request.Endpoints = []*fleetv1.Endpoint{a.record(status)}
+		request.Endpoints = []*fleetv1.Endpoint{a.endpointRecord(status)}
 	}
 	var response *controlv1.AnnounceResponse
 	err := a.finder.Ask(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
@@ -73,11 +73,11 @@
 	return err
 }
 
-// record says where a rank is served. A group that does not run is not named, so
-// that nothing is decided for it.
-func (a *announcer) record(s Status) *fleetv1.Endpoint {
+// endpointRecord returns the rank's record. It names no group while the group is not running, so
+// that the control leader makes no decisions for such a group.
+func (a *announcer) endpointRecord(s Status) *fleetv1.Endpoint {
 	record := &fleetv1.Endpoint{
-		Id: rankPrefix + a.settings.Endpoint, Pool: a.settings.Pool, Role: endpoint.RoleRank, Kind: fleetv1.EndpointKind_ENDPOINT_KIND_ENGINE,
+		Id: rankIDPrefix + a.settings.Endpoint, Pool: a.settings.Pool, Role: endpoint.RoleRank, Kind: fleetv1.EndpointKind_ENDPOINT_KIND_ENGINE,
 		Zone: a.settings.Zone,
 	}
 	if s.Open && s.Group != "" {
@@ -88,8 +88,6 @@
 	return record
 }
 
-// EndpointOf returns the address of the engine of a rank by the id of the rank's
-// record; ok is false for the record of anything else.
-func EngineAddr(id string) (address string, ok bool) {
-	return strings.CutPrefix(id, rankPrefix)
-}
+// EngineAddr returns the address of the engine that a rank record belongs to, given the record's
+// id. ok is false if the id is not that of a rank record.
+func EngineAddr(id string) (address string, ok bool) { return strings.CutPrefix(id, rankIDPrefix) }
--- a/rankhost/daemon.go
+++ b/rankhost/daemon.go
@@ -24,16 +24,17 @@
 )
 
 const (
-	// defaultReport is the time between two reports of a reader that states none.
-	defaultReport = 250 * time.Millisecond
-	// leastReport is the shortest such time.
-	leastReport = 20 * time.Millisecond
-	// reportBudget is how many reports a second a host sends to all its readers: 16 entries
-	// get one each 100 ms, 36 each 225 ms. It bounds what many readers cost the host.
-	reportBudget = 160
+	// defaultReportInterval is the interval between reports to a reader that requests none.
+	defaultReportInterval = 250 * time.Millisecond
+	// minReportInterval is the shortest interval between reports to one reader.
+	minReportInterval = 20 * time.Millisecond
+	// maxReportsPerSecond bounds the reports that a host sends to all its readers together, and
+	// thus the cost of many readers: 16 entries get one report every 100 ms each, 36 entries one
+	// every 225 ms each.
+	maxReportsPerSecond = 160
 )
 
-// Daemon serves one rank.
+// Daemon is the host process of one rank.
 type Daemon struct {
 	settings  *Settings
 	logger    *slog.Logger
@@ -45,7 +46,7 @@
 	listener  net.Listener
 }
 
-// New assembles a daemon, which does nothing before Run.
+// New returns a daemon, which listens but does not serve before Run.
 func New(settings *Settings, engine Engine, logger *slog.Logger) (*Daemon, error) {
 	dial, err := link.DialOptions(settings.Link)
 	if err != nil {
@@ -62,12 +63,12 @@
 	pool := link.NewPool(dial...)
 	finder := replicas.New(pool, settings.Control)
 	host := NewHost(Config{
-		Engine: engine, MapReader: recordReader{finder}, Logger: logger,
+		Engine: engine, MapReader: controlMapReader{finder}, Logger: logger,
 		PollInterval: settings.PollInterval, CountInterval: settings.CountInterval,
 	})
 	server := grpc.NewServer(options...)
 	agentv1.RegisterAgentServer(server, &service{
-		host: host, endpoint: settings.Endpoint, shared: sharing.NewHost(host.now, ratelimit.NewArbiter()), relay: &relay{call: hostCaller{pool}.group, logger: logger, calling: map[string]bool{}},
+		host: host, endpoint: settings.Endpoint, shared: sharing.NewHost(host.now, ratelimit.NewArbiter()), relay: &relay{call: hostClient{pool}.callGroup, logger: logger, inFlight: map[string]bool{}},
 	})
 	return &Daemon{
 		settings: settings, logger: logger, ready: telemetry.NewReady(), host: host, server: server, pool: pool, listener: listener,
@@ -75,34 +76,35 @@
 	}, nil
 }
 
-// Ready says whether the daemon serves.
+// Ready returns the readiness of the daemon.
 func (d *Daemon) Ready() *telemetry.Ready { return d.ready }
 
-// Reload puts other control replicas in force.
-func (d *Daemon) Reload(fresh *Settings) { d.announcer.finder.SetAddrs(fresh.Control) }
+// Reload applies the addresses of the control replicas; all other settings need a restart.
+func (d *Daemon) Reload(settings *Settings) { d.announcer.finder.SetAddrs(settings.Control) }
 
-// Run serves until ctx ends. It carries nothing of any request, so that it ends
-// at once; a switch that it takes part in waits for the next process.
+// Run serves until ctx ends. It returns without draining, because no requests pass through it; a
+// switch of maps that is in progress continues with the next process.
 func (d *Daemon) Run(ctx context.Context) error {
-	var group sync.WaitGroup
-	group.Go(func() { d.host.Run(ctx) })
-	group.Go(func() { d.announcer.run(ctx) })
-	served := make(chan error, 1)
-	go func() { served <- d.server.Serve(d.listener) }()
+	var tasks sync.WaitGroup
+	tasks.Go(func() { d.host.Run(ctx) })
+	tasks.Go(func() { d.announcer.run(ctx) })
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- d.server.Serve(d.listener) }()
 	d.ready.Set(true, "")
 	d.logger.Info("serving", slog.String("listen", d.listener.Addr().String()), slog.String("endpoint", d.settings.Endpoint))
 	<-ctx.Done()
 	d.ready.Set(false, "stopping")
 	d.server.Stop()
-	group.Wait()
-	return trace.NewAggregate(<-served, d.pool.Close())
+	tasks.Wait()
+	return trace.NewAggregate(<-serveErr, d.pool.Close())
 }
 
-// recordReader reads the records of expert maps. It is a Control.
-type recordReader struct{ finder *replicas.Finder }
+// controlMapReader reads the records of expert maps from the control replicas. It implements
+// MapReader.
+type controlMapReader struct{ finder *replicas.Finder }
 
-// ReadMap implements Control.
-func (r recordReader) ReadMap(ctx context.Context, group string) (record *fleetv1.MapRecord, fence uint64, err error) {
+// ReadMap implements MapReader.
+func (r controlMapReader) ReadMap(ctx context.Context, group string) (record *fleetv1.MapRecord, fence uint64, err error) {
 	err = r.finder.Ask(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
 		response, err := client.ReadMap(ctx, &controlv1.ReadMapRequest{Group: group})
 		record, fence = response.GetRecord(), response.GetFence()
@@ -111,15 +113,16 @@
 	return record, fence, err
 }
 
-// service is the part of the Agent service that a rank needs.
+// service implements the methods of the Agent service that a rank needs.
 type service struct {
 	agentv1.UnimplementedAgentServer
 	host     *Host
 	relay    *relay
 	endpoint string
-	// readers is how many entries read the reports.
+	// readers counts the entries that subscribe to reports.
 	readers atomic.Int32
-	// shared is what entries share.
+	// shared holds the crash reports, suspicions and rate limits that entries share through this
+	// host.
 	shared *sharing.Host
 }
 
@@ -142,19 +145,19 @@
 
 // Group implements agentv1.AgentServer.
 func (s *service) Group(ctx context.Context, r *agentv1.GroupRequest) (*agentv1.GroupResponse, error) {
-	round := s.relay.begin(ctx, r)
+	round := s.relay.start(ctx, r)
 	response, err := s.host.Group(ctx, r)
 	if err != nil {
 		return nil, err
 	}
-	round.end(ctx, response)
+	round.finish(ctx, response)
 	return response, nil
 }
 
-// hostCaller calls other hosts of ranks.
-type hostCaller struct{ pool *link.Pool }
+// hostClient calls the hosts of other ranks.
+type hostClient struct{ pool *link.Pool }
 
-func (c hostCaller) group(ctx context.Context, addr string, request *agentv1.GroupRequest) (*agentv1.GroupResponse, error) {
+func (c hostClient) callGroup(ctx context.Context, addr string, request *agentv1.GroupRequest) (*agentv1.GroupResponse, error) {
 	conn, err := c.pool.Get(addr)
 	if err != nil {
 		return nil, err
@@ -162,8 +165,9 @@
 	return agentv1.NewAgentClient(conn).Group(ctx, request)
 }
 
-// Reports implements agentv1.AgentServer: it sends the engine's load when it has changed, and
-// at once when its group has. The endpoint is named by its address.
+// Reports implements agentv1.AgentServer. It sends the engine's load when it has changed, without
+// waiting for the interval when the engine's group has. The endpoint is identified by the engine's
+// address.
 func (s *service) Reports(r *agentv1.ReportsRequest, stream grpc.ServerStreamingServer[agentv1.Report]) error {
 	s.readers.Add(1)
 	defer s.readers.Add(-1)
@@ -171,17 +175,17 @@
 	var sent *agentv1.Report
 	for {
 		changed := s.host.Changed()
-		status, at, ok := s.host.Status()
-		report := s.report(status)
-		fresh := ok && !proto.Equal(report, sent)
-		if fresh {
+		status, readAt, ok := s.host.Status()
+		report := s.buildReport(status)
+		loadChanged := ok && !proto.Equal(report, sent)
+		if loadChanged {
 			sent = proto.Clone(report).(*agentv1.Report)
-			report.GetLoads()[0].AgeMs = time.Since(at).Milliseconds()
+			report.GetLoads()[0].AgeMs = time.Since(readAt).Milliseconds()
 		} else {
-			// What entries share goes out also while the engine says nothing.
+			// Shared state is sent even while there is no new status of the engine.
 			report = &agentv1.Report{}
 		}
-		if news := reader.Fill(report); fresh || news {
+		if hasShared := reader.Fill(report); loadChanged || hasShared {
 			if err := stream.Send(report); err != nil {
 				return err
 			}
@@ -199,16 +203,16 @@
 	}
 }
 
-// reportInterval is the time between two reports to one reader, of several.
-func reportInterval(asked time.Duration, readers int) time.Duration {
-	if asked <= 0 {
-		asked = defaultReport
+// reportInterval returns the interval between reports to one reader, given the number of readers.
+func reportInterval(requested time.Duration, readers int) time.Duration {
+	if requested <= 0 {
+		requested = defaultReportInterval
 	}
-	return max(asked, leastReport, time.Duration(readers)*time.Second/reportBudget)
+	return max(requested, minReportInterval, time.Duration(readers)*time.Second/maxReportsPerSecond)
 }
 
-// report is what is said of the engine, but for its age.
-func (s *service) report(status Status) *agentv1.Report {
+// buildReport returns a report of the engine's load, without its age.
+func (s *service) buildReport(status Status) *agentv1.Report {
 	return &agentv1.Report{Readers: s.readers.Load(), Loads: []*agentv1.LoadReport{{
 		Endpoint: s.endpoint, Running: int32(status.Running), Waiting: int32(status.Waiting),
 		Group: status.Group, Closed: status.Group != "" && !status.Open,
--- a/rankhost/engine.go
+++ b/rankhost/engine.go
@@ -6,56 +6,59 @@
 	"github.com/lilackeel/lilackeel/group"
 )
 
-// Status is what an engine says of itself, fresh.
+// Status is an engine's own report of its state.
 type Status struct {
-	// Group is the name of the rank's group, Formation the number of its
-	// formation, Rank its place of Size in it; Open says that it runs.
+	// Group is the name of the rank's group and Formation the number of the group's current
+	// formation. Rank is the index of the rank among Size ranks. Open reports whether the group is
+	// running.
 	Group      string
 	Formation  uint64
 	Rank, Size int
 	Open       bool
-	// Step is the last step that was begun.
+	// Step is the last step that has begun.
 	Step uint64
-	// Map is the version of the map in use; zero is the first one. Prepared and
-	// Armed are the versions whose copy is complete, and that will be switched to;
-	// zero for none.
+	// Map is the version of the map in use; zero is the group's first map. Prepared is the version
+	// whose weights have been copied completely, and Armed the version that the engine is about to
+	// switch to; zero means none.
 	Map, Prepared, Armed uint64
-	// Held is the step that the rank holds; HasHeld is false if there is none.
+	// Held is the step that the engine does not begin until it is released; it is valid only if
+	// HasHeld is set.
 	Held    uint64
 	HasHeld bool
-	// Started is when the engine was started, in the engine's own count; zero if it does not
-	// say. A later start knows and holds nothing of what an earlier one was told.
+	// Started identifies the engine's start in the engine's own unit and increases with each start;
+	// zero if the engine does not report it. After a restart the engine has lost all orders that it
+	// was given before.
 	Started uint64
-	// Running and Waiting count the requests in the batch and in the queue.
+	// Running and Waiting are the numbers of requests in the batch and in the queue.
 	Running, Waiting int
 }
 
-// Name returns the name of the formation, under which its expert maps are
-// decided.
-func (s Status) FormationName() string { return groupName(s.Group, s.Formation) }
+// FormationName returns the name of the formation, which identifies the group in the records of
+// expert maps.
+func (s Status) FormationName() string { return formationName(s.Group, s.Formation) }
 
-// Counts is what the requests of a rank have asked of each expert.
+// Counts are the numbers of times that the requests of a rank selected each expert.
 type Counts struct {
-	// Formation is that of the group, Step the last step counted.
+	// Formation is the group's formation and Step the last step included.
 	Formation, Step uint64
-	// Started is that of the Status.
+	// Started is the same as in Status.
 	Started uint64
-	// Chosen counts by layer and expert, since the engine's start.
+	// Selections has one count per layer and expert, accumulated since the engine's start.
 	Selections []uint64
 }
 
-// OrderKind says what an Order asks for.
+// OrderKind is the action that an Order requests.
 type OrderKind int
 
 // The kinds of order.
 const (
-	// Prepare copies the weights of a map.
+	// Prepare copies the weights that a map needs to the rank.
 	Prepare OrderKind = iota + 1
-	// Arm switches to a prepared map as a step begins.
+	// Arm makes the engine switch to a prepared map as a step begins.
 	Arm
 	// Hold keeps the group from beginning a step until Release.
 	Hold
-	// Release lets a held step begin.
+	// Release lets the group begin a held step.
 	Release
 )
 
@@ -68,25 +71,24 @@
 	return names[k]
 }
 
-// Order is one order to an engine.
+// Order is an order to an engine.
 type Order struct {
 	Kind OrderKind
-	// Formation is the one that the order is for; an engine in another refuses.
+	// Formation is the formation that the order is for; an engine in another formation refuses it.
 	Formation uint64
-	// Version is the map of a Prepare or Arm, Step that of an Arm, Hold or
-	// Release.
+	// Version is the map version of a Prepare or Arm, and Step the step of an Arm, Hold or Release.
 	Version, Step uint64
 	// Map is set in a Prepare.
 	Map group.Map
 }
 
-// Engine is the engine beside a Host.
+// Engine is the engine that a Host controls.
 type Engine interface {
 	// Status reads the engine's status.
 	Status(ctx context.Context) (Status, error)
-	// Counts reads what experts the rank's requests have chosen.
+	// Counts reads how often the rank's requests selected each expert.
 	Counts(ctx context.Context) (Counts, error)
-	// Give gives an order. Whatever it returns, only the status tells what came
-	// of it.
+	// SendOrder sends an order. Whatever it returns, only a later Status shows whether the order
+	// was carried out.
 	SendOrder(ctx context.Context, o Order) error
 }
--- a/rankhost/host.go
+++ b/rankhost/host.go
@@ -14,49 +14,48 @@
 )
 
 const (
-	// busyPoll is the time between two looks at the engine during a switch, of
-	// which each costs the group nothing.
-	busyPoll = 15 * time.Millisecond
-	// orderTimeout bounds the wait for the answer to an order, many times what an
-	// engine on the same host takes; its status tells the rest. Once answers have been
-	// seen the wait is orderPatience times what they took, and no less than
-	// leastTimeout: the group may be waiting for the repeated order.
-	orderTimeout  = 60 * time.Millisecond
-	leastTimeout  = 15 * time.Millisecond
-	orderPatience = 6
-	// orderWeight is the weight of the newest answer in what answers take.
-	orderWeight = 0.2
-	// answerWait is how long the coordinator's call is kept for what the engine is still
-	// doing about it, so that word of it need not wait for the next call.
-	answerWait = 40 * time.Millisecond
-	// statusTimeout bounds one look at the engine.
+	// switchPollInterval is the poll interval during a switch. Polling costs the group nothing.
+	switchPollInterval = 15 * time.Millisecond
+	// maxOrderTimeout bounds the wait for the reply to an order. It is many times what an engine on
+	// the same host takes; the outcome is read from the status. Once replies have been seen, the
+	// timeout is orderTimeoutFactor times the average reply time, but at least minOrderTimeout: a
+	// short timeout matters because the group may be waiting for the repeated order.
+	maxOrderTimeout    = 60 * time.Millisecond
+	minOrderTimeout    = 15 * time.Millisecond
+	orderTimeoutFactor = 6
+	// orderTimeWeight is the weight of the newest sample in the moving average of reply times.
+	orderTimeWeight = 0.2
+	// maxReplyWait bounds how long the coordinator's call is held open for the engine to act on it,
+	// so that the reply need not wait for the next call.
+	maxReplyWait = 40 * time.Millisecond
+	// statusTimeout bounds one read of the engine's status.
 	statusTimeout = time.Second
-	// prepareRetry is the pause between two orders to prepare a map if the first
-	// was answered: copying takes many looks.
-	prepareRetry = 1500 * time.Millisecond
-	// slowOrder is the pause after an order that changed nothing.
-	slowOrder = 50 * time.Millisecond
+	// prepareRetryInterval is the delay before a Prepare that the engine accepted is repeated:
+	// copying the weights takes many polls.
+	prepareRetryInterval = 1500 * time.Millisecond
+	// conflictPause is the delay after an order that the engine refused.
+	conflictPause = 50 * time.Millisecond
 )
 
-// Control reads from a quorum of control replicas.
+// MapReader reads from a quorum of control replicas.
 type MapReader interface {
-	// ReadMap returns the record of a group and the fencing token of the
-	// coordinator that wrote it last, linearizably.
+	// ReadMap returns, linearizably, the record of a group and the fencing token of the coordinator
+	// that wrote it last.
 	ReadMap(ctx context.Context, group string) (record *fleetv1.MapRecord, fence uint64, err error)
 }
 
 // Config sets up a Host.
 type Config struct {
-	// Engine is the engine, Control reads the decided records.
+	// Engine is the engine to control; MapReader reads the decided records.
 	Engine    Engine
 	MapReader MapReader
-	// PollInterval is the time between two looks at the engine at rest,
-	// CountInterval the least time between two readings of what its experts were chosen for.
+	// PollInterval is the poll interval while no switch is in progress, CountInterval the least
+	// time between two reads of the expert counts.
 	PollInterval, CountInterval time.Duration
 	Logger                      *slog.Logger
 }
 
-// Host drives the Holder of one engine.
+// Host polls one engine and sends it the orders of its Controller.
 type Host struct {
 	cfg     Config
 	started time.Time
@@ -65,29 +64,30 @@
 	mu     sync.Mutex
 	status Status
 	// statusAt is when the status was read; zero while the engine cannot be read.
-	statusAt time.Time
-	holder   *Controller
-	// strange is set after an answer that was no status.
-	strange bool
-	counts  tally.Tally
-	// countedAt is when the engine's counts were last asked for.
-	countedAt time.Time
+	statusAt   time.Time
+	controller *Controller
+	// statusMalformed is set after a malformed status, until a valid one is read.
+	statusMalformed bool
+	expertCounts    tally.Tally
+	// countsReadAt is when the engine's counts were last requested.
+	countsReadAt time.Time
 	// outbox holds the newest message of each kind for the coordinator.
 	outbox map[mapswitch.Kind]mapswitch.Message
-	// reading is set while the record is read, and fetching while a map is.
-	reading, fetching bool
-	// last is the last order given, and when; answered says that the engine took
-	// it on.
-	last     Order
-	lastAt   time.Time
-	answered bool
-	// orderTime is how long the engine takes to answer an order; zero if none has been.
+	// readingRecord and fetchingMap are set while the record or a map is being read.
+	readingRecord, fetchingMap bool
+	// lastOrder is the last order sent and lastOrderAt when it was sent; lastAnswered reports
+	// whether the engine accepted it.
+	lastOrder    Order
+	lastOrderAt  time.Time
+	lastAnswered bool
+	// orderTime is the moving average of the engine's reply times to orders; zero before the first
+	// reply.
 	orderTime time.Duration
-	// quietUntil is the end of the pause that the engine has asked for.
-	quietUntil time.Time
-	// filled closes when the outbox gets a message.
-	filled chan struct{}
-	// changed closes when what is announced of the rank has changed.
+	// pausedUntil is the end of the pause that the engine has requested.
+	pausedUntil time.Time
+	// outboxFilled is closed when a message is added to the outbox.
+	outboxFilled chan struct{}
+	// changed is closed when the announced state of the rank has changed.
 	changed chan struct{}
 }
 
@@ -95,21 +95,21 @@
 func NewHost(cfg Config) *Host {
 	return &Host{
 		cfg: cfg, started: time.Now(), wake: make(chan struct{}, 1),
-		outbox: map[mapswitch.Kind]mapswitch.Message{}, changed: make(chan struct{}), filled: make(chan struct{}),
+		outbox: map[mapswitch.Kind]mapswitch.Message{}, changed: make(chan struct{}), outboxFilled: make(chan struct{}),
 	}
 }
 
-// Run drives until ctx ends.
+// Run polls and controls the engine until ctx ends.
 func (h *Host) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := h.look(ctx)
+		pause := h.poll(ctx)
 		h.sleep(ctx, pause)
 	}
 }
 
 func (h *Host) now() time.Duration { return time.Since(h.started) }
 
-// sleep waits for d, a wake-up, or ctx.
+// sleep waits until d has passed, wakeUp is called, or ctx ends.
 func (h *Host) sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -127,56 +127,57 @@
 	}
 }
 
-// look reads the engine, gives it the order that is due, and returns the pause
-// until the next look.
-func (h *Host) look(ctx context.Context) time.Duration {
-	if quiet := h.quiet(); quiet > 0 {
-		return quiet
+// poll reads the engine's status, sends the order that is due, and returns the delay until the next
+// poll.
+func (h *Host) poll(ctx context.Context) time.Duration {
+	if remaining := h.pauseRemaining(); remaining > 0 {
+		return remaining
 	}
-	err := h.read(ctx)
-	if h.pushedBack(err) {
+	err := h.readStatus(ctx)
+	if h.recordPushback(err) {
 		return h.cfg.PollInterval
 	}
 	if fault.Is(err, fault.Corrupt) {
-		h.unreadable(err)
+		h.recordMalformedStatus(err)
 		return h.cfg.PollInterval
 	}
 	if err != nil {
-		h.lost(err)
+		h.recordUnreachable(err)
 		return h.cfg.PollInterval
 	}
-	order, ok := h.next()
+	order, ok := h.nextOrder()
 	if !ok {
-		return h.rest()
+		return h.nextPollDelay()
 	}
-	limited, cancel := context.WithTimeout(ctx, h.patience())
+	callCtx, cancel := context.WithTimeout(ctx, h.replyTimeout())
 	defer cancel()
-	began := time.Now()
-	err = h.cfg.Engine.SendOrder(limited, order)
-	h.answeredIn(time.Since(began), err)
+	sentAt := time.Now()
+	err = h.cfg.Engine.SendOrder(callCtx, order)
+	h.recordOrderTime(time.Since(sentAt), err)
 	h.cfg.Logger.Info("gave an order to the engine", slog.String("order", order.Kind.String()),
 		slog.Uint64("version", order.Version), slog.Uint64("step", order.Step), slog.Uint64("formation", order.Formation), slog.Any("error", err))
 	h.mu.Lock()
-	h.answered = err == nil
+	h.lastAnswered = err == nil
 	h.mu.Unlock()
 	if fault.Is(err, fault.Conflict) {
-		return slowOrder
+		return conflictPause
 	}
 	return 0
 }
 
-// patience is how long the answer to an order is waited for.
-func (h *Host) patience() time.Duration {
+// replyTimeout returns the timeout for the reply to an order.
+func (h *Host) replyTimeout() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.orderTime == 0 {
-		return orderTimeout
+		return maxOrderTimeout
 	}
-	return min(max(orderPatience*h.orderTime, leastTimeout), orderTimeout)
+	return min(max(orderTimeoutFactor*h.orderTime, minOrderTimeout), maxOrderTimeout)
 }
 
-// answeredIn learns how long the engine takes to answer, refusals included.
-func (h *Host) answeredIn(took time.Duration, err error) {
+// recordOrderTime adds a reply time to the moving average. A refusal counts as a reply; other
+// errors do not.
+func (h *Host) recordOrderTime(took time.Duration, err error) {
 	if err != nil && !fault.Is(err, fault.Conflict) {
 		return
 	}
@@ -186,78 +187,79 @@
 		h.orderTime = took
 		return
 	}
-	h.orderTime += time.Duration(orderWeight * float64(took-h.orderTime))
+	h.orderTime += time.Duration(orderTimeWeight * float64(took-h.orderTime))
 }
 
-// read takes in the engine's status.
-func (h *Host) read(ctx context.Context) error {
-	limited, cancel := context.WithTimeout(ctx, statusTimeout)
+// readStatus reads the engine's status and passes it to the controller.
+func (h *Host) readStatus(ctx context.Context) error {
+	callCtx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	asked := time.Now()
-	status, err := h.cfg.Engine.Status(limited)
+	requestedAt := time.Now()
+	status, err := h.cfg.Engine.Status(callCtx)
 	if err != nil {
 		return err
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.note(status, asked)
-	if h.holder != nil {
-		h.emit(ctx, h.holder.Observe(h.now(), status))
+	h.recordStatus(status, requestedAt)
+	if h.controller != nil {
+		h.dispatch(ctx, h.controller.Observe(h.now(), status))
 	}
 	return nil
 }
 
-// note keeps a status; the lock is held. A new formation gets a new holder.
-func (h *Host) note(status Status, at time.Time) {
-	before := h.status
-	h.status, h.statusAt, h.strange = status, at, false
-	same := h.holder != nil && samePlace(before, status)
-	if same && before.Open == status.Open {
+// recordStatus stores a status. A rank that has changed its group, formation or engine start gets a
+// new controller. The lock is held.
+func (h *Host) recordStatus(status Status, readAt time.Time) {
+	previous := h.status
+	h.status, h.statusAt, h.statusMalformed = status, readAt, false
+	same := h.controller != nil && sameMembership(previous, status)
+	if same && previous.Open == status.Open {
 		return
 	}
 	if !same {
-		h.holder = nil
+		h.controller = nil
 		if status.Group != "" {
-			h.holder = NewController(status, rand.Uint64()|1, h.first(before, status))
+			h.controller = NewController(status, rand.Uint64()|1, h.firstInFormation(previous, status))
 			clear(h.outbox)
-			h.counts = tally.Tally{}
+			h.expertCounts = tally.Tally{}
 		}
 	}
-	h.cfg.Logger.Info("the engine's group", slog.String("group", status.Group), slog.Uint64("formation", status.Formation),
+	h.cfg.Logger.Info("the engine's group changed", slog.String("group", status.Group), slog.Uint64("formation", status.Formation),
 		slog.Int("rank", status.Rank), slog.Int("size", status.Size), slog.Bool("open", status.Open))
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-// samePlace reports whether two statuses are of one start of the engine, at one rank of one
-// formation.
-func samePlace(a, b Status) bool {
+// sameMembership reports whether two statuses are of the same start of the engine, with the same
+// rank in the same formation.
+func sameMembership(a, b Status) bool {
 	return a.Group == b.Group && a.Formation == b.Formation && a.Rank == b.Rank && a.Started == b.Started
 }
 
-// first reports whether no earlier process can have asked anything of the engine in its
-// present formation: this one has seen it closed, or its group in an earlier formation.
-// Then the first switch need not keep clear of steps that others may have reserved, which
-// puts it off by a second, and all that follow it, just when the first map is at its
-// worst.
-func (h *Host) first(before, present Status) bool {
-	earlier := before.Group == present.Group && before.Group != "" && before.Formation < present.Formation
-	return earlier || !present.Open
+// firstInFormation reports whether no earlier process can have sent orders to the engine in its
+// present formation: this process has seen the engine before the formation opened, or its group in
+// an earlier formation. The first switch then need not avoid steps that earlier processes may have
+// reserved. Avoiding them delays that switch, and all that follow it, by a second, just when the
+// first map fits the demand worst.
+func (h *Host) firstInFormation(previous, current Status) bool {
+	seenEarlierFormation := previous.Group == current.Group && previous.Group != "" && previous.Formation < current.Formation
+	return seenEarlierFormation || !current.Open
 }
 
-// unreadable notes an answer that is not a status: it is of another writer, and what is
-// known of the engine stays. It is logged once until a status comes.
-func (h *Host) unreadable(err error) {
+// recordMalformedStatus records an answer that is not a valid status. It did not come from the
+// engine, so the last known status is kept. It is logged once until a valid status is read.
+func (h *Host) recordMalformedStatus(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.strange {
-		h.cfg.Logger.Warn("the engine's status makes no sense", slog.Any("error", err))
+	if !h.statusMalformed {
+		h.cfg.Logger.Warn("the engine's status is malformed", slog.Any("error", err))
 	}
-	h.strange = true
+	h.statusMalformed = true
 }
 
-// lost notes that the engine cannot be read.
-func (h *Host) lost(err error) {
+// recordUnreachable records that the engine cannot be read.
+func (h *Host) recordUnreachable(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.statusAt.IsZero() {
@@ -266,57 +268,58 @@
 	h.cfg.Logger.Warn("the engine cannot be read", slog.Any("error", err))
 	h.statusAt = time.Time{}
 	h.status = Status{}
-	h.holder = nil
+	h.controller = nil
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-// next returns the order that is due, not the same one again at once.
-func (h *Host) next() (Order, bool) {
+// nextOrder returns the order that is due. The same order is repeated only after minRepeatInterval.
+func (h *Host) nextOrder() (Order, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.holder == nil {
+	if h.controller == nil {
 		return Order{}, false
 	}
-	order, ok := h.holder.NextOrder()
+	order, ok := h.controller.NextOrder()
 	if !ok {
 		return Order{}, false
 	}
-	repeated := order.Kind == h.last.Kind && order.Version == h.last.Version && order.Step == h.last.Step && order.Formation == h.last.Formation
-	if repeated && time.Since(h.lastAt) < h.repeatAfter(order.Kind) {
+	repeated := order.Kind == h.lastOrder.Kind && order.Version == h.lastOrder.Version && order.Step == h.lastOrder.Step && order.Formation == h.lastOrder.Formation
+	if repeated && time.Since(h.lastOrderAt) < h.minRepeatInterval(order.Kind) {
 		return Order{}, false
 	}
-	h.last, h.lastAt, h.answered = order, time.Now(), false
+	h.lastOrder, h.lastOrderAt, h.lastAnswered = order, time.Now(), false
 	return order, true
 }
 
-// repeatAfter is the least time between two orders of a kind; the lock is held.
-func (h *Host) repeatAfter(kind OrderKind) time.Duration {
-	if kind == Prepare && h.answered {
-		return prepareRetry
+// minRepeatInterval returns the least time between two identical orders of a kind. The lock is
+// held.
+func (h *Host) minRepeatInterval(kind OrderKind) time.Duration {
+	if kind == Prepare && h.lastAnswered {
+		return prepareRetryInterval
 	}
-	return busyPoll
+	return switchPollInterval
 }
 
-// rest is the pause until the next look when no order is due.
-func (h *Host) rest() time.Duration {
+// nextPollDelay returns the delay until the next poll when no order is due.
+func (h *Host) nextPollDelay() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.holder != nil && h.holder.SwitchInProgress() {
-		return busyPoll
+	if h.controller != nil && h.controller.SwitchInProgress() {
+		return switchPollInterval
 	}
 	return h.cfg.PollInterval
 }
 
-// Status returns the engine's status and when it was read; ok is false while the
-// engine cannot be read.
+// Status returns the engine's status and when it was read; ok is false while the engine cannot be
+// read.
 func (h *Host) Status() (s Status, at time.Time, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.status, h.statusAt, !h.statusAt.IsZero()
 }
 
-// Changed returns a channel that closes when the rank's group has changed.
+// Changed returns a channel that is closed when the rank's group has changed.
 func (h *Host) Changed() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/rankhost/pause.go
+++ b/rankhost/pause.go
@@ -7,9 +7,9 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// pushedBack notes the pause that an engine has asked for with a rejection, and reports whether
-// it has.
-func (h *Host) pushedBack(err error) bool {
+// recordPushback records the pause that the engine has requested by rejecting a call, and reports
+// whether it has requested one.
+func (h *Host) recordPushback(err error) bool {
 	if err == nil {
 		return false
 	}
@@ -19,18 +19,18 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.quietUntil = time.Now().Add(pause)
+	h.pausedUntil = time.Now().Add(pause)
 	h.cfg.Logger.Info("the engine asked for a pause", slog.Duration("pause", pause))
 	return true
 }
 
-// quiet is how long the engine is not to be read. What a switch of maps needs goes on: all ranks
-// of the group may stand still for it.
-func (h *Host) quiet() time.Duration {
+// pauseRemaining returns how long the engine must not be polled. During a switch it returns zero:
+// all ranks of the group may be waiting for the switch.
+func (h *Host) pauseRemaining() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.holder != nil && h.holder.SwitchInProgress() {
+	if h.controller != nil && h.controller.SwitchInProgress() {
 		return 0
 	}
-	return time.Until(h.quietUntil)
+	return time.Until(h.pausedUntil)
 }
--- a/rankhost/pushback_test.go
+++ b/rankhost/pushback_test.go
@@ -13,20 +13,21 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// pausingEngine rejects everything and asks for a pause.
+// pausingEngine rejects every call and requests a pause.
 type pausingEngine struct{ reads atomic.Int64 }
 
 func (e *pausingEngine) reject() error {
 	e.reads.Add(1)
-	return fault.New(fault.Unavailable, "the engine rejects everything", "wait").After(time.Minute)
+	return fault.New(fault.Unavailable, "the engine rejects all calls", "wait").After(time.Minute)
 }
 
 func (e *pausingEngine) Status(context.Context) (Status, error) { return Status{}, e.reject() }
 func (e *pausingEngine) Counts(context.Context) (Counts, error) { return Counts{}, e.reject() }
 func (e *pausingEngine) SendOrder(context.Context, Order) error { return e.reject() }
 
-// Guards against a host that polls an engine which has asked for a pause, by itself or for others.
-func TestAHostKeepsThePauseOfItsEngine(t *testing.T) {
+// Guards against a host that polls an engine during a pause that the engine has requested, on its
+// own or on request of the coordinator.
+func TestHostRespectsEnginePause(t *testing.T) {
 	t.Parallel()
 	engine := &pausingEngine{}
 	h := NewHost(Config{Engine: engine, PollInterval: 5 * time.Millisecond, CountInterval: 5 * time.Millisecond, Logger: slog.New(slog.DiscardHandler)})
--- a/rankhost/relay.go
+++ b/rankhost/relay.go
@@ -11,112 +11,115 @@
 )
 
 const (
-	// relayWait is how long the answers of other hosts are waited for, from the request on:
-	// somewhat longer than a host keeps a call for what its engine is doing. What comes
-	// later is told with the next answer.
-	relayWait = 60 * time.Millisecond
+	// relayTimeout bounds the wait for the responses of other hosts, counted from the receipt of
+	// the request. It is slightly longer than a host holds a call open for its engine. A later
+	// response is returned with the next one.
+	relayTimeout = 60 * time.Millisecond
 	// forwardTimeout bounds a call to another host.
 	forwardTimeout = time.Second
-	// maxLate bounds the late answers that are kept; the leader asks again for what
-	// is dropped.
-	maxLate = 32
+	// maxLateResponses bounds the late responses that are kept; the leader asks again for those
+	// that are dropped.
+	maxLateResponses = 32
 )
 
-// relay passes requests of the leader on to other hosts of ranks. Its lock is a leaf.
+// relay forwards the leader's requests to the hosts of other ranks. Its lock is a leaf lock.
 type relay struct {
 	// call calls the host at an address.
 	call   func(ctx context.Context, addr string, request *agentv1.GroupRequest) (*agentv1.GroupResponse, error)
 	logger *slog.Logger
 
 	mu sync.Mutex
-	// calling names the hosts with a call under way.
-	calling map[string]bool
-	// late are answers that came after that which they were for.
-	late []*agentv1.GroupResponse
+	// inFlight holds the addresses of the hosts with a call in progress.
+	inFlight map[string]bool
+	// lateResponses holds responses that arrived after their round had finished.
+	lateResponses []*agentv1.GroupResponse
 }
 
-// round is one request's calls to other hosts. Its fields are guarded by the relay's lock.
+// round is the set of calls to other hosts for one request. Its fields are guarded by the relay's
+// lock.
 type round struct {
 	relay   *relay
 	pending int
 	merged  *agentv1.GroupResponse
-	// wait ends after relayWait.
-	wait *time.Timer
-	// over is set once the answer has been given; done closes when no call is pending.
-	over bool
-	done chan struct{}
+	// timer fires after relayTimeout.
+	timer *time.Timer
+	// finished is set once the response has been returned; done is closed when no call is pending.
+	finished bool
+	done     chan struct{}
 }
 
-// begin passes on what a request has for other hosts.
-func (r *relay) begin(ctx context.Context, request *agentv1.GroupRequest) *round {
-	b := &round{relay: r, merged: &agentv1.GroupResponse{}, wait: time.NewTimer(relayWait), done: make(chan struct{})}
+// start forwards the parts of a request that are addressed to other hosts. A host with a call in
+// progress is skipped.
+func (r *relay) start(ctx context.Context, request *agentv1.GroupRequest) *round {
+	result := &round{relay: r, merged: &agentv1.GroupResponse{}, timer: time.NewTimer(relayTimeout), done: make(chan struct{})}
 	ctx = context.WithoutCancel(ctx)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, forward := range request.GetForwards() {
-		addr, passed := forward.GetAddr(), forward.GetRequest()
-		if r.calling[addr] || passed == nil {
+		addr, forwarded := forward.GetAddr(), forward.GetRequest()
+		if r.inFlight[addr] || forwarded == nil {
 			continue
 		}
-		if len(passed.GetMessages()) > 0 {
-			passed.Maps = request.GetMaps()
+		if len(forwarded.GetMessages()) > 0 {
+			forwarded.Maps = request.GetMaps()
 		}
-		r.calling[addr] = true
-		b.pending++
-		go b.forward(ctx, addr, passed)
+		r.inFlight[addr] = true
+		result.pending++
+		go result.forward(ctx, addr, forwarded)
 	}
-	if b.pending == 0 {
-		close(b.done)
+	if result.pending == 0 {
+		close(result.done)
 	}
-	return b
+	return result
 }
 
-// forward calls one host and takes in its answer.
-func (b *round) forward(ctx context.Context, addr string, request *agentv1.GroupRequest) {
-	limited, cancel := context.WithTimeout(ctx, forwardTimeout)
+// forward calls one host and adds its response to the round.
+func (r *round) forward(ctx context.Context, addr string, request *agentv1.GroupRequest) {
+	callCtx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	response, err := b.relay.call(limited, addr, request)
+	response, err := r.relay.call(callCtx, addr, request)
 	if err != nil {
-		b.relay.logger.Debug("another host did not take a request of the leader", slog.String("host", addr), slog.Any("error", err))
+		r.relay.logger.Debug("cannot relay a request of the leader to another host", slog.String("host", addr), slog.Any("error", err))
 	}
-	b.relay.mu.Lock()
-	defer b.relay.mu.Unlock()
-	delete(b.relay.calling, addr)
+	r.relay.mu.Lock()
+	defer r.relay.mu.Unlock()
+	delete(r.relay.inFlight, addr)
 	if err == nil {
 		response.Answered = append(response.Answered, addr)
-		b.take(response)
+		r.addResponse(response)
 	}
-	b.pending--
-	if b.pending == 0 {
-		close(b.done)
+	r.pending--
+	if r.pending == 0 {
+		close(r.done)
 	}
 }
 
-// take keeps an answer; the relay's lock is held.
-func (b *round) take(response *agentv1.GroupResponse) {
-	if !b.over {
-		fanout.Merge(b.merged, response)
+// addResponse adds a response to the round, or to the late responses if the round has finished. The
+// relay's lock is held.
+func (r *round) addResponse(response *agentv1.GroupResponse) {
+	if !r.finished {
+		fanout.Merge(r.merged, response)
 		return
 	}
-	if len(b.relay.late) < maxLate {
-		b.relay.late = append(b.relay.late, response)
+	if len(r.relay.lateResponses) < maxLateResponses {
+		r.relay.lateResponses = append(r.relay.lateResponses, response)
 	}
 }
 
-// end waits for the other hosts' answers and adds them to the host's own.
-func (b *round) end(ctx context.Context, own *agentv1.GroupResponse) {
-	defer b.wait.Stop()
+// finish waits for the responses of the other hosts and merges them into the host's own.
+func (r *round) finish(ctx context.Context, own *agentv1.GroupResponse) {
+	defer r.timer.Stop()
 	select {
-	case <-b.done:
-	case <-b.wait.C:
+	case <-r.done:
+	case <-r.timer.C:
 	case <-ctx.Done():
 	}
-	b.relay.mu.Lock()
-	defer b.relay.mu.Unlock()
-	b.over = true
-	fanout.Merge(own, b.merged)
-	for _, response := range b.relay.late {
+	r.relay.mu.Lock()
+	defer r.relay.mu.Unlock()
+	r.finished = true
+	fanout.Merge(own, r.merged)
+	for _, response := range r.relay.lateResponses {
 		fanout.Merge(own, response)
 	}
-	b.relay.late = nil
+	r.relay.lateResponses = nil
 }
--- a/rankhost/report_test.go
+++ b/rankhost/report_test.go
@@ -7,14 +7,14 @@
 	"github.com/matryer/is"
 )
 
-// TestManyReadersShareTheReports keeps what a host sends within its budget: as asked with the
-// 5 and 14 entries of the smaller deployments, more rarely with 36.
-func TestManyReadersShareTheReports(t *testing.T) {
+// The reports of a host stay within maxReportsPerSecond: at the requested interval with the 5 and
+// 14 entries of the smaller deployments, at a longer one with 36.
+func TestReportIntervalGrowsWithReaders(t *testing.T) {
 	is := is.New(t)
-	const asked = 100 * time.Millisecond
-	is.Equal(reportInterval(asked, 5), asked)
-	is.Equal(reportInterval(asked, 14), asked)
-	is.Equal(reportInterval(asked, 36), 225*time.Millisecond)
-	is.Equal(reportInterval(0, 1), defaultReport)
-	is.Equal(reportInterval(time.Millisecond, 1), leastReport)
+	const requested = 100 * time.Millisecond
+	is.Equal(reportInterval(requested, 5), requested)
+	is.Equal(reportInterval(requested, 14), requested)
+	is.Equal(reportInterval(requested, 36), 225*time.Millisecond)
+	is.Equal(reportInterval(0, 1), defaultReportInterval)
+	is.Equal(reportInterval(time.Millisecond, 1), minReportInterval)
 }
--- a/rankhost/settings.go
+++ b/rankhost/settings.go
@@ -8,27 +8,27 @@
 	"github.com/lilackeel/lilackeel/telemetry"
 )
 
-// Settings are the checked settings of the daemon.
+// Settings are the validated settings of the daemon.
 type Settings struct {
-	// Name names the daemon uniquely in the fleet; Zone is its availability zone.
+	// Name is the daemon's name, unique in the fleet; Zone is its availability zone.
 	Name, Zone string
-	// Listen is the address at which control replicas and entries reach it.
+	// Listen is the address for control replicas and entries.
 	Listen string
-	// Control are the control replicas.
+	// Control lists the addresses of the control replicas.
 	Control []string
 	// Endpoint is the engine's own address, Pool the pool that it belongs to.
 	Endpoint, Pool string
-	// PollInterval is the time between two looks at the engine at rest,
-	// CountInterval the least time between two readings of its experts' counts.
+	// PollInterval is the poll interval while no switch is in progress, CountInterval the least
+	// time between two reads of the engine's expert counts.
 	PollInterval, CountInterval time.Duration
-	// HeartbeatInterval is the time between two announcements.
+	// HeartbeatInterval is the average interval between announcements.
 	HeartbeatInterval time.Duration
-	// Link secures the connections, Telemetry sets up logs, metrics and traces.
+	// Link configures the security of connections, Telemetry logs, metrics and traces.
 	Link      link.Config
 	Telemetry telemetry.Config
 }
 
-// defaultAdminListen differs from the other daemons' so that all can share a
+// defaultAdminListen differs from that of the other daemons, so that all of them can run on one
 // host.
 const defaultAdminListen = "127.0.0.1:9094"
 
@@ -41,9 +41,9 @@
 	set.List(&s.Control, "control", nil, "control replicas", setting.Required, setting.HostPort)
 	set.String(&s.Endpoint, "endpoint", "", "the engine's own address", setting.Required, setting.HostPort)
 	set.String(&s.Pool, "pool", "", "pool that the engine belongs to", setting.Required, setting.Name)
-	set.Duration(&s.PollInterval, "poll-interval", 100*time.Millisecond, "time between two looks at the engine at rest", millisecond)
-	set.Duration(&s.CountInterval, "count-interval", 50*time.Millisecond, "least time between two readings of the experts' counts, which the control leader asks for", millisecond)
-	set.Duration(&s.HeartbeatInterval, "heartbeat-interval", time.Second, "time between two announcements", millisecond)
+	set.Duration(&s.PollInterval, "poll-interval", 100*time.Millisecond, "poll interval of the engine while no switch of maps is in progress", millisecond)
+	set.Duration(&s.CountInterval, "count-interval", 50*time.Millisecond, "least time between two reads of the expert counts, which the control leader requests", millisecond)
+	set.Duration(&s.HeartbeatInterval, "heartbeat-interval", time.Second, "average interval between announcements", millisecond)
 	s.Telemetry.AdminListen = defaultAdminListen
 	link.Settings(set, &s.Link)
 	telemetry.Settings(set, &s.Telemetry)
--- a/rankhost/shared_test.go
+++ b/rankhost/shared_test.go
@@ -16,9 +16,9 @@
 	"github.com/lilackeel/lilackeel/sharing"
 )
 
-// Guards against a host of a rank that permits requests, or takes in what an endpoint names,
-// and passes none of it on to the entries that read its reports.
-func TestAHostOfARankPassesLimitsOn(t *testing.T) {
+// Guards against a rank's host that grants permits, or receives a rate limit of an endpoint, but
+// does not report it to the entries that read its reports.
+func TestHostReportsRateLimits(t *testing.T) {
 	is := is.New(t)
 	host := NewHost(Config{Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	server := grpc.NewServer()
@@ -35,8 +35,8 @@
 	reports, err := client.Reports(t.Context(), &agentv1.ReportsRequest{IntervalMs: 20})
 	is.NoErr(err)
 	rate := 1.0
-	named := &agentv1.RateLimit{Endpoint: "e/1", Rate: &rate, SentAgeMs: 2, AgeMs: 1}
-	permit, err := client.Permit(context.Background(), &agentv1.PermitRequest{Limit: named, Wanted: true})
+	limit := &agentv1.RateLimit{Endpoint: "e/1", Rate: &rate, SentAgeMs: 2, AgeMs: 1}
+	permit, err := client.Permit(context.Background(), &agentv1.PermitRequest{Limit: limit, Wanted: true})
 	is.NoErr(err)
 	is.True(!permit.GetGranted())
 	is.True(permit.GetWaitMs() > 0 && permit.GetWaitMs() <= 1000)
