--- a/site/site_test.go
+++ b/site/site_test.go
@@ -12,7 +12,7 @@
 	return &fleetv1.Route{Name: name, Host: host, PathPrefix: prefix}
 }
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestLongestPrefixOfHostWins(t *testing.T) {
 	table := NewTable(&fleetv1.Site{Routes: []*fleetv1.Route{
 		route("all", "a.example", "/"), route("deep", "a.example", "/x/y/"), route("short", "A.example", "/x/"), route("other", "b.example", "/x/y/z/"),
 	}})
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestWeightsSplitTheDraws(t *testing.T) {
+func TestPoolDrawFollowsWeights(t *testing.T) {
 	is := is.New(t)
 	r := &fleetv1.Route{Splits: []*fleetv1.Split{{Pool: "a", Weight: 3}, {Pool: "none"}, {Pool: "b", Weight: 1}}}
 	counts := map[string]int{}
@@ -37,7 +37,7 @@
 	is.Equal(PickPool(&fleetv1.Route{}, 7), "")
 }
 
-func TestAKeyStandsForItsWorkspace(t *testing.T) {
+func TestKeyIdentifiesWorkspace(t *testing.T) {
 	is := is.New(t)
 	first := int32(0)
 	w := &fleetv1.Workspace{Name: "crew", KeyDigests: []string{KeyDigest("k1")}, Priority: &first}
@@ -47,11 +47,11 @@
 	is.Equal(found.GetName(), "crew")
 	_, known = table.Workspace("k2")
 	is.True(!known)
-	is.Equal(Priority(&fleetv1.Route{Priority: 2}, w), 0)   // the workspace's own rank goes first
-	is.Equal(Priority(&fleetv1.Route{Priority: 2}, nil), 2) // a public route has only its own
+	is.Equal(Priority(&fleetv1.Route{Priority: 2}, w), 0)   // the workspace's priority takes precedence
+	is.Equal(Priority(&fleetv1.Route{Priority: 2}, nil), 2) // without a workspace, the route's applies
 }
 
-func TestWhatMayBeRepeatedFollowsFromTheKind(t *testing.T) {
+func TestRetriesDependOnCallKind(t *testing.T) {
 	is := is.New(t)
 	is.True(Repeatable(&fleetv1.Route{Kind: fleetv1.CallKind_CALL_KIND_IDEMPOTENT}))
 	is.True(!Repeatable(&fleetv1.Route{Kind: fleetv1.CallKind_CALL_KIND_SINGLE}))
