--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon runs a daemon from its settings to its planned stop. The mains
+// Package daemon runs a daemon from reading its settings to graceful shutdown. The main packages
 // under cmd share it.
 package daemon
 
@@ -16,45 +16,44 @@
 	"github.com/lilackeel/lilackeel/wait"
 )
 
-// flushTimeout bounds sending the last spans at the end.
+// flushTimeout bounds the export of the remaining spans at shutdown.
 const flushTimeout = 3 * time.Second
 
-// recoverPause is the time before a daemon that has failed is assembled anew.
-const recoverPause = 300 * time.Millisecond
+// recoverDelay is the delay before a failed daemon is created anew.
+const recoverDelay = 300 * time.Millisecond
 
-// Daemon is an assembled daemon.
+// Daemon is a daemon that is ready to run.
 type Daemon interface {
-	// Ready says whether the daemon takes new work.
+	// Ready reports whether the daemon accepts new work.
 	Ready() *telemetry.Ready
-	// Run serves until ctx ends and then stops without cutting work in flight.
+	// Run serves until ctx ends and then stops without interrupting work in progress.
 	Run(ctx context.Context) error
 }
 
-// Program is a daemon that is not yet assembled.
+// Program describes how a daemon is configured and created.
 type Program struct {
 	// Name is the name of the program.
 	Name string
 	// Register registers the settings.
 	Register func(*setting.Set)
-	// Telemetry is filled when the settings are parsed; its Host names the
-	// daemon in the logs.
+	// Telemetry is set when the settings are parsed; its Host names the daemon in the logs.
 	Telemetry *telemetry.Config
-	// New assembles the daemon once the settings are parsed and checked.
+	// New creates the daemon once the settings are parsed and checked.
 	New func(*slog.Logger) (Daemon, error)
-	// Reload puts settings in force that may change while the daemon runs. It
-	// registers all settings anew, reads them with parse, and returns its error,
-	// upon which everything stays as it was. Nil: a reload changes nothing.
+	// Reload applies the settings that may change while the daemon runs. It registers all settings
+	// anew, reads them with parse and returns its error, in which case nothing changes. If it is
+	// nil, a reload changes nothing.
 	Reload func(d Daemon, parse func(*setting.Set) error) error
-	// Recover is asked when the daemon has failed: it may remove the cause and
-	// return true, and the daemon is assembled anew. Nil: a failure ends it.
+	// Recover is called when the daemon has failed. If it removes the cause, it returns true and
+	// the daemon is created anew. If it is nil, every failure ends the program.
 	Recover func(err error, logger *slog.Logger) bool
-	// Args are the arguments; nil for those of the process.
+	// Args are the command-line arguments; nil means those of the process.
 	Args []string
 }
 
-// Main runs the program with the arguments and the environment of this process
-// until SIGTERM or an interrupt, and returns the exit code. SIGHUP, or a change
-// of the file of settings, is a reload and never an end.
+// Main runs the program with its arguments and the environment of this process until SIGTERM or an
+// interrupt, and returns the exit code. SIGHUP or a change of the settings file triggers a reload
+// and never ends the program.
 func Main(p Program) int {
 	if p.Args == nil {
 		p.Args = os.Args[1:]
@@ -78,7 +77,7 @@
 	reloads := &reloader{program: p, file: set.File(), logger: logger, hangup: hangup}
 	err := p.run(ctx, logger, reloads)
 	for err != nil && ctx.Err() == nil && p.Recover != nil && p.Recover(err, logger) {
-		wait.For(ctx, recoverPause)
+		wait.For(ctx, recoverDelay)
 		err = p.run(ctx, logger, reloads)
 	}
 	if err != nil {
@@ -89,16 +88,16 @@
 	return 0
 }
 
-// run serves until ctx ends.
+// run creates the daemon and serves until ctx ends.
 func (p Program) run(ctx context.Context, logger *slog.Logger, reloads *reloader) (err error) {
 	flush, err := telemetry.Tracing(ctx, *p.Telemetry)
 	if err != nil {
 		return err
 	}
 	defer func() {
-		limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), flushTimeout)
+		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), flushTimeout)
 		defer cancel()
-		err = errors.Join(err, flush(limited))
+		err = errors.Join(err, flush(callCtx))
 	}()
 	d, err := p.New(logger)
 	if err != nil {
@@ -109,8 +108,8 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, admin.Shutdown(context.WithoutCancel(ctx))) }()
-	running, ended := context.WithCancel(ctx)
-	defer ended()
-	go reloads.run(running, d)
+	reloadCtx, stopReloads := context.WithCancel(ctx)
+	defer stopReloads()
+	go reloads.run(reloadCtx, d)
 	return d.Run(ctx)
 }
--- a/daemon/reload.go
+++ b/daemon/reload.go
@@ -9,40 +9,39 @@
 	"github.com/lilackeel/lilackeel/setting"
 )
 
-// filePoll is the time between two looks at the file of settings, which may
-// change without a signal.
-const filePoll = time.Second
+// filePollInterval is the interval at which the settings file is checked for changes, which may
+// come without a signal.
+const filePollInterval = time.Second
 
-// reloader reads the settings again on a signal, or when their file has
-// changed.
+// reloader reads the settings again on SIGHUP or when their file has changed.
 type reloader struct {
 	program Program
 	file    string
 	logger  *slog.Logger
 	hangup  <-chan os.Signal
-	// seen is the file's state at the last reload.
-	seen fileState
+	// lastState is the file's state at the last reload.
+	lastState fileState
 }
 
-// fileState tells two versions of a file apart.
+// fileState distinguishes versions of a file.
 type fileState struct {
-	changed time.Time
+	modTime time.Time
 	size    int64
 }
 
-func stateOf(path string) fileState {
+func statFile(path string) fileState {
 	info, err := os.Stat(path)
 	if path == "" || err != nil {
-		// A file that is being replaced is looked at again later.
+		// A file that is being replaced is checked again at the next poll.
 		return fileState{}
 	}
-	return fileState{changed: info.ModTime(), size: info.Size()}
+	return fileState{modTime: info.ModTime(), size: info.Size()}
 }
 
-// run reloads until ctx ends.
+// run handles reloads until ctx ends.
 func (r *reloader) run(ctx context.Context, d Daemon) {
-	r.seen = stateOf(r.file)
-	ticker := time.NewTicker(filePoll)
+	r.lastState = statFile(r.file)
+	ticker := time.NewTicker(filePollInterval)
 	defer ticker.Stop()
 	for {
 		reason := "SIGHUP"
@@ -51,21 +50,20 @@
 			return
 		case <-r.hangup:
 		case <-ticker.C:
-			reason = "the file of settings has changed"
-			if now := stateOf(r.file); now == r.seen || now == (fileState{}) {
+			reason = "the settings file has changed"
+			if state := statFile(r.file); state == r.lastState || state == (fileState{}) {
 				continue
 			}
 		}
-		r.seen = stateOf(r.file)
+		r.lastState = statFile(r.file)
 		r.reload(d, reason)
 	}
 }
 
-// reload reads the settings and puts in force what may change. With an error
-// everything stays as it was.
+// reload reads the settings and applies those that may change. On error nothing changes.
 func (r *reloader) reload(d Daemon, reason string) {
 	if r.program.Reload == nil {
-		r.logger.Info("reload: no setting of this daemon can change while it runs", slog.String("reason", reason))
+		r.logger.Info("reload ignored: no setting of this daemon can change while it runs", slog.String("reason", reason))
 		return
 	}
 	err := r.program.Reload(d, func(set *setting.Set) error {
@@ -73,7 +71,7 @@
 		return err
 	})
 	if err != nil {
-		r.logger.Warn("reload failed, the settings stay as they were", slog.String("reason", reason), slog.Any("error", err))
+		r.logger.Warn("reload failed; the previous settings remain in force", slog.String("reason", reason), slog.Any("error", err))
 		return
 	}
 	r.logger.Info("reloaded the settings", slog.String("reason", reason))
