--- a/agent/daemon.go
+++ b/agent/daemon.go
@@ -72,7 +72,7 @@
 	if d.announcer.addr == "" {
 		d.announcer.addr = listener.Addr().String()
 	}
-	if d.ranks.Any() {
+	if d.ranks.HasMembers() {
 		if d.steps, err = link.Listen(ctx, d.settings.StepsListen); err != nil {
 			return "", trace.NewAggregate(trace.Wrap(err, "cannot listen on %s", d.settings.StepsListen), listener.Close())
 		}
--- a/agent/engineapi/ranks.go
+++ b/agent/engineapi/ranks.go
@@ -64,7 +64,7 @@
 }
 
 // Experts counts the tokens that the rank's experts have handled in its run.
-type Experts struct {
+type ExpertCounts struct {
 	// Run names the run of the engine, as in StepRequest.
 	Run string `json:"run"`
 	// Steps counts the steps run.
--- a/agent/hopbyhop/hopbyhop.go
+++ b/agent/hopbyhop/hopbyhop.go
@@ -27,7 +27,7 @@
 
 // Named returns the canonical names of the headers that Connection makes
 // hop-by-hop in this message; nil for none.
-func Named(header http.Header) map[string]bool {
+func ConnectionOptions(header http.Header) map[string]bool {
 	var named map[string]bool
 	for _, value := range header.Values("Connection") {
 		for name := range strings.SplitSeq(value, ",") {
@@ -42,7 +42,7 @@
 
 // Remove removes the hop-by-hop headers of a message.
 func Remove(header http.Header) {
-	for name := range Named(header) {
+	for name := range ConnectionOptions(header) {
 		header.Del(name)
 	}
 	for name := range always {
--- a/agent/hopbyhop/hopbyhop_test.go
+++ b/agent/hopbyhop/hopbyhop_test.go
@@ -19,7 +19,7 @@
 	for _, name := range []string{"TE", "keep-alive", "Upgrade", "X-Secret", "X-Other", "X-Kept"} {
 		header.Set(name, "value")
 	}
-	is.Equal(hopbyhop.Named(header), map[string]bool{"Close": true, "X-Secret": true, "X-Other": true})
+	is.Equal(hopbyhop.ConnectionOptions(header), map[string]bool{"Close": true, "X-Secret": true, "X-Other": true})
 	hopbyhop.Remove(header)
 	is.Equal(header, http.Header{"X-Kept": {"value"}})
 	is.True(hopbyhop.Is("transfer-encoding"))
--- a/agent/ranklink.go
+++ b/agent/ranklink.go
@@ -28,7 +28,7 @@
 		Members:        members,
 		Control:        mapReader{c},
 		Engines:        rankEngines{orderer: o, controls: c},
-		Ahead:          s.StepsAhead,
+		StepsAhead:     s.StepsAhead,
 		ExpertInterval: pollsPerCount * s.PollInterval,
 		Logger:         logger,
 	})
@@ -83,8 +83,8 @@
 }
 
 // Experts implements ranks.Engines.
-func (e rankEngines) Experts(ctx context.Context, endpoint string) (engineapi.Experts, error) {
-	var experts engineapi.Experts
+func (e rankEngines) ReadExperts(ctx context.Context, endpoint string) (engineapi.ExpertCounts, error) {
+	var experts engineapi.ExpertCounts
 	status, err := e.orderer.client.exchange(ctx, http.MethodGet, e.orderer.targets[endpoint].endpoint, engineapi.PathExperts, nil, &experts)
 	if err == nil && status != http.StatusOK {
 		err = fault.Newf(fault.Unavailable, "use an engine that counts what its experts handle",
--- a/agent/ranks/experts.go
+++ b/agent/ranks/experts.go
@@ -34,11 +34,11 @@
 func (r *Ranks) countOne(m *machine) {
 	ctx, cancel := context.WithTimeout(r.background, expertTimeout)
 	defer cancel()
-	read, err := r.cfg.Engines.Experts(ctx, m.member.Endpoint)
+	read, err := r.cfg.Engines.ReadExperts(ctx, m.member.Endpoint)
 	if err != nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m.experts.Read(read)
+	m.experts.Record(read)
 }
--- a/agent/ranks/ranks.go
+++ b/agent/ranks/ranks.go
@@ -38,7 +38,7 @@
 	// than the order's. It returns once the weights are in place.
 	LoadMap(ctx context.Context, endpoint string, order engineapi.Order) error
 	// Experts reads what the experts of an engine have handled.
-	Experts(ctx context.Context, endpoint string) (engineapi.Experts, error)
+	ReadExperts(ctx context.Context, endpoint string) (engineapi.ExpertCounts, error)
 }
 
 // Config sets up Ranks.
@@ -49,7 +49,7 @@
 	Control Control
 	Engines Engines
 	// Ahead is the number of steps granted from an engine's position on.
-	Ahead int
+	StepsAhead int
 	// ExpertInterval is the least time between two readings of what an engine's
 	// experts have handled.
 	ExpertInterval time.Duration
@@ -102,14 +102,14 @@
 }
 
 // Any reports whether the agent serves any rank.
-func (r *Ranks) Any() bool { return len(r.machines) > 0 }
+func (r *Ranks) HasMembers() bool { return len(r.machines) > 0 }
 
 // Run drives the machines until ctx ends.
 func (r *Ranks) Run(ctx context.Context) {
 	defer r.end()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	for r.Any() {
+	for r.HasMembers() {
 		select {
 		case <-ctx.Done():
 			return
--- a/agent/ranks/ranks_test.go
+++ b/agent/ranks/ranks_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-func (h *host) Experts(context.Context, string) (engineapi.Experts, error) {
-	return engineapi.Experts{}, nil
+func (h *host) ReadExperts(context.Context, string) (engineapi.ExpertCounts, error) {
+	return engineapi.ExpertCounts{}, nil
 }
 
 // newHost returns a host whose group runs epoch 1, and the machines beside it.
@@ -64,7 +64,7 @@
 	}
 	r := New(Config{
 		Members: []Member{{Group: testGroup, Rank: 0, Endpoint: "engine-1"}},
-		Control: h, Engines: h, Ahead: 16, Logger: slog.New(slog.DiscardHandler),
+		Control: h, Engines: h, StepsAhead: 16, Logger: slog.New(slog.DiscardHandler),
 	})
 	go r.Run(t.Context())
 	return h, r
@@ -172,7 +172,7 @@
 func BenchmarkSteps(b *testing.B) {
 	for _, ahead := range []int{1, 16} {
 		b.Run(fmt.Sprintf("ahead=%d", ahead), func(b *testing.B) {
-			r := New(Config{Members: []Member{{Group: testGroup}}, Ahead: ahead, Logger: slog.New(slog.DiscardHandler)})
+			r := New(Config{Members: []Member{{Group: testGroup}}, StepsAhead: ahead, Logger: slog.New(slog.DiscardHandler)})
 			m := r.machines[rankName{testGroup, 0}]
 			m.begin("a")
 			stored := mapwire.Stored{Map: group.RoundRobin(group.Shape{Layers: 1, Experts: 4, Ranks: 1, Slots: 4})}
--- a/agent/ranks/steps.go
+++ b/agent/ranks/steps.go
@@ -71,7 +71,7 @@
 		return grant, nil, false
 	}
 	changed = m.changed
-	grant, out := m.ask(r.now(), asked, uint64(r.cfg.Ahead))
+	grant, out := m.ask(r.now(), asked, uint64(r.cfg.StepsAhead))
 	r.emit(out)
 	return grant, changed, true
 }
--- a/agent/tally/tally.go
+++ b/agent/tally/tally.go
@@ -15,11 +15,11 @@
 // zero Tally has seen nothing. It is not safe for concurrent use.
 type Tally struct {
 	// last is the newest reading, reported the one up to which was reported.
-	last, reported engineapi.Experts
+	last, reported engineapi.ExpertCounts
 }
 
 // Read takes in a reading. One that is older than the last is dropped.
-func (t *Tally) Read(read engineapi.Experts) {
+func (t *Tally) Record(read engineapi.ExpertCounts) {
 	if read.Run != t.last.Run || read.Steps >= t.last.Steps {
 		t.last = read
 	}
--- a/entry/headers.go
+++ b/entry/headers.go
@@ -35,7 +35,7 @@
 
 // forwardedHeaders returns the request headers that are forwarded to the endpoint.
 func forwardedHeaders(header http.Header) []*controlv1.Header {
-	connectionHeaders := hopbyhop.Named(header)
+	connectionHeaders := hopbyhop.ConnectionOptions(header)
 	forwarded := make([]*controlv1.Header, 0, len(header)+2)
 	for name, values := range header {
 		if hopbyhop.Is(name) || unforwardedHeaders[name] || connectionHeaders[name] {
--- a/rankhost/counting.go
+++ b/rankhost/counting.go
@@ -31,7 +31,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.holder == holder && counts.Formation == holder.formation && sameStart(counts.Started, h.status.Started) {
-		h.counts.Read(counts.experts(holder.group))
+		h.counts.Record(counts.experts(holder.group))
 	}
 }
 
@@ -40,6 +40,6 @@
 
 // experts returns the counts as a tally takes them, with all layers as one: the
 // engine does not say how many experts a layer has.
-func (c Counts) experts(group string) engineapi.Experts {
-	return engineapi.Experts{Run: group, Steps: c.Step, Tokens: [][]uint64{c.Chosen}}
+func (c Counts) experts(group string) engineapi.ExpertCounts {
+	return engineapi.ExpertCounts{Run: group, Steps: c.Step, Tokens: [][]uint64{c.Chosen}}
 }
--- a/routed/headers.go
+++ b/routed/headers.go
@@ -68,7 +68,7 @@
 
 // forward returns the caller's headers that an endpoint gets.
 func forward(header http.Header, private map[string]bool) http.Header {
-	named := hopbyhop.Named(header)
+	named := hopbyhop.ConnectionOptions(header)
 	forwarded := make(http.Header, len(header)+6)
 	for name, values := range header {
 		if !hopbyhop.Is(name) && !private[name] && !named[name] {
@@ -80,7 +80,7 @@
 
 // deliverable copies an endpoint's headers to the caller's answer.
 func deliverable(from, to http.Header) {
-	named := hopbyhop.Named(from)
+	named := hopbyhop.ConnectionOptions(from)
 	for name, values := range from {
 		if !hopbyhop.Is(name) && !named[name] && name != "Content-Length" {
 			to[name] = values
--- a/standin/rank.go
+++ b/standin/rank.go
@@ -154,5 +154,5 @@
 func (r *rank) serveExperts(w http.ResponseWriter, _ *http.Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	writeJSON(w, http.StatusOK, engineapi.Experts{Run: r.run, Steps: r.steps, Tokens: r.tokens})
+	writeJSON(w, http.StatusOK, engineapi.ExpertCounts{Run: r.run, Steps: r.steps, Tokens: r.tokens})
 }
