--- a/agent/announce.go
+++ b/agent/announce.go
@@ -25,13 +25,13 @@
 	settings   *Settings
 	lockedGate *lockedGate
 	controls   *controls
-	loaded     *loaded
+	loaded     *loadedStates
 	health     *health
 	logger     *slog.Logger
 	addr       string
 
 	// now wakes the loop ahead of its time.
-	now       chan struct{}
+	wakeup    chan struct{}
 	stopping  atomic.Bool
 	announced atomic.Bool
 
@@ -39,22 +39,22 @@
 	sendFull bool
 	// sent is the number of changes of loaded and health that the last full
 	// announcement carried.
-	sent uint64
+	sentChanges uint64
 	// acknowledged is closed once a replica has taken the stop, or none can be any more.
 	acknowledged chan struct{}
 	ackOnce      sync.Once
 }
 
-func newAnnouncer(s *Settings, k *lockedGate, c *controls, l *loaded, h *health, logger *slog.Logger) *announcer {
+func newAnnouncer(s *Settings, g *lockedGate, c *controls, l *loadedStates, h *health, logger *slog.Logger) *announcer {
 	a := &announcer{
 		settings:     s,
-		lockedGate:   k,
+		lockedGate:   g,
 		controls:     c,
 		loaded:       l,
 		health:       h,
 		logger:       logger,
 		addr:         s.Advertise,
-		now:          make(chan struct{}, 1),
+		wakeup:       make(chan struct{}, 1),
 		sendFull:     true,
 		acknowledged: make(chan struct{}),
 	}
@@ -86,7 +86,7 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-a.now:
+	case <-a.wakeup:
 	case <-ctx.Done():
 	}
 }
@@ -105,15 +105,15 @@
 // wake announces ahead of time, for example when an endpoint has drained.
 func (a *announcer) wake() {
 	select {
-	case a.now <- struct{}{}:
+	case a.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 // announce sends one heartbeat and returns the time until the next.
 func (a *announcer) announce(ctx context.Context) (time.Duration, error) {
-	changes := a.loaded.changed() + a.health.changed()
-	request := a.request(changes)
+	changes := a.loaded.changeCount() + a.health.transitionCount()
+	request := a.newRequest(changes)
 	var response *controlv1.AnnounceResponse
 	err := a.controls.Ask(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
 		var err error
@@ -123,13 +123,13 @@
 	if err != nil {
 		return 0, err
 	}
-	a.accept(request, changes, response)
-	return untilNext(a.settings.HeartbeatInterval, response), nil
+	a.handleResponse(request, changes, response)
+	return nextInterval(a.settings.HeartbeatInterval, response), nil
 }
 
 // untilNext returns the time from one announcement to the next: the set interval
 // or the slower pace that the leader asks for, but often enough for the lease.
-func untilNext(interval time.Duration, response *controlv1.AnnounceResponse) time.Duration {
+func nextInterval(interval time.Duration, response *controlv1.AnnounceResponse) time.Duration {
 	if response.GetSendFull() {
 		return time.Millisecond
 	}
@@ -142,11 +142,11 @@
 
 // accept notes that an announcement, made after the given number of changes,
 // was taken.
-func (a *announcer) accept(request *controlv1.AnnounceRequest, changes uint64, response *controlv1.AnnounceResponse) {
+func (a *announcer) handleResponse(request *controlv1.AnnounceRequest, changes uint64, response *controlv1.AnnounceResponse) {
 	a.mu.Lock()
 	a.sendFull = response.GetSendFull() || (a.stopping.Load() && !request.GetStopping())
 	if request.GetFull() {
-		a.sent = changes
+		a.sentChanges = changes
 	}
 	a.mu.Unlock()
 	a.lockedGate.raiseFence(response.GetFence())
@@ -158,7 +158,7 @@
 
 func (a *announcer) acknowledge() { a.ackOnce.Do(func() { close(a.acknowledged) }) }
 
-func (a *announcer) request(changes uint64) *controlv1.AnnounceRequest {
+func (a *announcer) newRequest(changes uint64) *controlv1.AnnounceRequest {
 	s := a.settings
 	drain := a.lockedGate.drain()
 	request := &controlv1.AnnounceRequest{
@@ -171,18 +171,18 @@
 		InFlight:    drain.InFlight,
 	}
 	a.mu.Lock()
-	request.Full = a.sendFull || a.sent != changes
+	request.Full = a.sendFull || a.sentChanges != changes
 	a.mu.Unlock()
 	if request.GetFull() {
-		request.Endpoints = a.endpoints()
+		request.Endpoints = a.announcedEndpoints()
 	}
 	return request
 }
 
-func (a *announcer) endpoints() []*fleetv1.Endpoint {
+func (a *announcer) announcedEndpoints() []*fleetv1.Endpoint {
 	list := make([]*fleetv1.Endpoint, len(a.settings.Endpoints))
 	for i, e := range a.settings.Endpoints {
-		list[i] = e.announced(a.settings)
+		list[i] = e.toProto(a.settings)
 		a.loaded.apply(list[i])
 		if a.health.down(e.ID) {
 			list[i].State = fleetv1.EndpointState_ENDPOINT_STATE_LEAVING
--- a/agent/answer.go
+++ b/agent/answer.go
@@ -41,10 +41,10 @@
 	// framed: the end of the body is told apart from a cut connection.
 	framed bool
 	// terminal: the body must end in a terminal event.
-	terminal bool
-	tail     []byte
-	offset   uint64
-	record   *recording
+	needsTerminal bool
+	tail          []byte
+	offset        uint64
+	record        *recording
 }
 
 func newAnswer(e Endpoint, response *http.Response, offset uint64) *answer {
@@ -52,7 +52,7 @@
 	a.framed = response.ContentLength >= 0 || response.Body == http.NoBody ||
 		len(response.TransferEncoding) > 0 || response.ProtoMajor > 1
 	media, _, _ := mime.ParseMediaType(response.Header.Get("Content-Type"))
-	a.terminal = e.Kind == KindEngine && response.StatusCode == http.StatusOK && media == eventStream
+	a.needsTerminal = e.Kind == KindEngine && response.StatusCode == http.StatusOK && media == eventStream
 	return a
 }
 
@@ -65,9 +65,9 @@
 		n, err := a.response.Body.Read(buffer[:])
 		if n > 0 {
 			part := buffer[:n]
-			a.note(part)
-			if failed := pass(a.offset, part); failed != nil {
-				return failed
+			a.track(part)
+			if passErr := pass(a.offset, part); passErr != nil {
+				return passErr
 			}
 			a.offset += uint64(n)
 		}
@@ -80,9 +80,9 @@
 	}
 }
 
-func (a *answer) note(part []byte) {
+func (a *answer) track(part []byte) {
 	a.record.add(part)
-	if !a.terminal {
+	if !a.needsTerminal {
 		return
 	}
 	if len(part) >= tailSize {
@@ -100,7 +100,7 @@
 	if !a.framed {
 		return errNoFraming
 	}
-	if a.terminal && !endsTerminal(a.tail) {
+	if a.needsTerminal && !endsTerminal(a.tail) {
 		return errNoTerminal
 	}
 	return nil
@@ -118,7 +118,7 @@
 }
 
 // resumed reports whether an answer continues at the offset asked for.
-func (a *answer) resumed(offset uint64) bool {
+func (a *answer) resumedAt(offset uint64) bool {
 	return a.response.Header.Get(engineapi.HeaderResumeOffset) == strconv.FormatUint(offset, 10)
 }
 
--- a/agent/bench_test.go
+++ b/agent/bench_test.go
@@ -23,7 +23,7 @@
 // stand-in engine as well, which run in the same process.
 func BenchmarkOpenStreams(b *testing.B) {
 	engine := standin.NewEngine(standin.EngineConfig{Slots: 1 << 20})
-	s := newSite(b, map[string]http.Handler{"engine": engine})
+	s := newFixture(b, map[string]http.Handler{"engine": engine})
 	s.daemon.service.dispatcher.endpoints["engine"] = s.daemon.settings.Endpoints[0]
 	engine.SetFaults(standin.Faults{Stall: true})
 	before := liveBytes()
@@ -34,8 +34,8 @@
 		d.Incarnation = s.daemon.lockedGate.incarnation()
 		must(s.client.Dispatch(b.Context(), d))
 	}
-	s.until("all streams run", func() bool { return s.daemon.lockedGate.inFlight() == streams })
-	s.until("the engine has them", func() bool { runs, _ := engine.Counts(); return runs == streams })
+	s.waitUntil("all streams run", func() bool { return s.daemon.lockedGate.inFlight() == streams })
+	s.waitUntil("the engine has them", func() bool { runs, _ := engine.Counts(); return runs == streams })
 	b.StopTimer()
 	b.ReportMetric((liveBytes()-before)/float64(streams), "B/stream")
 	engine.SetFaults(standin.Faults{})
@@ -44,7 +44,7 @@
 // BenchmarkDispatch runs whole dispatches through the agent, and direct calls to
 // the same endpoint for comparison in the same run.
 func BenchmarkDispatch(b *testing.B) {
-	s := newSite(b, map[string]http.Handler{"service": standin.NewService(0)})
+	s := newFixture(b, map[string]http.Handler{"service": standin.NewService(0)})
 	connection := s.client
 	b.Run("agent", func(b *testing.B) {
 		b.ReportAllocs()
@@ -63,7 +63,7 @@
 		number := 0
 		for b.Loop() {
 			number++
-			d := s.swap(fmt.Sprint(b.N, "-", number))
+			d := s.claimedCall(fmt.Sprint(b.N, "-", number))
 			d.Method = http.MethodGet
 			if got := s.dispatch(d); got.end == nil {
 				b.Fatal(got.refused, got.broken, got.err)
--- a/agent/claim_test.go
+++ b/agent/claim_test.go
@@ -23,7 +23,7 @@
 )
 
 // swap returns a claimed call of the service.
-func (s *site) swap(claim string) *agentv1.DispatchRequest {
+func (s *fixture) claimedCall(claim string) *agentv1.DispatchRequest {
 	return &agentv1.DispatchRequest{
 		RequestId: claim, Attempt: 1, Endpoint: "service", Method: http.MethodPost, Path: "/swaps",
 		ClaimId: claim, ClaimTicketNs: s.daemon.lockedGate.ticket(),
@@ -40,20 +40,20 @@
 	}.Log(t)
 	is := is.New(t)
 	service := standin.NewService(0)
-	s := newSite(t, map[string]http.Handler{"service": service})
+	s := newFixture(t, map[string]http.Handler{"service": service})
 	service.SetFaults(standin.Faults{Stall: true})
-	claim := s.swap(gate.ClaimID("k", s.daemon.lockedGate.ticket()))
+	claim := s.claimedCall(gate.ClaimID("k", s.daemon.lockedGate.ticket()))
 	claim.ClaimTicketNs = 0
 	is.Equal(s.dispatch(claim).refused.GetKind(), string(fault.Invalid)) // another ticket: closed, not run
-	claim = s.swap("claim")
+	claim = s.claimedCall("claim")
 	ctx, leave := context.WithCancel(t.Context())
 	first := make(chan reply, 1)
-	go func() { first <- s.dispatchIn(ctx, claim, nil) }()
-	s.until("the effect runs", func() bool { return len(service.Effects()) == 1 })
+	go func() { first <- s.dispatchContext(ctx, claim, nil) }()
+	s.waitUntil("the effect runs", func() bool { return len(service.Effects()) == 1 })
 	leave()
 	is.True((<-first).err != nil)
 	repeated := make(chan reply, 1)
-	go func() { repeated <- s.dispatch(s.swap("claim")) }()
+	go func() { repeated <- s.dispatch(s.claimedCall("claim")) }()
 	revoke := func() *agentv1.RevokeResponse {
 		return must(s.client.Revoke(t.Context(), &agentv1.RevokeRequest{ClaimId: "claim", Incarnation: s.daemon.lockedGate.incarnation()}))
 	}
@@ -65,9 +65,9 @@
 	is.Equal(revoke().GetAnswer().GetBody(), got.body)
 	is.Equal(len(service.Effects()), 1)
 
-	claim = s.swap("early")
+	claim = s.claimedCall("early")
 	claim.Incarnation = s.daemon.lockedGate.incarnation()
-	is.NoErr(s.daemon.service.Dispatch(claim, &checkedStream{ctx: t.Context(), send: func(r *agentv1.DispatchResponse) {
+	is.NoErr(s.daemon.service.Dispatch(claim, &recordingStream{ctx: t.Context(), send: func(r *agentv1.DispatchResponse) {
 		if r.GetEnd() != nil { // who reads the end can ask for the answer at once
 			state := s.daemon.lockedGate.revoke(&agentv1.RevokeRequest{ClaimId: "early", Incarnation: claim.GetIncarnation()}).GetState()
 			is.Equal(state, agentv1.RevokeState_REVOKE_STATE_ANSWERED)
@@ -76,14 +76,14 @@
 }
 
 // checkedStream shows each response to send at the moment it is sent.
-type checkedStream struct {
+type recordingStream struct {
 	grpc.ServerStream
 	ctx  context.Context
 	send func(*agentv1.DispatchResponse)
 }
 
-func (c *checkedStream) Context() context.Context { return c.ctx }
-func (c *checkedStream) Send(r *agentv1.DispatchResponse) error {
+func (c *recordingStream) Context() context.Context { return c.ctx }
+func (c *recordingStream) Send(r *agentv1.DispatchResponse) error {
 	c.send(r)
 	return nil
 }
@@ -91,21 +91,21 @@
 // An endpoint that the configuration gives to another agent is not served here.
 func TestEndpointOfAnotherAgentIsRefused(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, map[string]http.Handler{"service": standin.NewService(0)})
-	is.True(s.dispatch(s.swap("mine")).end != nil)
+	s := newFixture(t, map[string]http.Handler{"service": standin.NewService(0)})
+	is.True(s.dispatch(s.claimedCall("mine")).end != nil)
 	revision := s.replica.Revision()
 	s.replica.mu.Lock()
 	s.replica.publish([]*fleetv1.Endpoint{{Id: "service", Agent: "other", State: fleetv1.EndpointState_ENDPOINT_STATE_SERVING}})
 	s.replica.mu.Unlock()
-	s.until("the configuration is in force", func() bool { return s.daemon.lockedGate.revision() > revision })
-	got := s.dispatch(s.swap("theirs"))
+	s.waitUntil("the configuration is in force", func() bool { return s.daemon.lockedGate.revision() > revision })
+	got := s.dispatch(s.claimedCall("theirs"))
 	is.Equal(got.refusedKind(), fault.Unavailable)
 }
 
 // Copies of a claimed call and revocations of it arrive at once, in any order,
 // at the agent that it was meant for and at its successor. The call runs at
 // most once, and not at all if anybody was told so.
-func TestCrossedCopiesAndRevocations(t *testing.T) {
+func TestConcurrentDuplicatesAndRevocations(t *testing.T) {
 	proof.Cell{
 		Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Doubled, proof.Crossed, proof.Restart}, Step: "copies and a revocation race at an agent and at its successor",
 		Guard: "the incarnation checks, claims.repeat and the closing on revocation, each alone", Together: true,
@@ -117,15 +117,15 @@
 	is := is.New(t)
 	const claims, copies = 40, 3
 	service := standin.NewService(time.Millisecond)
-	s := newSite(t, map[string]http.Handler{"service": service})
-	successor := newSite(t, map[string]http.Handler{"service": service})
+	s := newFixture(t, map[string]http.Handler{"service": service})
+	successor := newFixture(t, map[string]http.Handler{"service": service})
 	own := s.daemon.lockedGate.incarnation()
 	var mu sync.Mutex
 	denied, ended := map[string]bool{}, map[string]int{}
 	var group sync.WaitGroup
 	for i := range claims {
 		id := fmt.Sprint("claim-", i)
-		template := s.swap(id)
+		template := s.claimedCall(id)
 		template.Incarnation = own
 		for range copies {
 			group.Go(func() {
@@ -176,8 +176,8 @@
 	}.Log(t)
 	is := is.New(t)
 	var runs atomic.Int32
-	drop := rawAnswer("")
-	s := newSite(t, map[string]http.Handler{"service": http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	drop := rawResponse("")
+	s := newFixture(t, map[string]http.Handler{"service": http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			return
 		}
@@ -189,27 +189,27 @@
 	})})
 	warm := &agentv1.DispatchRequest{Endpoint: "service", Method: http.MethodGet, Path: "/"}
 	is.True(s.dispatch(warm).end != nil) // leaves an open connection behind
-	got := s.dispatch(s.swap("a"))
+	got := s.dispatch(s.claimedCall("a"))
 	is.True(got.broken.GetMayHaveRun())
 	is.Equal(runs.Load(), int32(1))
 	again := &agentv1.DispatchRequest{Endpoint: "service", Method: http.MethodPut, Path: "/", Headers: []*controlv1.Header{}}
 	is.True(s.dispatch(warm).end != nil)
 	is.True(s.dispatch(again).broken != nil) // resent on a new connection, where it fails for good
 	is.Equal(runs.Load(), int32(3))
-	bad := s.swap("bad")
+	bad := s.claimedCall("bad")
 	bad.Headers[0].Value = "a\nb"
 	got = s.dispatch(bad)
 	is.Equal(got.refusedKind(), fault.Invalid)
-	bad = s.swap("bad path")
+	bad = s.claimedCall("bad path")
 	bad.Path = "@example.com/"
 	got = s.dispatch(bad)
 	is.Equal(got.refusedKind(), fault.Invalid)
-	unasked := newSite(t, map[string]http.Handler{"service": drop})
-	e := unasked.daemon.service.dispatcher.endpoints["service"]
+	unreachable := newFixture(t, map[string]http.Handler{"service": drop})
+	e := unreachable.daemon.service.dispatcher.endpoints["service"]
 	e.URL = "http://127.0.0.1:1"
-	unasked.daemon.service.dispatcher.endpoints["service"] = e
-	got = unasked.dispatch(unasked.swap("b"))
+	unreachable.daemon.service.dispatcher.endpoints["service"] = e
+	got = unreachable.dispatch(unreachable.claimedCall("b"))
 	is.Equal(got.refusedKind(), fault.Unavailable)
-	state := must(unasked.client.Revoke(t.Context(), &agentv1.RevokeRequest{ClaimId: "b", Incarnation: unasked.daemon.lockedGate.incarnation()})).GetState()
+	state := must(unreachable.client.Revoke(t.Context(), &agentv1.RevokeRequest{ClaimId: "b", Incarnation: unreachable.daemon.lockedGate.incarnation()})).GetState()
 	is.Equal(state, agentv1.RevokeState_REVOKE_STATE_NOT_RUN)
 }
--- a/agent/client.go
+++ b/agent/client.go
@@ -31,53 +31,53 @@
 	// call meets a connection that is just being closed.
 	idleTimeout = 4 * time.Second
 	// idlePerEndpoint bounds the open connections kept for one endpoint.
-	idlePerEndpoint = 256
+	maxIdlePerEndpoint = 256
 	// headerLimit bounds the headers of an endpoint's answer, in bytes.
-	headerLimit = 1 << 20
+	maxHeaderBytes = 1 << 20
 )
 
 // headerResend marks a request for net/http as one that may be sent again.
-const headerResend = "X-Idempotency-Key"
+const headerIdempotencyKey = "X-Idempotency-Key"
 
 // endpointClient speaks HTTP to the endpoints of the host.
 type endpointClient struct {
 	// reused serves calls that may be repeated.
-	reused *http.Transport
+	keepAlive *http.Transport
 	// single opens a connection for each call, so that a call that must run at
 	// most once never meets a connection that the endpoint is closing, and is
 	// never sent again by the transport.
-	single *http.Transport
-	dialer *net.Dialer
+	singleUse *http.Transport
+	dialer    *net.Dialer
 	// lockedGate learns the rate limits that answers name.
 	lockedGate *lockedGate
 }
 
-func newEndpointClient(k *lockedGate) *endpointClient {
+func newEndpointClient(g *lockedGate) *endpointClient {
 	dialer := &net.Dialer{Timeout: connectTimeout}
 	reused := &http.Transport{
 		DialContext:            dialer.DialContext,
 		DisableCompression:     true,
 		IdleConnTimeout:        idleTimeout,
-		MaxIdleConnsPerHost:    idlePerEndpoint,
-		MaxResponseHeaderBytes: headerLimit,
+		MaxIdleConnsPerHost:    maxIdlePerEndpoint,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 	single := reused.Clone()
 	single.DisableKeepAlives = true
-	return &endpointClient{reused: reused, single: single, dialer: dialer, lockedGate: k}
+	return &endpointClient{keepAlive: reused, singleUse: single, dialer: dialer, lockedGate: g}
 }
 
 func (c *endpointClient) close() {
-	c.reused.CloseIdleConnections()
-	c.single.CloseIdleConnections()
+	c.keepAlive.CloseIdleConnections()
+	c.singleUse.CloseIdleConnections()
 }
 
 // connects reports whether an endpoint takes a connection.
-func (c *endpointClient) connects(ctx context.Context, e Endpoint) bool {
+func (c *endpointClient) canConnect(ctx context.Context, e Endpoint) bool {
 	target, err := url.Parse(e.URL)
 	if err != nil {
 		return false
 	}
-	connection, err := c.dialer.DialContext(ctx, "tcp", address(target))
+	connection, err := c.dialer.DialContext(ctx, "tcp", dialAddress(target))
 	if err != nil {
 		return false
 	}
@@ -85,23 +85,23 @@
 }
 
 // notAsked is an error of a call whose endpoint never saw any of it.
-type notAsked struct {
+type notSentError struct {
 	cause *fault.Error
 	// refused: the endpoint takes no connections.
 	refused bool
 }
 
 // Error implements error.
-func (n notAsked) Error() string { return n.cause.Error() }
+func (n notSentError) Error() string { return n.cause.Error() }
 
 // Unwrap returns the fault.
-func (n notAsked) Unwrap() error { return n.cause }
+func (n notSentError) Unwrap() error { return n.cause }
 
 // onceBody is a request body that the transport cannot rewind and send again.
-type onceBody struct{ io.Reader }
+type nonReplayableBody struct{ io.Reader }
 
 // Close implements io.Closer.
-func (onceBody) Close() error { return nil }
+func (nonReplayableBody) Close() error { return nil }
 
 // call sends a dispatch to its endpoint and returns the answer's head. An error
 // of type notAsked means that the endpoint never saw the call; after any other
@@ -111,9 +111,9 @@
 	if err != nil {
 		return nil, err
 	}
-	transport := c.reused
+	transport := c.keepAlive
 	if d.GetClaimId() != "" {
-		transport = c.single
+		transport = c.singleUse
 	}
 	return c.roundTrip(transport, request, e)
 }
@@ -126,29 +126,29 @@
 	request = request.WithContext(httptrace.WithClientTrace(request.Context(), trace))
 	if paused := c.lockedGate.checkSend(e.ID); paused != nil {
 		countPaused(e.ID)
-		return nil, notAsked{cause: paused}
+		return nil, notSentError{cause: paused}
 	}
 	sent := c.lockedGate.clock.now()
 	response, err := transport.RoundTrip(request)
 	switch {
 	case err != nil && !connected.Load():
-		return nil, unconnected(request.Context(), e, err)
+		return nil, connectError(request.Context(), e, err)
 	case err == nil:
-		c.answered(e, sent, response)
+		c.recordResponse(e, sent, response)
 	}
 	return response, err
 }
 
 // answered takes in what an answer says of the requests that the endpoint takes.
-func (c *endpointClient) answered(e Endpoint, sent time.Duration, response *http.Response) {
-	c.lockedGate.named(e.ID, sent, response.Header.Get(engineapi.HeaderRateLimit))
-	c.lockedGate.saidLeaving(e.ID, sent, response.Header.Get(engineapi.HeaderLeaving) != "")
+func (c *endpointClient) recordResponse(e Endpoint, sent time.Duration, response *http.Response) {
+	c.lockedGate.learnRateLimit(e.ID, sent, response.Header.Get(engineapi.HeaderRateLimit))
+	c.lockedGate.recordLeaving(e.ID, sent, response.Header.Get(engineapi.HeaderLeaving) != "")
 	if pause, ok := ratelimit.RetryAfter(response.StatusCode, response.Header); ok {
-		c.lockedGate.pushedBack(e.ID, pause)
+		c.lockedGate.recordPushback(e.ID, pause)
 		return
 	}
 	if response.StatusCode != http.StatusServiceUnavailable {
-		c.lockedGate.taken(e.ID, sent)
+		c.lockedGate.recordAccepted(e.ID, sent)
 	}
 }
 
@@ -164,13 +164,13 @@
 
 // unconnected tells an endpoint that takes no connection from a call that the
 // transport would not send.
-func unconnected(ctx context.Context, e Endpoint, err error) error {
+func connectError(ctx context.Context, e Endpoint, err error) error {
 	var dial *net.OpError
 	refused := ctx.Err() == nil && errors.As(err, &dial) && dial.Op == "dial"
 	if ctx.Err() == nil && !refused {
-		return invalidCall(err)
+		return invalidCallError(err)
 	}
-	return notAsked{refused: refused, cause: fault.Newf(fault.Unavailable, "choose another endpoint",
+	return notSentError{refused: refused, cause: fault.Newf(fault.Unavailable, "choose another endpoint",
 		"endpoint %q takes no connection", e.ID).Because(err)}
 }
 
@@ -181,19 +181,19 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, d.GetMethod(), target, bytes.NewReader(d.GetBody()))
 	if err != nil {
-		return nil, invalidCall(err)
+		return nil, invalidCallError(err)
 	}
 	if d.GetClaimId() != "" {
 		request.GetBody = nil
-		request.Body = onceBody{bytes.NewReader(d.GetBody())}
+		request.Body = nonReplayableBody{bytes.NewReader(d.GetBody())}
 	}
 	request.Header = requestHeader(d.GetHeaders())
 	if d.GetClaimId() == "" {
-		allowResend(request.Header)
+		allowRetransmission(request.Header)
 	}
 	if e.Kind == KindEngine {
 		request.Header.Set(engineapi.HeaderPriority, strconv.Itoa(int(d.GetPriority())))
-		setResume(request.Header, d.GetResumeOffset(), streamID)
+		setResumeHeaders(request.Header, d.GetResumeOffset(), streamID)
 	}
 	telemetry.Inject(ctx, request.Header)
 	return request, nil
@@ -201,13 +201,13 @@
 
 // allowResend lets the transport send a call again that met a connection which
 // the endpoint had closed. A key without values is not sent.
-func allowResend(header http.Header) {
-	if _, present := header[headerResend]; !present {
-		header[headerResend] = nil
+func allowRetransmission(header http.Header) {
+	if _, present := header[headerIdempotencyKey]; !present {
+		header[headerIdempotencyKey] = nil
 	}
 }
 
-func setResume(header http.Header, offset uint64, streamID string) {
+func setResumeHeaders(header http.Header, offset uint64, streamID string) {
 	header.Del(engineapi.HeaderResumeOffset)
 	header.Del(engineapi.HeaderStreamID)
 	if offset > 0 {
@@ -220,12 +220,12 @@
 // cannot lead to another host.
 func targetURL(base, path string) (string, error) {
 	if !strings.HasPrefix(path, "/") {
-		return "", invalidCall(fault.New(fault.Invalid, "the path does not begin with a slash", "begin the path of the call with a slash"))
+		return "", invalidCallError(fault.New(fault.Invalid, "the path does not begin with a slash", "begin the path of the call with a slash"))
 	}
 	return strings.TrimSuffix(base, "/") + path, nil
 }
 
-func invalidCall(err error) error {
-	return notAsked{cause: fault.New(fault.Invalid, "the call cannot be sent to an endpoint",
+func invalidCallError(err error) error {
+	return notSentError{cause: fault.New(fault.Invalid, "the call cannot be sent to an endpoint",
 		"correct its method, path or headers").Because(err)}
 }
--- a/agent/clock.go
+++ b/agent/clock.go
@@ -13,18 +13,18 @@
 // never falls among the recent times of this one.
 type clock struct {
 	started time.Time
-	base    time.Duration
+	start   time.Duration
 }
 
 func newClock() *clock {
-	return &clock{started: time.Now(), base: time.Duration(1 + rand.Int64N(clockRange))}
+	return &clock{started: time.Now(), start: time.Duration(1 + rand.Int64N(clockRange))}
 }
 
 // now returns the present time of the clock.
 func (c *clock) now() time.Duration { return c.at(time.Now()) }
 
 // at returns the time of the clock at t, which must have a monotonic reading.
-func (c *clock) at(t time.Time) time.Duration { return c.base + t.Sub(c.started) }
+func (c *clock) at(t time.Time) time.Duration { return c.start + t.Sub(c.started) }
 
 // incarnation names one start of the agent's process.
 type incarnation uint64
--- a/agent/control.go
+++ b/agent/control.go
@@ -27,12 +27,12 @@
 
 // learnFence reads the highest fencing token from a quorum. It tries until it
 // has it or ctx ends.
-func (c *controls) learnFence(ctx context.Context, k *lockedGate) {
+func (c *controls) learnFence(ctx context.Context, g *lockedGate) {
 	for ctx.Err() == nil {
 		err := c.Ask(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
 			response, err := client.ReadFence(ctx, &controlv1.ReadFenceRequest{})
 			if err == nil {
-				k.learnFence(response.GetFence())
+				g.learnFence(response.GetFence())
 			}
 			return err
 		})
--- a/agent/daemon.go
+++ b/agent/daemon.go
@@ -27,9 +27,9 @@
 	// announcement of a stop.
 	stopAckTimeout = 3 * time.Second
 	// drainPoll is how often a stopping agent looks for work in flight.
-	drainPoll = 20 * time.Millisecond
+	drainPollInterval = 20 * time.Millisecond
 	// readyPoll is how often a starting agent looks whether it is ready.
-	readyPoll = 20 * time.Millisecond
+	readyPollInterval = 20 * time.Millisecond
 	// stepsHeaderTimeout bounds reading the headers of a request for steps.
 	stepsHeaderTimeout = 5 * time.Second
 )
@@ -91,26 +91,26 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	background, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
+	background, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopBackground()
 	d.feed.OnApply(func(_, view *feed.View, _ *fleetv1.Delta) { d.lockedGate.configure(view) })
 	d.exportMetrics()
 	d.readLoaded(ctx)
 	var group sync.WaitGroup
-	var fenced error
+	var fencedErr error
 	d.start(background, &group)
 	group.Go(func() { d.awaitReady(ctx) })
 	group.Go(func() {
-		fenced = d.announcer.run(background)
+		fencedErr = d.announcer.run(background)
 		cancel()
 	})
 	<-ctx.Done()
 	d.stop()
-	end()
+	stopBackground()
 	d.server.Stop()
 	group.Wait()
 	d.client.close()
-	return trace.NewAggregate(fenced, d.pool.Close())
+	return trace.NewAggregate(fencedErr, d.pool.Close())
 }
 
 // start begins what goes on during a planned stop, until ctx ends.
@@ -157,7 +157,7 @@
 				slog.Uint64("incarnation", d.lockedGate.incarnation()))
 			return
 		}
-		wait.For(ctx, readyPoll)
+		wait.For(ctx, readyPollInterval)
 	}
 }
 
@@ -193,7 +193,7 @@
 	case <-ctx.Done():
 	}
 	for d.lockedGate.inFlight() > 0 && ctx.Err() == nil {
-		wait.For(ctx, drainPoll)
+		wait.For(ctx, drainPollInterval)
 	}
 }
 
@@ -287,10 +287,10 @@
 	}), nil
 }
 
-func newPollers(s *Settings, k *lockedGate, c *endpointClient, b *reportBuffer, l *loaded, h *health, logger *slog.Logger) []*poller {
+func newPollers(s *Settings, g *lockedGate, c *endpointClient, b *reportBuffer, l *loadedStates, h *health, logger *slog.Logger) []*poller {
 	list := make([]*poller, len(s.Endpoints))
 	for i, e := range s.Endpoints {
-		list[i] = &poller{endpoint: e, lockedGate: k, client: c, reportBuffer: b, loaded: l, health: h, logger: logger, interval: s.PollInterval}
+		list[i] = &poller{endpoint: e, lockedGate: g, client: c, reportBuffer: b, loaded: l, health: h, logger: logger, interval: s.PollInterval}
 	}
 	return list
 }
--- a/agent/daemon_test.go
+++ b/agent/daemon_test.go
@@ -22,7 +22,7 @@
 
 // rawAnswer answers every call by the given bytes on the bare connection, which
 // it closes then.
-func rawAnswer(text string) http.HandlerFunc {
+func rawResponse(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		connection, buffer, err := http.NewResponseController(w).Hijack()
 		if err != nil {
@@ -36,7 +36,7 @@
 
 // An answer that does not come to its own end is broken and never ended, in
 // whichever way it is cut; the same answers uncut are whole.
-func TestCutAnswerIsNeverWhole(t *testing.T) {
+func TestTruncatedAnswerIsNeverComplete(t *testing.T) {
 	proof.Cell{
 		Promise: proof.OwnAnswer, Faults: []proof.Fault{proof.Lost}, Step: "the endpoint's connection is cut in its answer, in seven ways",
 		Guard: "answer.judge, endsTerminal and the read error in answer.copyTo, each alone",
@@ -44,14 +44,14 @@
 	is := is.New(t)
 	const sse = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	engine := standin.NewEngine(standin.EngineConfig{Slots: 4})
-	s := newSite(t, map[string]http.Handler{
+	s := newFixture(t, map[string]http.Handler{
 		"engine":             engine,
-		"engine-no-length":   rawAnswer("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n{}"),
-		"engine-no-terminal": rawAnswer(sse + "9\r\ndata: x\n\n\r\n0\r\n\r\n"),
-		"engine-quoted":      rawAnswer(sse + "18\r\ndata: say data: [DONE]\n\n\r\n0\r\n\r\n"),
-		"engine-terminal":    rawAnswer(sse + "9\r\ndata: x\n\n\r\n8\r\ndata: [D\r\n7\r\nONE]\r\n\n\r\n0\r\n\r\n"),
-		"engine-short":       rawAnswer("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}"),
-		"engine-silent":      rawAnswer(""),
+		"engine-no-length":   rawResponse("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n{}"),
+		"engine-no-terminal": rawResponse(sse + "9\r\ndata: x\n\n\r\n0\r\n\r\n"),
+		"engine-quoted":      rawResponse(sse + "18\r\ndata: say data: [DONE]\n\n\r\n0\r\n\r\n"),
+		"engine-terminal":    rawResponse(sse + "9\r\ndata: x\n\n\r\n8\r\ndata: [D\r\n7\r\nONE]\r\n\n\r\n0\r\n\r\n"),
+		"engine-short":       rawResponse("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}"),
+		"engine-silent":      rawResponse(""),
 	})
 	for _, stream := range []bool{true, false} {
 		engine.SetFaults(standin.Faults{})
@@ -79,15 +79,15 @@
 // A cut stream resumes at its offset and joins to the whole answer. An engine
 // that has forgotten the stream runs nothing, and one that cannot resume is not
 // taken to have resumed.
-func TestCutStreamResumes(t *testing.T) {
+func TestInterruptedStreamResumes(t *testing.T) {
 	proof.Cell{
 		Promise: proof.OwnAnswer, Faults: []proof.Fault{proof.Lost}, Step: "a stream cut at the engine is resumed through the agent",
 		Guard: "answer.resumed, the 404 of a forgotten stream, and streamIDs, each alone",
 	}.Log(t)
 	is := is.New(t)
 	engine := standin.NewEngine(standin.EngineConfig{Slots: 4})
-	s := newSite(t, map[string]http.Handler{"engine": engine, "engine-other": standin.NewEngine(standin.EngineConfig{}),
-		"engine-plain": rawAnswer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")})
+	s := newFixture(t, map[string]http.Handler{"engine": engine, "engine-other": standin.NewEngine(standin.EngineConfig{}),
+		"engine-plain": rawResponse("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")})
 	engine.SetFaults(standin.Faults{CutAfter: 150})
 	cut := s.dispatch(completion(true, "8"))
 	is.True(cut.broken != nil)
@@ -112,7 +112,7 @@
 
 // A planned stop falls out of readiness, refuses new work, cuts none of 200
 // open streams, and is announced.
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestPlannedStopCompletesOpenStreams(t *testing.T) {
 	proof.Cell{
 		Promise: proof.PlannedStop, Faults: []proof.Fault{proof.Restart, proof.StalledRank}, Step: "an agent with 200 streams open at an engine that stands still",
 		Guard: "lockedGate.stop and the wait for work in flight, each alone", Together: true,
@@ -120,7 +120,7 @@
 	is := is.New(t)
 	const open = 200
 	engine := standin.NewEngine(standin.EngineConfig{Slots: open, TokenTime: time.Millisecond})
-	s := newSite(t, map[string]http.Handler{"engine": engine})
+	s := newFixture(t, map[string]http.Handler{"engine": engine})
 	engine.SetFaults(standin.Faults{Stall: true})
 	replies := make(chan reply, open)
 	for i := range open {
@@ -130,9 +130,9 @@
 			replies <- s.dispatch(d)
 		}()
 	}
-	s.until("all streams run", func() bool { return s.daemon.lockedGate.inFlight() == open })
+	s.waitUntil("all streams run", func() bool { return s.daemon.lockedGate.inFlight() == open })
 	s.stop()
-	s.until("the stop is announced", func() bool { return s.replica.last().GetStopping() })
+	s.waitUntil("the stop is announced", func() bool { return s.replica.last().GetStopping() })
 	ready, _ := s.daemon.Ready().Get()
 	is.True(!ready)
 	late := s.dispatch(completion(true, "20"))
@@ -149,15 +149,15 @@
 }
 
 // A stop limit ends the wait for work in flight; what it cuts is not whole.
-func TestStopLimitEndsTheWait(t *testing.T) {
+func TestStopLimitBoundsDrain(t *testing.T) {
 	is := is.New(t)
 	engine := standin.NewEngine(standin.EngineConfig{})
-	s := newSite(t, map[string]http.Handler{"engine": engine})
+	s := newFixture(t, map[string]http.Handler{"engine": engine})
 	engine.SetFaults(standin.Faults{Stall: true})
 	s.daemon.settings.StopLimit = time.Millisecond
 	replies := make(chan reply)
 	go func() { replies <- s.dispatch(completion(true, "1")) }()
-	s.until("the call runs", func() bool { return s.daemon.lockedGate.inFlight() == 1 })
+	s.waitUntil("the call runs", func() bool { return s.daemon.lockedGate.inFlight() == 1 })
 	s.stop()
 	is.NoErr(<-s.stopped)
 	got := <-replies
@@ -165,31 +165,31 @@
 }
 
 // A caller that leaves ends the engine's work on a call that may be repeated.
-func TestCallerGoneCancelsTheEngine(t *testing.T) {
+func TestCallerDisconnectCancelsEngineCall(t *testing.T) {
 	is := is.New(t)
 	engine := standin.NewEngine(standin.EngineConfig{Slots: 1, TokenTime: time.Millisecond})
-	s := newSite(t, map[string]http.Handler{"engine": engine})
+	s := newFixture(t, map[string]http.Handler{"engine": engine})
 	ctx, leave := context.WithCancel(t.Context())
-	got := s.dispatchIn(ctx, completion(true, "5000"), func(r *agentv1.DispatchResponse) {
+	got := s.dispatchContext(ctx, completion(true, "5000"), func(r *agentv1.DispatchResponse) {
 		if r.GetChunk() != nil {
 			leave()
 		}
 	})
 	is.True(errors.Is(got.err, context.Canceled))
-	s.until("the engine is told", func() bool { _, gone := engine.Counts(); return gone == 1 })
-	s.until("nothing is in flight", func() bool { return s.daemon.lockedGate.inFlight() == 0 })
+	s.waitUntil("the engine is told", func() bool { _, gone := engine.Counts(); return gone == 1 })
+	s.waitUntil("nothing is in flight", func() bool { return s.daemon.lockedGate.inFlight() == 0 })
 }
 
 // An endpoint that writes faster than its caller reads is held back, so that
 // the agent holds a bounded part of the answer; a caller that leaves ends it.
-func TestSlowReaderHoldsTheEndpointBack(t *testing.T) {
+func TestSlowReaderAppliesBackpressure(t *testing.T) {
 	is := is.New(t)
-	const whole, bound, piece = 256 << 20, 64 << 20, 64 << 10
+	const answerSize, bound, piece = 256 << 20, 64 << 20, 64 << 10
 	var written atomic.Int64
 	ended := make(chan struct{})
-	s := newSite(t, map[string]http.Handler{"service": http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	s := newFixture(t, map[string]http.Handler{"service": http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		defer close(ended)
-		for written.Load() < whole {
+		for written.Load() < answerSize {
 			n, err := w.Write(make([]byte, piece))
 			written.Add(int64(n))
 			if err != nil {
@@ -200,17 +200,17 @@
 	ctx, leave := context.WithCancel(t.Context())
 	d := &agentv1.DispatchRequest{Endpoint: "service", Method: http.MethodGet, Path: "/", Incarnation: s.daemon.lockedGate.incarnation()}
 	must(s.client.Dispatch(ctx, d))
-	const still = 100 // looks in a row without progress
-	for last, same := int64(0), 0; same < still; time.Sleep(time.Millisecond) {
+	const stallSamples = 100 // looks in a row without progress
+	for last, unchanged := int64(0), 0; unchanged < stallSamples; time.Sleep(time.Millisecond) {
 		present := written.Load()
-		same++
+		unchanged++
 		if present != last || present == 0 {
-			last, same = present, 0
+			last, unchanged = present, 0
 		}
 	}
 	is.True(written.Load() < bound)
 	leave()
 	<-ended
 	is.True(written.Load() < bound)
-	s.until("nothing is in flight", func() bool { return s.daemon.lockedGate.inFlight() == 0 })
+	s.waitUntil("nothing is in flight", func() bool { return s.daemon.lockedGate.inFlight() == 0 })
 }
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -25,23 +25,23 @@
 	lockedGate *lockedGate
 	client     *endpointClient
 	health     *health
-	runs       *runs
+	runs       *processRuns
 	logger     *slog.Logger
 	endpoints  map[string]Endpoint
 	streams    streamIDs
 }
 
-func newDispatcher(s *Settings, k *lockedGate, c *endpointClient, h *health, logger *slog.Logger) *dispatcher {
+func newDispatcher(s *Settings, g *lockedGate, c *endpointClient, h *health, logger *slog.Logger) *dispatcher {
 	endpoints := make(map[string]Endpoint, len(s.Endpoints))
 	for _, e := range s.Endpoints {
 		endpoints[e.ID] = e
 	}
 	return &dispatcher{
 		settings:   s,
-		lockedGate: k,
+		lockedGate: g,
 		client:     c,
 		health:     h,
-		runs:       newRuns(k),
+		runs:       newProcessRuns(g),
 		logger:     logger,
 		endpoints:  endpoints,
 		streams:    streamIDs{byRequest: make(map[string]string)},
@@ -55,23 +55,23 @@
 		slog.String("endpoint", d.GetEndpoint()), slog.Uint64("attempt", uint64(d.GetAttempt())))
 	ctx, span := telemetry.Span(ctx, "agent", attribute.String("endpoint", d.GetEndpoint()))
 	out := &sender{stream: stream, dispatch: d, incarnation: p.lockedGate.incarnation()}
-	err := p.decide(ctx, d, out)
+	err := p.serve(ctx, d, out)
 	telemetry.End(span, err)
 	return err
 }
 
-func (p *dispatcher) decide(ctx context.Context, d *agentv1.DispatchRequest, out *sender) error {
+func (p *dispatcher) serve(ctx context.Context, d *agentv1.DispatchRequest, out *sender) error {
 	for {
 		verdict := p.lockedGate.admit(d)
 		switch verdict.Decision {
 		case gate.Admit:
 			return p.run(ctx, d, out)
 		case gate.Running:
-			if err := p.lockedGate.awaitEnd(ctx, d); err != nil {
+			if err := p.lockedGate.awaitClaim(ctx, d); err != nil {
 				return err
 			}
 		case gate.Answered:
-			return repeat(verdict.Answer, out)
+			return replay(verdict.Answer, out)
 		case gate.Unknown:
 			return out.broken("an earlier dispatch of this claim may have run", "")
 		default:
@@ -82,7 +82,7 @@
 }
 
 // repeat delivers the recorded answer of a claimed call.
-func repeat(recorded *controlv1.Answer, out *sender) error {
+func replay(recorded *controlv1.Answer, out *sender) error {
 	if recorded.GetTruncated() {
 		return out.broken("the call has run; its answer was too large to be kept", "")
 	}
@@ -101,7 +101,7 @@
 // before the last message is sent, so that a revocation that follows the
 // message finds it.
 func (p *dispatcher) run(ctx context.Context, d *agentv1.DispatchRequest, out *sender) error {
-	ctx, cancel := p.limit(ctx, d)
+	ctx, cancel := p.callContext(ctx, d)
 	defer cancel()
 	call := &call{dispatcher: p, dispatch: d, out: out}
 	outcome, err := call.run(ctx)
@@ -124,12 +124,12 @@
 // endedRun names the run of an endpoint's process that has ended under a call; empty if the
 // endpoint still listens, or the call was ended from this side.
 func (p *dispatcher) endedRun(ctx context.Context, endpoint string) string {
-	if ctx.Err() != nil || !p.client.refuses(ctx, p.endpoints[endpoint]) {
+	if ctx.Err() != nil || !p.client.refusesConnections(ctx, p.endpoints[endpoint]) {
 		return ""
 	}
 	metrics.GetOrCreateCounter(`lilackeel_agent_ended_under_call_total{endpoint="` + endpoint + `"}`).Inc()
-	p.lockedGate.ended(endpoint)
-	return p.runs.end(endpoint)
+	p.lockedGate.processEnded(endpoint)
+	return p.runs.recordEnd(endpoint)
 }
 
 func countOutcome(outcome string) {
@@ -145,7 +145,7 @@
 
 // limit bounds a call in time. A claimed call goes on when its caller leaves,
 // so that its answer can be recorded; any other ends with its caller.
-func (p *dispatcher) limit(ctx context.Context, d *agentv1.DispatchRequest) (context.Context, context.CancelFunc) {
+func (p *dispatcher) callContext(ctx context.Context, d *agentv1.DispatchRequest) (context.Context, context.CancelFunc) {
 	if d.GetClaimId() != "" {
 		return context.WithTimeout(context.WithoutCancel(ctx), p.settings.ClaimLimit)
 	}
@@ -168,36 +168,36 @@
 func (c *call) run(ctx context.Context) (gate.Outcome, error) {
 	e := c.endpoints[c.dispatch.GetEndpoint()]
 	ctx, span := telemetry.Span(ctx, "endpoint", attribute.String("endpoint", e.ID))
-	outcome, err := c.ask(ctx, e)
+	outcome, err := c.send(ctx, e)
 	telemetry.End(span, err)
 	return outcome, err
 }
 
-func (c *call) ask(ctx context.Context, e Endpoint) (gate.Outcome, error) {
+func (c *call) send(ctx context.Context, e Endpoint) (gate.Outcome, error) {
 	offset := c.dispatch.GetResumeOffset()
-	streamID := c.streams.of(c.dispatch)
+	streamID := c.streams.lookup(c.dispatch)
 	if offset > 0 && (streamID == "" || e.Kind != KindEngine) {
 		return gate.NotRun, errNoResume()
 	}
 	response, err := c.client.call(ctx, e, c.dispatch, streamID)
-	c.health.noteCall(e.ID, err)
-	var unasked notAsked
-	if errors.As(err, &unasked) {
+	c.health.recordCall(e.ID, err)
+	var notSent notSentError
+	if errors.As(err, &notSent) {
 		return gate.NotRun, err
 	}
 	if err != nil {
 		return gate.Incomplete, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	c.runs.answered(e.ID)
+	c.runs.recordAnswer(e.ID)
 	answer := newAnswer(e, response, offset)
 	if offset > 0 && response.StatusCode == http.StatusNotFound {
 		return gate.NotRun, errNoResume()
 	}
-	if offset > 0 && !answer.resumed(offset) {
+	if offset > 0 && !answer.resumedAt(offset) {
 		return gate.Incomplete, errors.New("the engine did not resume at the offset")
 	}
-	return c.pass(answer)
+	return c.forward(answer)
 }
 
 func errNoResume() *fault.Error {
@@ -206,27 +206,27 @@
 
 // pass passes an answer on to the caller. A claimed call is read to its end
 // even if the caller has left.
-func (c *call) pass(a *answer) (gate.Outcome, error) {
+func (c *call) forward(a *answer) (gate.Outcome, error) {
 	streamID := a.response.Header.Get(engineapi.HeaderStreamID)
 	c.streams.remember(c.dispatch.GetRequestId(), streamID)
-	headers := answerHeaders(a.response.Header)
+	headers := responseHeaders(a.response.Header)
 	claimed := c.dispatch.GetClaimId() != ""
 	if claimed {
 		c.record = newRecording(a.response.StatusCode, headers)
 		a.record = c.record
 	}
-	lost := c.out.head(a.response.StatusCode, headers, streamID)
-	if lost != nil && !claimed {
-		return gate.Incomplete, lost
+	sendErr := c.out.head(a.response.StatusCode, headers, streamID)
+	if sendErr != nil && !claimed {
+		return gate.Incomplete, sendErr
 	}
 	err := a.copyTo(func(offset uint64, part []byte) error {
-		if lost == nil {
-			lost = c.out.chunk(offset, part)
+		if sendErr == nil {
+			sendErr = c.out.chunk(offset, part)
 		}
 		if claimed {
 			return nil
 		}
-		return lost
+		return sendErr
 	})
 	c.length = a.offset
 	if err != nil {
--- a/agent/endpoints.go
+++ b/agent/endpoints.go
@@ -87,32 +87,32 @@
 // problem is one thing wrong with an endpoint and what to do about it.
 type problem struct{ text, remedy string }
 
-func (e Endpoint) problems(doubled bool) []problem {
+func (e Endpoint) problems(duplicate bool) []problem {
 	var found []problem
-	demand := func(ok bool, text, remedy string) {
+	require := func(ok bool, text, remedy string) {
 		if !ok {
 			found = append(found, problem{text, remedy})
 		}
 	}
-	demand(namePattern.MatchString(e.ID), "id is missing or malformed", "use lower-case letters, digits, dots and hyphens")
-	demand(!doubled, "id is used twice", "give each endpoint an id of its own")
-	demand(namePattern.MatchString(e.Pool), "pool is missing or malformed", "use lower-case letters, digits, dots and hyphens")
-	demand(e.Kind == KindEngine || e.Kind == KindService, "kind is unknown", "write engine or service")
-	demand(setting.IsURL(e.URL) && !strings.ContainsAny(e.URL, "?#"), "url is malformed", "write an http:// or https:// URL without a query")
-	demand(e.Slots > 0 && e.Slots <= maxSlots, "slots is out of range", "write how many calls it serves at the same time, at least 1")
-	demand(e.Rank >= 0, "rank is negative", "number the ranks of a group from 0")
-	demand(e.Group != "" || e.Rank == 0, "rank has no group", "name the group")
+	require(namePattern.MatchString(e.ID), "id is missing or malformed", "use lower-case letters, digits, dots and hyphens")
+	require(!duplicate, "id is used twice", "give each endpoint an id of its own")
+	require(namePattern.MatchString(e.Pool), "pool is missing or malformed", "use lower-case letters, digits, dots and hyphens")
+	require(e.Kind == KindEngine || e.Kind == KindService, "kind is unknown", "write engine or service")
+	require(setting.IsURL(e.URL) && !strings.ContainsAny(e.URL, "?#"), "url is malformed", "write an http:// or https:// URL without a query")
+	require(e.Slots > 0 && e.Slots <= maxSlots, "slots is out of range", "write how many calls it serves at the same time, at least 1")
+	require(e.Rank >= 0, "rank is negative", "number the ranks of a group from 0")
+	require(e.Group != "" || e.Rank == 0, "rank has no group", "name the group")
 	if e.Kind == KindEngine {
-		demand(e.Model != "", "model is missing", "name the model that the engine serves")
+		require(e.Model != "", "model is missing", "name the model that the engine serves")
 	}
 	if e.Kind == KindService {
-		demand(e.Model == "" && e.Group == "" && len(e.Adapters) == 0, "a service has no model, adapters or group", "remove them, or write kind: engine")
+		require(e.Model == "" && e.Group == "" && len(e.Adapters) == 0, "a service has no model, adapters or group", "remove them, or write kind: engine")
 	}
 	return found
 }
 
 // announced returns the endpoint as the agent announces it.
-func (e Endpoint) announced(s *Settings) *fleetv1.Endpoint {
+func (e Endpoint) toProto(s *Settings) *fleetv1.Endpoint {
 	kind := fleetv1.EndpointKind_ENDPOINT_KIND_SERVICE
 	if e.Kind == KindEngine {
 		kind = fleetv1.EndpointKind_ENDPOINT_KIND_ENGINE
@@ -128,7 +128,7 @@
 	}
 }
 
-func gated(endpoints []Endpoint) []gate.Endpoint {
+func gateEndpoints(endpoints []Endpoint) []gate.Endpoint {
 	list := make([]gate.Endpoint, len(endpoints))
 	for i, e := range endpoints {
 		list[i] = gate.Endpoint{ID: e.ID, Slots: int(e.Slots)}
--- a/agent/exchange.go
+++ b/agent/exchange.go
@@ -10,7 +10,7 @@
 )
 
 // maxExchange bounds the body that is read from an engine's own API, in bytes.
-const maxExchange = 4 << 20
+const maxExchangeBody = 4 << 20
 
 // exchange sends a body to an endpoint's own API and decodes the JSON answer of
 // status 200 into result, if result is not nil. An error of type notAsked means
@@ -18,11 +18,11 @@
 func (c *endpointClient) exchange(ctx context.Context, method string, e Endpoint, path string, body []byte, result any) (status int, err error) {
 	request, err := http.NewRequestWithContext(ctx, method, strings.TrimSuffix(e.URL, "/")+path, bytes.NewReader(body))
 	if err != nil {
-		return 0, invalidCall(err)
+		return 0, invalidCallError(err)
 	}
-	transport := c.reused
+	transport := c.keepAlive
 	if method != http.MethodGet {
-		transport = c.single
+		transport = c.singleUse
 		request.GetBody = nil
 	}
 	response, err := c.roundTrip(transport, request, e)
@@ -33,5 +33,5 @@
 	if result == nil || response.StatusCode != http.StatusOK {
 		return response.StatusCode, nil
 	}
-	return response.StatusCode, json.NewDecoder(io.LimitReader(response.Body, maxExchange)).Decode(result)
+	return response.StatusCode, json.NewDecoder(io.LimitReader(response.Body, maxExchangeBody)).Decode(result)
 }
--- a/agent/harness_test.go
+++ b/agent/harness_test.go
@@ -23,11 +23,11 @@
 )
 
 // patience bounds what a test waits for; it is never what a test measures.
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 // replica is a fake control replica: it accepts every announcement and
 // publishes what was announced.
-type replica struct {
+type fakeReplica struct {
 	controlv1.UnimplementedControlServer
 	addr string
 
@@ -39,8 +39,8 @@
 	refusal error
 }
 
-func newReplica(t testing.TB) *replica {
-	r := &replica{configuration: &fleetv1.Configuration{Revision: 1}, changed: make(chan struct{})}
+func newFakeReplica(t testing.TB) *fakeReplica {
+	r := &fakeReplica{configuration: &fleetv1.Configuration{Revision: 1}, changed: make(chan struct{})}
 	server := grpc.NewServer(must(link.ServerOptions(link.Config{}))...)
 	controlv1.RegisterControlServer(server, r)
 	feed.NewServer(r).Register(server)
@@ -58,7 +58,7 @@
 	return value
 }
 
-func (r *replica) Announce(_ context.Context, request *controlv1.AnnounceRequest) (*controlv1.AnnounceResponse, error) {
+func (r *fakeReplica) Announce(_ context.Context, request *controlv1.AnnounceRequest) (*controlv1.AnnounceResponse, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.refusal != nil {
@@ -71,13 +71,13 @@
 	return &controlv1.AnnounceResponse{LeaseMs: 2000}, nil
 }
 
-func (r *replica) publish(endpoints []*fleetv1.Endpoint) {
+func (r *fakeReplica) publish(endpoints []*fleetv1.Endpoint) {
 	r.configuration = &fleetv1.Configuration{Revision: r.configuration.GetRevision() + 1, Endpoints: endpoints}
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-func (r *replica) ReadFence(context.Context, *controlv1.ReadFenceRequest) (*controlv1.ReadFenceResponse, error) {
+func (r *fakeReplica) ReadFence(context.Context, *controlv1.ReadFenceRequest) (*controlv1.ReadFenceResponse, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.refusal != nil {
@@ -86,7 +86,7 @@
 	return &controlv1.ReadFenceResponse{Fence: 5}, nil
 }
 
-func (r *replica) last() *controlv1.AnnounceRequest {
+func (r *fakeReplica) last() *controlv1.AnnounceRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.announced) == 0 {
@@ -96,25 +96,25 @@
 }
 
 // The methods of feed.Source.
-func (r *replica) Revision() uint64 { return r.Configuration().GetRevision() }
+func (r *fakeReplica) Revision() uint64 { return r.Configuration().GetRevision() }
 
-func (r *replica) Configuration() *fleetv1.Configuration {
+func (r *fakeReplica) Configuration() *fleetv1.Configuration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.configuration
 }
-func (r *replica) DeltaSince(uint64) *fleetv1.Delta { return nil }
-func (r *replica) Changed() <-chan struct{} {
+func (r *fakeReplica) DeltaSince(uint64) *fleetv1.Delta { return nil }
+func (r *fakeReplica) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
-func (r *replica) Freshness() (uint64, time.Time, bool) { return r.Revision(), time.Now(), true }
+func (r *fakeReplica) Freshness() (uint64, time.Time, bool) { return r.Revision(), time.Now(), true }
 
 // site is one agent with its endpoints and a fake control replica.
-type site struct {
+type fixture struct {
 	t       testing.TB
-	replica *replica
+	replica *fakeReplica
 	daemon  *Daemon
 	client  agentv1.AgentClient
 	stop    context.CancelFunc
@@ -124,8 +124,8 @@
 
 // newSite starts an agent before the given handlers; endpoint ids are their
 // keys, and those that begin with "engine" are engines.
-func newSite(t testing.TB, handlers map[string]http.Handler, replicas ...string) *site {
-	s := &site{t: t, replica: newReplica(t), stopped: make(chan error, 1)}
+func newFixture(t testing.TB, handlers map[string]http.Handler, replicas ...string) *fixture {
+	s := &fixture{t: t, replica: newFakeReplica(t), stopped: make(chan error, 1)}
 	settings := &Settings{
 		Name: "agent", Host: "host", Zone: "zone", Listen: "127.0.0.1:0",
 		Control: append(replicas, s.replica.addr), Feed: []string{s.replica.addr},
@@ -154,18 +154,18 @@
 		cancel()
 		_ = connection.Close()
 	})
-	s.until("the agent is ready", func() bool {
+	s.waitUntil("the agent is ready", func() bool {
 		ready, _ := s.daemon.Ready().Get()
 		return ready && s.daemon.lockedGate.revision() > 1
 	})
 	return s
 }
 
-func (s *site) until(what string, holds func() bool) {
+func (s *fixture) waitUntil(condition string, holds func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			s.t.Fatalf("waited in vain until %s", what)
+			s.t.Fatalf("waited in vain until %s", condition)
 		}
 	}
 }
@@ -180,13 +180,13 @@
 	err     error
 }
 
-func (s *site) dispatch(d *agentv1.DispatchRequest) reply {
-	return s.dispatchIn(s.t.Context(), d, nil)
+func (s *fixture) dispatch(d *agentv1.DispatchRequest) reply {
+	return s.dispatchContext(s.t.Context(), d, nil)
 }
 
 // dispatchIn reads a dispatch's stream to its end and checks that its parts are
 // stamped and join without gaps. Each part is shown to seen, if not nil.
-func (s *site) dispatchIn(ctx context.Context, d *agentv1.DispatchRequest, seen func(*agentv1.DispatchResponse)) reply {
+func (s *fixture) dispatchContext(ctx context.Context, d *agentv1.DispatchRequest, seen func(*agentv1.DispatchResponse)) reply {
 	if d.GetIncarnation() == 0 {
 		d.Incarnation = s.daemon.lockedGate.incarnation()
 	}
@@ -207,14 +207,14 @@
 		if r.GetRequestId() != d.GetRequestId() || r.GetAttempt() != d.GetAttempt() || r.GetIncarnation() != s.daemon.lockedGate.incarnation() {
 			s.t.Errorf("a response without the stamp of its dispatch: %v", r)
 		}
-		got.take(s.t, d, r)
+		got.add(s.t, d, r)
 		if seen != nil {
 			seen(r)
 		}
 	}
 }
 
-func (g *reply) take(t testing.TB, d *agentv1.DispatchRequest, r *agentv1.DispatchResponse) {
+func (g *reply) add(t testing.TB, d *agentv1.DispatchRequest, r *agentv1.DispatchResponse) {
 	switch kind := r.GetKind().(type) {
 	case *agentv1.DispatchResponse_Refused:
 		g.refused = kind.Refused
--- a/agent/header.go
+++ b/agent/header.go
@@ -22,7 +22,7 @@
 }
 
 // answerHeaders returns the endpoint's headers for the caller.
-func answerHeaders(header http.Header) []*controlv1.Header {
+func responseHeaders(header http.Header) []*controlv1.Header {
 	hopbyhop.Remove(header)
 	list := make([]*controlv1.Header, 0, len(header))
 	for name, values := range header {
--- a/agent/health.go
+++ b/agent/health.go
@@ -29,7 +29,7 @@
 type reachability struct {
 	down bool
 	// contradicted counts the observations in a row that say otherwise.
-	contradicted int
+	contradictions int
 }
 
 func newHealth(logger *slog.Logger) *health {
@@ -37,7 +37,7 @@
 }
 
 // note records whether an endpoint took a connection.
-func (h *health) note(endpoint string, reachable bool) {
+func (h *health) record(endpoint string, reachable bool) {
 	if !reachable {
 		metrics.GetOrCreateCounter(`lilackeel_agent_endpoint_unreachable_total{endpoint="` + endpoint + `"}`).Inc()
 	}
@@ -50,13 +50,13 @@
 
 // noteCall takes in how a call to an endpoint began. A call that was ended
 // before it had a connection says nothing.
-func (h *health) noteCall(endpoint string, err error) {
-	var unasked notAsked
+func (h *health) recordCall(endpoint string, err error) {
+	var notSent notSentError
 	switch {
-	case !errors.As(err, &unasked):
-		h.note(endpoint, true)
-	case unasked.refused:
-		h.note(endpoint, false)
+	case !errors.As(err, &notSent):
+		h.record(endpoint, true)
+	case notSent.refused:
+		h.record(endpoint, false)
 	}
 }
 
@@ -70,15 +70,15 @@
 		h.byEndpoint[endpoint] = r
 	}
 	if reachable == !r.down {
-		r.contradicted = 0
+		r.contradictions = 0
 		return false
 	}
-	r.contradicted++
-	if r.contradicted < transitionThreshold {
+	r.contradictions++
+	if r.contradictions < transitionThreshold {
 		return false
 	}
 	r.down = !r.down
-	r.contradicted = 0
+	r.contradictions = 0
 	h.transitions++
 	return true
 }
@@ -96,11 +96,11 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.byEndpoint[endpoint]
-	return r != nil && (r.down || r.contradicted > 0)
+	return r != nil && (r.down || r.contradictions > 0)
 }
 
 // changed returns a number that grows with every transition.
-func (h *health) changed() uint64 {
+func (h *health) transitionCount() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.transitions
--- a/agent/leaving_test.go
+++ b/agent/leaving_test.go
@@ -14,15 +14,15 @@
 
 // Guards against new calls to an endpoint behind an agent whose answers say that it leaves, and
 // against an endpoint that is kept out once another process answers.
-func TestAnAgentGivesWhatLeavesNoNewCalls(t *testing.T) {
+func TestLeavingEndpointGetsNoNewCalls(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	engine := standin.NewEngine(standin.EngineConfig{Slots: 64})
 	service := standin.NewService(0)
-	s := newSite(t, map[string]http.Handler{"engine": engine, "service": service})
+	s := newFixture(t, map[string]http.Handler{"engine": engine, "service": service})
 	engine.SetFaults(standin.Faults{Leaving: true})
 	service.SetFaults(standin.Faults{Leaving: true})
-	s.until("the engine's leaving is known by its polls", func() bool {
+	s.waitUntil("the engine's leaving is known by its polls", func() bool {
 		got := s.dispatch(completion(false, "1"))
 		return got.refusedKind() == fault.Leaving
 	})
@@ -30,7 +30,7 @@
 	got := s.dispatch(serviceCall(1))
 	is.Equal(got.refusedKind(), fault.Leaving)
 	engine.SetFaults(standin.Faults{})
-	s.until("another process of the engine answers its polls", func() bool { return s.dispatch(completion(false, "1")).end != nil })
+	s.waitUntil("another process of the engine answers its polls", func() bool { return s.dispatch(completion(false, "1")).end != nil })
 	service.SetFaults(standin.Faults{})
 	time.Sleep(100 * time.Millisecond)
 	got = s.dispatch(serviceCall(2))
@@ -38,11 +38,11 @@
 }
 
 // Guards against a service that is kept out for good since its former process left.
-func TestTheNextProcessOfAServiceIsNotLeaving(t *testing.T) {
+func TestRestartedServiceIsNotLeaving(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	service := standin.NewService(0)
-	s := newSite(t, map[string]http.Handler{"service": service})
+	s := newFixture(t, map[string]http.Handler{"service": service})
 	service.SetFaults(standin.Faults{Leaving: true})
 	s.dispatch(serviceCall(0))
 	got := s.dispatch(serviceCall(1))
@@ -56,5 +56,5 @@
 	next.Listener = listenAt(t, addr)
 	next.Start()
 	t.Cleanup(next.Close)
-	s.until("the next process is called", func() bool { got := s.dispatch(serviceCall(2)); return got.end != nil })
+	s.waitUntil("the next process is called", func() bool { got := s.dispatch(serviceCall(2)); return got.end != nil })
 }
--- a/agent/load_test.go
+++ b/agent/load_test.go
@@ -14,18 +14,18 @@
 
 // What an engine says of its prompts, steps and adapters reaches the readers of
 // reports, a step that does not end included; what it does not say stays unset.
-func TestReportsTellWhatTheEngineKnows(t *testing.T) {
+func TestReportsCarryOptionalEngineFigures(t *testing.T) {
 	is := is.New(t)
 	cfg := standin.EngineConfig{Slots: 2, TokenTime: time.Millisecond, PrefillTime: time.Millisecond}
 	engine := standin.NewEngine(cfg)
 	cfg.CountsOnly = true
-	s := newSite(t, map[string]http.Handler{"engine": engine, "engine-plain": standin.NewEngine(cfg)})
+	s := newFixture(t, map[string]http.Handler{"engine": engine, "engine-plain": standin.NewEngine(cfg)})
 	ask := completion(true, "1000")
 	go s.dispatch(ask)
 	plain := completion(true, "1000")
 	plain.Endpoint = "engine-plain"
 	go s.dispatch(plain)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	stream := must(s.client.Reports(ctx, &agentv1.ReportsRequest{IntervalMs: 20}))
 	next := func(id string, holds func(l *agentv1.LoadReport) bool) *agentv1.LoadReport {
@@ -38,40 +38,40 @@
 		}
 	}
 	isStepping := func(l *agentv1.LoadReport) bool { return l.GetRunning() > 0 && l.GetStepUs() >= 1000 }
-	told := next("engine", isStepping)
-	is.True(told.GetOwnStepUs() >= 1000)
-	is.Equal(told.GetPrefillRate(), 16000.0) // a block of 16 tokens in a millisecond
-	is.True(told.PrefillTokens != nil)
-	is.True(told.Adapters != nil && len(told.GetAdapters().GetNames()) == 0) // known to be none
+	full := next("engine", isStepping)
+	is.True(full.GetOwnStepUs() >= 1000)
+	is.Equal(full.GetPrefillRate(), 16000.0) // a block of 16 tokens in a millisecond
+	is.True(full.PrefillTokens != nil)
+	is.True(full.Adapters != nil && len(full.GetAdapters().GetNames()) == 0) // known to be none
 
-	untold := next("engine-plain", func(l *agentv1.LoadReport) bool { return l.GetRunning() > 0 })
-	is.True(untold.PrefillTokens == nil)
-	is.True(untold.Adapters == nil)
-	is.Equal([]int64{untold.GetStepUs(), untold.GetOwnStepUs()}, []int64{0, 0})
+	countsOnly := next("engine-plain", func(l *agentv1.LoadReport) bool { return l.GetRunning() > 0 })
+	is.True(countsOnly.PrefillTokens == nil)
+	is.True(countsOnly.Adapters == nil)
+	is.Equal([]int64{countsOnly.GetStepUs(), countsOnly.GetOwnStepUs()}, []int64{0, 0})
 
 	engine.SetFaults(standin.Faults{Stall: true})
 	next("engine", func(l *agentv1.LoadReport) bool { return l.GetStepUs() > 100_000 && l.GetOwnStepUs() > 100_000 })
 }
 
 // A reader gets the figures of each look once, however often it reads.
-func TestFiguresAreReportedOnce(t *testing.T) {
+func TestLoadSamplesAreReportedOncePerReader(t *testing.T) {
 	is := is.New(t)
 	b, at := newReportBuffer(), time.Now()
-	look := func(running int32, at time.Time) { b.setLoad(&agentv1.LoadReport{Endpoint: "e", Running: running}, at) }
+	sample := func(running int32, at time.Time) { b.setLoad(&agentv1.LoadReport{Endpoint: "e", Running: running}, at) }
 	var read position
 	count := func() int {
 		report, next := b.report(read, at)
 		read = next
 		return len(report.GetLoads())
 	}
-	look(1, at)
+	sample(1, at)
 	is.Equal(count(), 1)
 	is.Equal(count(), 0)
-	look(1, at.Add(time.Millisecond)) // the same figures, looked at again
+	sample(1, at.Add(time.Millisecond)) // the same figures, looked at again
 	is.Equal(count(), 0)
-	look(1, at.Add(time.Second)) // measured again
+	sample(1, at.Add(time.Second)) // measured again
 	is.Equal(count(), 1)
-	look(2, at.Add(time.Second))
+	sample(2, at.Add(time.Second))
 	is.Equal(count(), 1)
 	other, _ := b.report(position{}, at)
 	is.Equal(len(other.GetLoads()), 1) // another reader begins with all
--- a/agent/order.go
+++ b/agent/order.go
@@ -30,7 +30,7 @@
 	settings   *Settings
 	lockedGate *lockedGate
 	client     *endpointClient
-	loaded     *loaded
+	loaded     *loadedStates
 	logger     *slog.Logger
 	targets    map[string]*orderTarget
 }
@@ -42,12 +42,12 @@
 	endpoint Endpoint
 }
 
-func newOrderer(s *Settings, k *lockedGate, c *endpointClient, l *loaded, logger *slog.Logger) *orderer {
+func newOrderer(s *Settings, g *lockedGate, c *endpointClient, l *loadedStates, logger *slog.Logger) *orderer {
 	targets := make(map[string]*orderTarget, len(s.Endpoints))
 	for _, e := range s.Endpoints {
 		targets[e.ID] = &orderTarget{endpoint: e}
 	}
-	return &orderer{settings: s, lockedGate: k, client: c, loaded: l, logger: logger, targets: targets}
+	return &orderer{settings: s, lockedGate: g, client: c, loaded: l, logger: logger, targets: targets}
 }
 
 // order carries out an order and reads back what the endpoint has. It goes on
@@ -55,7 +55,7 @@
 func (o *orderer) order(ctx context.Context, request *agentv1.OrderRequest) (*agentv1.OrderResponse, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), o.settings.OrderLimit)
 	defer cancel()
-	response, err := o.carryOut(ctx, request)
+	response, err := o.execute(ctx, request)
 	outcome := "done"
 	if err != nil {
 		outcome = string(fault.KindOf(err))
@@ -66,7 +66,7 @@
 	return response, err
 }
 
-func (o *orderer) carryOut(ctx context.Context, request *agentv1.OrderRequest) (*agentv1.OrderResponse, error) {
+func (o *orderer) execute(ctx context.Context, request *agentv1.OrderRequest) (*agentv1.OrderResponse, error) {
 	target := o.targets[request.GetEndpoint()]
 	if target == nil {
 		return nil, o.lockedGate.admitOrder(request)
@@ -108,10 +108,10 @@
 		return fault.New(fault.Internal, "the order cannot be encoded", "report the defect").Because(err)
 	}
 	status, err := o.client.exchange(ctx, http.MethodPost, e, engineapi.PathOrders, body, nil)
-	var unasked notAsked
+	var notSent notSentError
 	switch {
-	case errors.As(err, &unasked):
-		return unasked.cause
+	case errors.As(err, &notSent):
+		return notSent.cause
 	case err != nil:
 		return fault.Newf(fault.Unknown, "read the endpoint back before repeating the order",
 			"endpoint %q may have carried out the order", e.ID).Because(err)
@@ -133,7 +133,7 @@
 		return nil, fault.Newf(fault.Unknown, "read the endpoint back again",
 			"endpoint %q cannot be read back (status %d)", e.ID, status).Because(err)
 	}
-	observed := e.announced(o.settings)
+	observed := e.toProto(o.settings)
 	observed.Incarnation = o.lockedGate.incarnation()
 	observed.State = fleetv1.EndpointState_ENDPOINT_STATE_UNSPECIFIED
 	o.loaded.apply(observed)
--- a/agent/poll.go
+++ b/agent/poll.go
@@ -16,7 +16,7 @@
 	// pollTimeout bounds one poll of an endpoint.
 	pollTimeout = time.Second
 	// readBackEvery is the number of polls after which an engine is read back.
-	readBackEvery = 10
+	pollsPerReadBack = 10
 )
 
 // poller polls the load and the cache events of one endpoint.
@@ -25,7 +25,7 @@
 	lockedGate   *lockedGate
 	client       *endpointClient
 	reportBuffer *reportBuffer
-	loaded       *loaded
+	loaded       *loadedStates
 	health       *health
 	logger       *slog.Logger
 	interval     time.Duration
@@ -39,9 +39,9 @@
 
 // loop polls until ctx ends.
 func (p *poller) loop(ctx context.Context) {
-	for number := 1; ctx.Err() == nil; number++ {
+	for polls := 1; ctx.Err() == nil; polls++ {
 		p.poll(ctx)
-		if _, limited := p.lockedGate.limits().Limit(p.endpoint.ID); !limited && number%readBackEvery == 0 {
+		if _, limited := p.lockedGate.rateLimits().Limit(p.endpoint.ID); !limited && polls%pollsPerReadBack == 0 {
 			p.readLoaded(ctx)
 		}
 		wait.For(ctx, jitter(p.interval))
@@ -65,27 +65,27 @@
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	if p.endpoint.Kind != KindEngine {
-		p.ownLoad()
+		p.reportInFlight()
 		p.probe(ctx)
 		return
 	}
 	ok, limited := p.lockedGate.admitPoll(p.endpoint.ID)
 	if !ok {
-		p.ownLoad()
+		p.reportInFlight()
 		return
 	}
-	asked := time.Now()
+	requested := time.Now()
 	var load engineapi.Load
 	status, err := p.client.exchange(ctx, http.MethodGet, p.endpoint, engineapi.PathLoad, nil, &load)
-	p.health.noteCall(p.endpoint.ID, err)
+	p.health.recordCall(p.endpoint.ID, err)
 	switch {
 	case err != nil:
 		p.reportBuffer.dropLoad(p.endpoint.ID)
 		return
 	case status == http.StatusOK:
-		p.reportBuffer.setLoad(p.report(load), asked.Add(-time.Duration(load.AgeMS)*time.Millisecond))
+		p.reportBuffer.setLoad(p.loadReport(load), requested.Add(-time.Duration(load.AgeMS)*time.Millisecond))
 	default:
-		p.ownLoad()
+		p.reportInFlight()
 	}
 	if !limited {
 		p.pollEvents(ctx)
@@ -95,27 +95,27 @@
 // probe connects to a plain service whose last call found no connection, or which leaves: it gets
 // no calls that would show its end.
 func (p *poller) probe(ctx context.Context) {
-	goes := p.lockedGate.goes(p.endpoint.ID)
-	if !goes && !p.health.suspected(p.endpoint.ID) {
+	leaving := p.lockedGate.announcedLeaving(p.endpoint.ID)
+	if !leaving && !p.health.suspected(p.endpoint.ID) {
 		return
 	}
-	connects := p.client.connects(ctx, p.endpoint)
-	p.health.note(p.endpoint.ID, connects)
-	if goes && !connects {
-		p.lockedGate.ended(p.endpoint.ID)
+	reachable := p.client.canConnect(ctx, p.endpoint)
+	p.health.record(p.endpoint.ID, reachable)
+	if leaving && !reachable {
+		p.lockedGate.processEnded(p.endpoint.ID)
 	}
 }
 
 // ownLoad reports the calls that the agent itself has in flight, for endpoints
 // that do not report their load.
-func (p *poller) ownLoad() {
+func (p *poller) reportInFlight() {
 	p.reportBuffer.setLoad(&agentv1.LoadReport{
 		Endpoint: p.endpoint.ID,
 		Running:  int32(p.lockedGate.inFlightAt(p.endpoint.ID)),
 	}, time.Now())
 }
 
-func (p *poller) report(load engineapi.Load) *agentv1.LoadReport {
+func (p *poller) loadReport(load engineapi.Load) *agentv1.LoadReport {
 	report := &agentv1.LoadReport{
 		Endpoint:        p.endpoint.ID,
 		Running:         int32(load.Running),
@@ -141,13 +141,13 @@
 	if err != nil || status != http.StatusOK {
 		return
 	}
-	p.reportBuffer.addEvents(p.renumber(answer))
+	p.reportBuffer.addEvents(p.toEvents(answer))
 }
 
 // renumber renumbers the events of an answer. A new run of the engine begins with
 // an event that says that its cache is empty; what the answer held of the new
 // run is read again from its beginning.
-func (p *poller) renumber(answer engineapi.CacheEvents) []*agentv1.CacheEvent {
+func (p *poller) toEvents(answer engineapi.CacheEvents) []*agentv1.CacheEvent {
 	if answer.Run != p.run {
 		restarted := p.run != ""
 		p.run = answer.Run
--- a/agent/pushback_test.go
+++ b/agent/pushback_test.go
@@ -16,13 +16,13 @@
 const (
 	// pause is what the endpoints of these tests ask for, pauseGrace the part of it in which
 	// what was under way may still come, allowedInPause what they may get in the rest.
-	pause          = 3 * time.Second
-	pauseGrace     = 500 * time.Millisecond
-	allowedInPause = 2
+	retryAfterPause    = 3 * time.Second
+	pauseGrace         = 500 * time.Millisecond
+	maxRequestsInPause = 2
 )
 
 // every runs something each interval until a time has passed.
-func every(interval, total time.Duration, run func(number int)) {
+func repeatFor(interval, total time.Duration, run func(number int)) {
 	for began, number := time.Now(), 0; time.Since(began) < total; number++ {
 		run(number)
 		time.Sleep(interval)
@@ -35,15 +35,15 @@
 
 // Guards against an agent that goes on sending to an endpoint which has rejected a request and
 // asked for a pause: calls, polls, read-backs and orders alike.
-func TestAnAgentKeepsAPauseThatAnEndpointAsksFor(t *testing.T) {
+func TestRetryAfterPauseIsKept(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(standin.EngineConfig{Slots: 64})
 	service := standin.NewService(0)
-	s := newSite(t, map[string]http.Handler{"engine": engine, "service": service})
+	s := newFixture(t, map[string]http.Handler{"engine": engine, "service": service})
 	engine.SetFaults(standin.Faults{RetryAfter: "3"})
 	service.SetFaults(standin.Faults{RetryAfter: "3"})
 	began := time.Now()
-	every(20*time.Millisecond, pause, func(number int) {
+	repeatFor(20*time.Millisecond, retryAfterPause, func(number int) {
 		call := completion(false, "1")
 		call.RequestId = fmt.Sprint("c", number)
 		s.dispatch(call)
@@ -53,20 +53,20 @@
 		})
 	})
 	// A time within the pause that each of them has asked for.
-	known, rest := began.Add(pauseGrace), pause-pauseGrace
+	known, rest := began.Add(pauseGrace), retryAfterPause-pauseGrace
 	for name, got := range map[string]int{"engine": engine.MostArrivals(known, rest), "service": service.MostArrivals(known, rest)} {
 		t.Logf("the %s got %d", name, got)
-		is.New(t).True(got <= allowedInPause)
+		is.New(t).True(got <= maxRequestsInPause)
 	}
 }
 
 // Guards against dispatches that are held, or said to have failed, while their endpoint wants
 // nothing, and against an endpoint that stays left out after its pause.
-func TestADispatchInAPauseIsRefusedWithTheTimeLeft(t *testing.T) {
+func TestDispatchDuringPauseIsRefusedWithRemainingTime(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	service := standin.NewService(0)
-	s := newSite(t, map[string]http.Handler{"service": service})
+	s := newFixture(t, map[string]http.Handler{"service": service})
 	service.SetFaults(standin.Faults{RetryAfter: "2"})
 	s.dispatch(serviceCall(0))
 	service.SetFaults(standin.Faults{})
--- a/agent/ranklink.go
+++ b/agent/ranks.go
@@ -14,7 +14,7 @@
 
 // pollsPerCount is how many polls of an engine's load there are for one reading
 // of what its experts have handled, which is larger.
-const pollsPerCount = 5
+const pollsPerExpertRead = 5
 
 // newRanks returns the machines of the endpoints that are ranks of a group.
 func newRanks(s *Settings, c *controls, o *orderer, logger *slog.Logger) *ranks.Ranks {
@@ -29,7 +29,7 @@
 		Control:        mapReader{c},
 		Engines:        rankEngines{orderer: o, controls: c},
 		StepsAhead:     s.StepsAhead,
-		ExpertInterval: pollsPerCount * s.PollInterval,
+		ExpertInterval: pollsPerExpertRead * s.PollInterval,
 		Logger:         logger,
 	})
 }
--- a/agent/ranks/experts.go
+++ b/agent/ranks/experts.go
@@ -11,34 +11,34 @@
 const expertTimeout = time.Second
 
 // loads returns what there is to report; the lock is held.
-func (r *Ranks) loads() []*agentv1.ExpertLoad {
+func (r *Ranks) expertLoads() []*agentv1.ExpertLoad {
 	var loads []*agentv1.ExpertLoad
-	for _, m := range r.machines {
-		loads = append(loads, m.experts.Take(m.member.Group, m.member.Rank)...)
+	for _, d := range r.drivers {
+		loads = append(loads, d.experts.Take(d.member.Group, d.member.Rank)...)
 	}
 	return loads
 }
 
 // countExperts begins a reading of all engines for the next report, unless the
 // last is too recent; the lock is held.
-func (r *Ranks) countExperts() {
-	if r.now()-r.counted < r.cfg.ExpertInterval {
+func (r *Ranks) readExperts() {
+	if r.now()-r.lastExpertRead < r.cfg.ExpertInterval {
 		return
 	}
-	r.counted = r.now()
-	for _, m := range r.machines {
-		go r.countOne(m)
+	r.lastExpertRead = r.now()
+	for _, d := range r.drivers {
+		go r.readExpertsOf(d)
 	}
 }
 
-func (r *Ranks) countOne(m *machine) {
+func (r *Ranks) readExpertsOf(d *rankDriver) {
 	ctx, cancel := context.WithTimeout(r.background, expertTimeout)
 	defer cancel()
-	read, err := r.cfg.Engines.ReadExperts(ctx, m.member.Endpoint)
+	read, err := r.cfg.Engines.ReadExperts(ctx, d.member.Endpoint)
 	if err != nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m.experts.Record(read)
+	d.experts.Record(read)
 }
--- a/agent/ranks/load.go
+++ b/agent/ranks/load.go
@@ -13,21 +13,21 @@
 )
 
 // loadRetry is the pause after an order to load a map that was not carried out.
-const loadRetry = 200 * time.Millisecond
+const loadRetryPause = 200 * time.Millisecond
 
 // load gives the engine of a rank the order to load a map, unless the engine has
 // it or that order is under way; the lock is held.
-func (r *Ranks) load(m mapswitch.Message) {
-	machine := r.machines[rankName{m.Group, m.Rank}]
-	if slices.Contains(machine.inPlace, engineapi.LoadedMap{Epoch: m.Epoch, Digest: m.Digest}) {
-		r.emit(machine.step(r.now(), machine.loaded(m.Epoch, m.Digest)))
+func (r *Ranks) loadMap(m mapswitch.Message) {
+	driver := r.drivers[rankKey{m.Group, m.Rank}]
+	if slices.Contains(driver.loadedMaps, engineapi.LoadedMap{Epoch: m.Epoch, Digest: m.Digest}) {
+		r.deliver(driver.step(r.now(), driver.loadedMessage(m.Epoch, m.Digest)))
 		return
 	}
-	if machine.loading[m.Epoch] {
+	if driver.loading[m.Epoch] {
 		return
 	}
-	machine.loading[m.Epoch] = true
-	record := machine.rank.Record()
+	driver.loading[m.Epoch] = true
+	record := driver.rank.Record()
 	order := engineapi.Order{
 		Kind:   engineapi.OrderLoadMap,
 		Fence:  m.Token,
@@ -35,34 +35,34 @@
 		Digest: m.Digest,
 		Keep:   []uint64{record.PreviousEpoch, record.Epoch, record.PendingEpoch},
 	}
-	go r.carryOut(machine, machine.rank, order)
+	go r.executeLoad(driver, driver.rank, order)
 }
 
 // carryOut gives the order and reports its outcome to the rank, if the engine is
 // still in the run that it was in.
-func (r *Ranks) carryOut(m *machine, rank *mapswitch.Rank, order engineapi.Order) {
-	err := r.send(r.background, m.member, order)
+func (r *Ranks) executeLoad(d *rankDriver, rank *mapswitch.Rank, order engineapi.Order) {
+	err := r.sendOrder(r.background, d.member, order)
 	if err != nil {
-		r.cfg.Logger.Warn("an expert map was not loaded", slog.String("endpoint", m.member.Endpoint),
+		r.cfg.Logger.Warn("an expert map was not loaded", slog.String("endpoint", d.member.Endpoint),
 			slog.Uint64("epoch", order.Epoch), slog.Any("error", err))
-		wait.For(r.background, loadRetry)
+		wait.For(r.background, loadRetryPause)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if m.rank != rank {
+	if d.rank != rank {
 		return
 	}
-	delete(m.loading, order.Epoch)
+	delete(d.loading, order.Epoch)
 	switch {
 	case err == nil:
-		r.emit(m.step(r.now(), m.loaded(order.Epoch, order.Digest)))
+		r.deliver(d.step(r.now(), d.loadedMessage(order.Epoch, order.Digest)))
 	case fault.Is(err, fault.Fenced):
-		r.emit(m.step(r.now(), m.fenced(order.Fence+1)))
+		r.deliver(d.step(r.now(), d.fencedMessage(order.Fence+1)))
 	}
 }
 
-func (r *Ranks) send(ctx context.Context, member Member, order engineapi.Order) error {
-	found, err := r.readers[member.Group].mapOf(ctx, order.Epoch, order.Digest)
+func (r *Ranks) sendOrder(ctx context.Context, member Member, order engineapi.Order) error {
+	found, err := r.readers[member.Group].findMap(ctx, order.Epoch, order.Digest)
 	if err != nil {
 		return err
 	}
@@ -76,11 +76,11 @@
 }
 
 // fenced returns the engine's answer that it has seen a higher token.
-func (m *machine) fenced(token uint64) mapswitch.Message {
+func (d *rankDriver) fencedMessage(token uint64) mapswitch.Message {
 	return mapswitch.Message{
 		Kind:  mapswitch.KindFenced,
-		Group: m.member.Group,
-		Rank:  m.member.Rank,
+		Group: d.member.Group,
+		Rank:  d.member.Rank,
 		Token: token,
 	}
 }
--- a/agent/ranks/ranks.go
+++ b/agent/ranks/ranks.go
@@ -62,51 +62,51 @@
 	started time.Time
 	// background ends with Run; reads and orders live in it.
 	background context.Context
-	end        context.CancelFunc
+	cancel     context.CancelFunc
 
-	mu       sync.Mutex
-	machines map[rankName]*machine
-	readers  map[string]*reader
+	mu      sync.Mutex
+	drivers map[rankKey]*rankDriver
+	readers map[string]*recordReader
 	// outbox holds the newest message of each kind for the coordinator.
 	outbox map[outboxKey]mapswitch.Message
 	// counted is when experts were read last.
-	counted time.Duration
+	lastExpertRead time.Duration
 }
 
-type rankName struct {
+type rankKey struct {
 	group string
 	rank  int
 }
 
 type outboxKey struct {
-	rankName
+	rankKey
 	kind mapswitch.Kind
 }
 
 // New returns the machines of the members. They allow no step before Run.
 func New(cfg Config) *Ranks {
 	r := &Ranks{
-		cfg:      cfg,
-		started:  time.Now(),
-		machines: make(map[rankName]*machine),
-		readers:  make(map[string]*reader),
-		outbox:   make(map[outboxKey]mapswitch.Message),
-		counted:  -cfg.ExpertInterval,
+		cfg:            cfg,
+		started:        time.Now(),
+		drivers:        make(map[rankKey]*rankDriver),
+		readers:        make(map[string]*recordReader),
+		outbox:         make(map[outboxKey]mapswitch.Message),
+		lastExpertRead: -cfg.ExpertInterval,
 	}
-	r.background, r.end = context.WithCancel(context.Background())
+	r.background, r.cancel = context.WithCancel(context.Background())
 	for _, member := range cfg.Members {
-		r.machines[rankName{member.Group, member.Rank}] = newMachine(member)
-		r.readers[member.Group] = &reader{ranks: r, group: member.Group, pause: minPause}
+		r.drivers[rankKey{member.Group, member.Rank}] = newRankDriver(member)
+		r.readers[member.Group] = &recordReader{ranks: r, group: member.Group, interval: minReadInterval}
 	}
 	return r
 }
 
 // Any reports whether the agent serves any rank.
-func (r *Ranks) HasMembers() bool { return len(r.machines) > 0 }
+func (r *Ranks) HasMembers() bool { return len(r.drivers) > 0 }
 
 // Run drives the machines until ctx ends.
 func (r *Ranks) Run(ctx context.Context) {
-	defer r.end()
+	defer r.cancel()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for r.HasMembers() {
@@ -124,8 +124,8 @@
 func (r *Ranks) tick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, m := range r.machines {
-		r.emit(m.rank.Tick(r.now()))
+	for _, d := range r.drivers {
+		r.deliver(d.rank.Tick(r.now()))
 	}
 }
 
@@ -139,31 +139,31 @@
 		if err != nil {
 			return nil, err
 		}
-		machine := r.machines[rankName{m.Group, m.Rank}]
-		if machine == nil || m.Kind.Destination() != mapswitch.ToRank {
+		driver := r.drivers[rankKey{m.Group, m.Rank}]
+		if driver == nil || m.Kind.Destination() != mapswitch.ToRank {
 			continue
 		}
-		r.emit(machine.step(r.now(), m))
+		r.deliver(driver.step(r.now(), m))
 	}
-	response := &agentv1.GroupResponse{Loads: r.loads()}
+	response := &agentv1.GroupResponse{Loads: r.expertLoads()}
 	for key, m := range r.outbox {
 		response.Messages = append(response.Messages, mapwire.ToProto(m))
 		delete(r.outbox, key)
 	}
-	r.countExperts()
+	r.readExperts()
 	return response, nil
 }
 
 // emit passes on what machines ask for; the lock is held.
-func (r *Ranks) emit(messages []mapswitch.Message) {
+func (r *Ranks) deliver(messages []mapswitch.Message) {
 	for _, m := range messages {
 		switch m.Kind.Destination() {
 		case mapswitch.ToCoordinator:
-			r.outbox[outboxKey{rankName{m.Group, m.Rank}, m.Kind}] = m
+			r.outbox[outboxKey{rankKey{m.Group, m.Rank}, m.Kind}] = m
 		case mapswitch.ToControl:
-			r.readers[m.Group].add(m)
+			r.readers[m.Group].enqueue(m)
 		case mapswitch.ToEngine:
-			r.load(m)
+			r.loadMap(m)
 		}
 	}
 }
--- a/agent/ranks/ranks_test.go
+++ b/agent/ranks/ranks_test.go
@@ -26,7 +26,7 @@
 const testGroup = "lilackeel-pool"
 
 // host is one rank's engine and the control replicas, as the machines see them.
-type host struct {
+type fakeBackend struct {
 	mu     sync.Mutex
 	record *fleetv1.MapRecord
 	fence  uint64
@@ -35,13 +35,13 @@
 	done   chan error
 }
 
-func (h *host) ReadMap(context.Context, string) (*fleetv1.MapRecord, uint64, error) {
+func (h *fakeBackend) ReadMap(context.Context, string) (*fleetv1.MapRecord, uint64, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.record, h.fence, nil
 }
 
-func (h *host) LoadMap(ctx context.Context, _ string, order engineapi.Order) error {
+func (h *fakeBackend) LoadMap(ctx context.Context, _ string, order engineapi.Order) error {
 	h.orders <- order
 	select {
 	case err := <-h.done:
@@ -51,14 +51,14 @@
 	}
 }
 
-func (h *host) ReadExperts(context.Context, string) (engineapi.ExpertCounts, error) {
+func (h *fakeBackend) ReadExperts(context.Context, string) (engineapi.ExpertCounts, error) {
 	return engineapi.ExpertCounts{}, nil
 }
 
 // newHost returns a host whose group runs epoch 1, and the machines beside it.
-func newHost(t *testing.T) (*host, *Ranks) {
+func newFakeBackend(t *testing.T) (*fakeBackend, *Ranks) {
 	first := group.RoundRobin(group.Shape{Layers: 1, Experts: 4, Ranks: 2, Slots: 3})
-	h := &host{
+	h := &fakeBackend{
 		record: &fleetv1.MapRecord{Group: testGroup, Epoch: 1, State: fleetv1.MapState_MAP_STATE_COMMITTED, Map: mapwire.Stored{Map: first}.Encode()},
 		fence:  2, orders: make(chan engineapi.Order, 9), done: make(chan error),
 	}
@@ -71,7 +71,7 @@
 }
 
 // begin makes epoch 2 pending and returns its record.
-func (h *host) begin() mapswitch.Record {
+func (h *fakeBackend) prepareEpoch2() mapswitch.Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	next := group.RoundRobin(group.Shape{Layers: 1, Experts: 4, Ranks: 2, Slots: 2})
@@ -84,7 +84,7 @@
 }
 
 // promise asks rank 0 for a promise and returns its answer.
-func promise(r *Ranks, record mapswitch.Record, token, step uint64) mapswitch.Message {
+func requestPromise(r *Ranks, record mapswitch.Record, token, step uint64) mapswitch.Message {
 	record.Token = token
 	message := mapwire.ToProto(mapswitch.Message{
 		Kind: mapswitch.KindPromise, Group: testGroup, Token: token, Epoch: 2, Step: step, Record: record,
@@ -103,10 +103,10 @@
 }
 
 // ask asks for steps as rank 0.
-func ask(t *testing.T, r *Ranks, request engineapi.StepRequest) engineapi.StepGrant {
+func requestSteps(t *testing.T, r *Ranks, request engineapi.StepRequest) engineapi.StepGrant {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	return r.awaitGrant(ctx, r.machines[rankName{testGroup, 0}], request)
+	return r.awaitGrant(ctx, r.drivers[rankKey{testGroup, 0}], request)
 }
 
 // An agent starts again during a switch, beside an engine that still has steps
@@ -117,53 +117,53 @@
 		Guard: "the granted steps that an engine reports; the token of the record's writer"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h, r := newHost(t)
-		record := h.begin()
+		h, r := newFakeBackend(t)
+		record := h.prepareEpoch2()
 		request := engineapi.StepRequest{Group: testGroup, Run: "a", Step: 50, Granted: 60, Loaded: []engineapi.LoadedMap{
 			{Epoch: 1, Digest: record.Digest}, {Epoch: 2, Digest: record.PendingDigest},
 		}}
-		is.Equal(ask(t, r, request), engineapi.StepGrant{}) // a promise may be in force
-		is.Equal(promise(r, record, 1, 1000).Reason, mapswitch.ReasonFenced)
-		is.Equal(promise(r, record, 2, 60).Reason, mapswitch.ReasonPassed)
-		is.Equal(promise(r, record, 2, 70).Kind, mapswitch.KindPromised)
-		is.Equal(ask(t, r, request), engineapi.StepGrant{Epoch: 1, From: 61, Until: 66})
+		is.Equal(requestSteps(t, r, request), engineapi.StepGrant{}) // a promise may be in force
+		is.Equal(requestPromise(r, record, 1, 1000).Reason, mapswitch.ReasonFenced)
+		is.Equal(requestPromise(r, record, 2, 60).Reason, mapswitch.ReasonPassed)
+		is.Equal(requestPromise(r, record, 2, 70).Kind, mapswitch.KindPromised)
+		is.Equal(requestSteps(t, r, request), engineapi.StepGrant{Epoch: 1, From: 61, Until: 66})
 		request.Step, request.Granted = 60, 65
-		is.Equal(ask(t, r, request), engineapi.StepGrant{Epoch: 1, From: 66, Until: 70})
+		is.Equal(requestSteps(t, r, request), engineapi.StepGrant{Epoch: 1, From: 66, Until: 70})
 		request.Granted = 69
-		is.Equal(ask(t, r, request), engineapi.StepGrant{}) // undecided
+		is.Equal(requestSteps(t, r, request), engineapi.StepGrant{}) // undecided
 	})
 }
 
 // An engine starts again while it loads a map. The order to its former run does
 // not count, and a late request of that run takes back nothing that was granted
 // to the present one.
-func TestRestartedEngineLoadsAgain(t *testing.T) {
+func TestRestartedEngineReloadsMap(t *testing.T) {
 	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Restart, proof.Late}, Step: "weights loading", Together: true,
 		Guard: "the comparison of the engine's run when an order ends; the granted steps kept over it"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h, r := newHost(t)
-		go ask(t, r, engineapi.StepRequest{Group: testGroup, Run: "a", Step: 50, Granted: 60})
+		h, r := newFakeBackend(t)
+		go requestSteps(t, r, engineapi.StepRequest{Group: testGroup, Run: "a", Step: 50, Granted: 60})
 		is.Equal((<-h.orders).Epoch, uint64(1))
 		request := engineapi.StepRequest{Group: testGroup, Run: "b", Step: 55}
-		go ask(t, r, request)
+		go requestSteps(t, r, request)
 		<-h.orders // to run b
 		h.done <- nil
 		synctest.Wait()
 		r.mu.Lock()
-		loaded := len(r.machines[rankName{testGroup, 0}].loading) == 0
+		loaded := len(r.drivers[rankKey{testGroup, 0}].loading) == 0
 		r.mu.Unlock()
 		h.done <- nil
 		synctest.Wait()
-		grant := ask(t, r, request)
+		grant := requestSteps(t, r, request)
 		is.True(!loaded)                 // the first answer was that of run a
 		is.Equal(grant.From, uint64(55)) // run b may run now
-		record := h.begin()
+		record := h.prepareEpoch2()
 		late := engineapi.StepRequest{Group: testGroup, Run: "a", Step: 50, Granted: 60, Loaded: []engineapi.LoadedMap{
 			{Epoch: 1, Digest: record.Digest}, {Epoch: 2, Digest: record.PendingDigest},
 		}}
-		is.Equal(ask(t, r, late), engineapi.StepGrant{})
-		is.Equal(promise(r, record, 2, grant.Until-1).Reason, mapswitch.ReasonPassed) // granted to run b
+		is.Equal(requestSteps(t, r, late), engineapi.StepGrant{})
+		is.Equal(requestPromise(r, record, 2, grant.Until-1).Reason, mapswitch.ReasonPassed) // granted to run b
 	})
 }
 
@@ -173,13 +173,13 @@
 	for _, ahead := range []int{1, 16} {
 		b.Run(fmt.Sprintf("ahead=%d", ahead), func(b *testing.B) {
 			r := New(Config{Members: []Member{{Group: testGroup}}, StepsAhead: ahead, Logger: slog.New(slog.DiscardHandler)})
-			m := r.machines[rankName{testGroup, 0}]
-			m.begin("a")
+			d := r.drivers[rankKey{testGroup, 0}]
+			d.startRun("a")
 			stored := mapwire.Stored{Map: group.RoundRobin(group.Shape{Layers: 1, Experts: 4, Ranks: 1, Slots: 4})}
 			record := mapswitch.Record{Revision: 1, Epoch: 1, Digest: stored.Map.Digest()}
-			read := m.rank.Tick(time.Second)
-			m.step(time.Second, mapswitch.Answer(read[0], record, true))
-			m.step(time.Second, m.loaded(1, record.Digest))
+			read := d.rank.Tick(time.Second)
+			d.step(time.Second, mapswitch.Answer(read[0], record, true))
+			d.step(time.Second, d.loadedMessage(1, record.Digest))
 			server := httptest.NewServer(r.Handler())
 			defer server.Close()
 			var granted uint64
--- a/agent/ranks/read.go
+++ b/agent/ranks/recordreader.go
@@ -17,24 +17,24 @@
 // while the record stays the same. Decisions are sent to ranks by the
 // coordinator as well; a read finds only those that were lost.
 const (
-	minPause = 20 * time.Millisecond
-	maxPause = 500 * time.Millisecond
+	minReadInterval = 20 * time.Millisecond
+	maxReadInterval = 500 * time.Millisecond
 )
 
 // reader reads the record of one group for all ranks that ask. Its fields are
 // guarded by the lock of Ranks.
-type reader struct {
-	ranks   *Ranks
-	group   string
-	waiting []mapswitch.Message
-	reading bool
-	pause   time.Duration
+type recordReader struct {
+	ranks    *Ranks
+	group    string
+	waiting  []mapswitch.Message
+	reading  bool
+	interval time.Duration
 	// record is what was read last.
 	record *fleetv1.MapRecord
 }
 
 // add puts a rank's request on the list; the lock is held.
-func (r *reader) add(m mapswitch.Message) {
+func (r *recordReader) enqueue(m mapswitch.Message) {
 	for i := range r.waiting {
 		if r.waiting[i].Rank == m.Rank {
 			r.waiting[i] = m
@@ -50,25 +50,25 @@
 
 // run reads until no rank waits. Each read begins after the requests that it
 // answers.
-func (r *reader) run() {
+func (r *recordReader) run() {
 	for {
-		batch := r.take()
+		batch := r.takeBatch()
 		if len(batch) == 0 {
 			return
 		}
 		ctx := r.ranks.background
 		record, fence, err := r.ranks.cfg.Control.ReadMap(ctx, r.group)
 		if err == nil {
-			err = r.answer(batch, record, fence)
+			err = r.deliverRecord(batch, record, fence)
 		}
 		if err != nil {
 			r.ranks.cfg.Logger.DebugContext(ctx, "cannot read the record of an expert map", slog.String("group", r.group), slog.Any("error", err))
 		}
-		wait.For(ctx, r.nextPause(record))
+		wait.For(ctx, r.nextInterval(record))
 	}
 }
 
-func (r *reader) take() []mapswitch.Message {
+func (r *recordReader) takeBatch() []mapswitch.Message {
 	r.ranks.mu.Lock()
 	defer r.ranks.mu.Unlock()
 	batch := r.waiting
@@ -77,7 +77,7 @@
 	return batch
 }
 
-func (r *reader) answer(batch []mapswitch.Message, stored *fleetv1.MapRecord, fence uint64) error {
+func (r *recordReader) deliverRecord(batch []mapswitch.Message, stored *fleetv1.MapRecord, fence uint64) error {
 	record, err := mapwire.RecordOf(stored, fence)
 	if err != nil {
 		return err
@@ -85,29 +85,29 @@
 	r.ranks.mu.Lock()
 	defer r.ranks.mu.Unlock()
 	for _, m := range batch {
-		machine := r.ranks.machines[rankName{m.Group, m.Rank}]
-		r.ranks.emit(machine.step(r.ranks.now(), mapswitch.Answer(m, record, true)))
+		driver := r.ranks.drivers[rankKey{m.Group, m.Rank}]
+		r.ranks.deliver(driver.step(r.ranks.now(), mapswitch.Answer(m, record, true)))
 	}
 	return nil
 }
 
-func (r *reader) nextPause(read *fleetv1.MapRecord) time.Duration {
+func (r *recordReader) nextInterval(read *fleetv1.MapRecord) time.Duration {
 	r.ranks.mu.Lock()
 	defer r.ranks.mu.Unlock()
 	if read.GetEpoch() != r.record.GetEpoch() || read.GetState() != r.record.GetState() {
-		r.pause = minPause
+		r.interval = minReadInterval
 	}
 	if read != nil {
 		r.record = read
 	}
-	pause := r.pause
-	r.pause = min(2*r.pause, maxPause)
+	pause := r.interval
+	r.interval = min(2*r.interval, maxReadInterval)
 	return pause
 }
 
 // mapOf returns the map of an epoch as the last record read names it, or as a
 // new reading does.
-func (r *reader) mapOf(ctx context.Context, epoch, digest uint64) (group.Map, error) {
+func (r *recordReader) findMap(ctx context.Context, epoch, digest uint64) (group.Map, error) {
 	r.ranks.mu.Lock()
 	record := r.record
 	r.ranks.mu.Unlock()
--- a/agent/ranks/steps.go
+++ b/agent/ranks/steps.go
@@ -28,35 +28,35 @@
 }
 
 func (r *Ranks) serveSteps(w http.ResponseWriter, request *http.Request) {
-	var asked engineapi.StepRequest
-	if err := json.NewDecoder(http.MaxBytesReader(w, request.Body, maxStepRequest)).Decode(&asked); err != nil {
+	var stepRequest engineapi.StepRequest
+	if err := json.NewDecoder(http.MaxBytesReader(w, request.Body, maxStepRequest)).Decode(&stepRequest); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	machine := r.machines[rankName{asked.Group, asked.Rank}]
-	if machine == nil {
+	driver := r.drivers[rankKey{stepRequest.Group, stepRequest.Rank}]
+	if driver == nil {
 		http.Error(w, "this agent does not serve the rank; check the endpoints file", http.StatusNotFound)
 		return
 	}
-	r.noteOverrun(asked)
+	r.reportOverrun(stepRequest)
 	ctx, cancel := context.WithTimeout(request.Context(), stepTimeout)
 	defer cancel()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(r.awaitGrant(ctx, machine, asked))
+	_ = json.NewEncoder(w).Encode(r.awaitGrant(ctx, driver, stepRequest))
 }
 
 // awaitGrant waits until the machine grants steps, or for ctx, or until another
 // run of the engine asks.
-func (r *Ranks) awaitGrant(ctx context.Context, m *machine, asked engineapi.StepRequest) engineapi.StepGrant {
+func (r *Ranks) awaitGrant(ctx context.Context, d *rankDriver, stepRequest engineapi.StepRequest) engineapi.StepGrant {
 	for first := true; ; first = false {
-		grant, changed, current := r.ask(m, asked, first)
+		grant, changed, current := r.tryGrant(d, stepRequest, first)
 		if grant.Until != 0 || grant.First != 0 || !current {
 			return grant
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			metrics.GetOrCreateCounter(`lilackeel_agent_step_waits_total{group="` + asked.Group + `"}`).Inc()
+			metrics.GetOrCreateCounter(`lilackeel_agent_step_waits_total{group="` + stepRequest.Group + `"}`).Inc()
 			return grant
 		}
 	}
@@ -64,25 +64,25 @@
 
 // ask returns a grant if there is one, and a channel that closes when there may
 // be. Only the first ask of a request may begin a new run of the engine.
-func (r *Ranks) ask(m *machine, asked engineapi.StepRequest, first bool) (grant engineapi.StepGrant, changed <-chan struct{}, current bool) {
+func (r *Ranks) tryGrant(d *rankDriver, stepRequest engineapi.StepRequest, first bool) (grant engineapi.StepGrant, changed <-chan struct{}, current bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !first && asked.Run != m.run {
+	if !first && stepRequest.Run != d.run {
 		return grant, nil, false
 	}
-	changed = m.changed
-	grant, out := m.ask(r.now(), asked, uint64(r.cfg.StepsAhead))
-	r.emit(out)
+	changed = d.changed
+	grant, out := d.handleRequest(r.now(), stepRequest, uint64(r.cfg.StepsAhead))
+	r.deliver(out)
 	return grant, changed, true
 }
 
 // noteOverrun reports an engine that has run steps without a grant. Nothing else
 // can be done about it here.
-func (r *Ranks) noteOverrun(asked engineapi.StepRequest) {
-	if asked.Granted == 0 || asked.Step <= asked.Granted+1 {
+func (r *Ranks) reportOverrun(stepRequest engineapi.StepRequest) {
+	if stepRequest.Granted == 0 || stepRequest.Step <= stepRequest.Granted+1 {
 		return
 	}
-	metrics.GetOrCreateCounter(`lilackeel_agent_steps_beyond_grant_total{group="` + asked.Group + `"}`).Inc()
-	r.cfg.Logger.Error("a rank ran steps that were not granted", slog.String("group", asked.Group), slog.Int("rank", asked.Rank),
-		slog.Uint64("step", asked.Step), slog.Uint64("granted", asked.Granted))
+	metrics.GetOrCreateCounter(`lilackeel_agent_steps_beyond_grant_total{group="` + stepRequest.Group + `"}`).Inc()
+	r.cfg.Logger.Error("a rank ran steps that were not granted", slog.String("group", stepRequest.Group), slog.Int("rank", stepRequest.Rank),
+		slog.Uint64("step", stepRequest.Step), slog.Uint64("granted", stepRequest.Granted))
 }
--- a/agent/ratelimit_test.go
+++ b/agent/ratelimit_test.go
@@ -15,12 +15,12 @@
 
 // Guards against an endpoint behind an agent that names a limit and gets more: from all
 // entries together, calls and the agent's own polls alike.
-func TestAllTogetherKeepANamedLimit(t *testing.T) {
+func TestCombinedRateStaysWithinEndpointLimit(t *testing.T) {
 	t.Parallel()
 	const window = 4 * time.Second
 	engine := standin.NewEngine(standin.EngineConfig{Slots: 64})
 	service := standin.NewService(0)
-	s := newSite(t, map[string]http.Handler{"engine": engine, "service": service})
+	s := newFixture(t, map[string]http.Handler{"engine": engine, "service": service})
 	engine.SetFaults(standin.Faults{RateLimit: "1"})
 	service.SetFaults(standin.Faults{RateLimit: "0.5"})
 	since := time.Now()
--- a/agent/report_test.go
+++ b/agent/report_test.go
@@ -21,14 +21,14 @@
 func TestLargeMessagesPass(t *testing.T) {
 	is := is.New(t)
 	service := standin.NewService(0)
-	s := newSite(t, map[string]http.Handler{"service": service})
-	d := s.swap("large")
+	s := newFixture(t, map[string]http.Handler{"service": service})
+	d := s.claimedCall("large")
 	d.Body = bytes.Repeat([]byte("x"), 9<<20)
 	is.True(s.dispatch(d).end != nil)
 	is.Equal(len(service.Effects()[0].Body), len(d.Body))
-	is.True(s.dispatch(s.swap("large")).broken.GetMayHaveRun()) // its answer was too large to keep
+	is.True(s.dispatch(s.claimedCall("large")).broken.GetMayHaveRun()) // its answer was too large to keep
 
-	const count = 2 * bufferWeight / 1000
+	const count = 2 * maxBufferWeight / 1000
 	for seq := range uint64(count) {
 		s.daemon.service.reportBuffer.addEvents([]*agentv1.CacheEvent{{Seq: seq, Stored: make([]uint64, 999)}})
 	}
@@ -36,7 +36,7 @@
 	first, err := stream.Recv()
 	is.NoErr(err)
 	is.True(first.GetEvents()[0].GetSeq() > 0) // the oldest have gone
-	is.True(len(first.GetEvents()) <= reportWeight/1000)
+	is.True(len(first.GetEvents()) <= maxReportWeight/1000)
 	last := first.GetEvents()
 	for last[len(last)-1].GetSeq() < count-1 {
 		last = must(stream.Recv()).GetEvents()
@@ -48,8 +48,8 @@
 // engine that does not check; what the engine has then is read back.
 func TestOrdersAreFencedForEnginesThatDoNotCheck(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, map[string]http.Handler{"engine": standin.NewEngine(standin.EngineConfig{Model: "draft"})})
-	s.until("the token is known", func() bool { _, known := s.daemon.lockedGate.fence(); return known })
+	s := newFixture(t, map[string]http.Handler{"engine": standin.NewEngine(standin.EngineConfig{Model: "draft"})})
+	s.waitUntil("the token is known", func() bool { _, known := s.daemon.lockedGate.fence(); return known })
 	order := func(fence uint64, version string) (*agentv1.OrderResponse, error) {
 		return s.client.Order(t.Context(), &agentv1.OrderRequest{Endpoint: "engine", Incarnation: s.daemon.lockedGate.incarnation(),
 			Fence: fence, Kind: agentv1.OrderKind_ORDER_KIND_LOAD_MODEL, Model: "draft", Version: version})
@@ -65,7 +65,7 @@
 	read, err := s.client.Order(t.Context(), &agentv1.OrderRequest{Endpoint: "engine", Incarnation: s.daemon.lockedGate.incarnation(), Kind: agentv1.OrderKind_ORDER_KIND_READ_BACK})
 	is.NoErr(err)
 	is.Equal(read.GetObserved().GetVersion(), "2")
-	s.until("the announcement says what the engine has", func() bool {
+	s.waitUntil("the announcement says what the engine has", func() bool {
 		return s.replica.Configuration().GetEndpoints()[0].GetVersion() == "2"
 	})
 }
@@ -74,7 +74,7 @@
 // call or a poll found out, and as serving once it takes them again.
 func TestUnreachableEndpointIsReported(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, map[string]http.Handler{"service": standin.NewService(0), "engine": standin.NewEngine(standin.EngineConfig{})})
+	s := newFixture(t, map[string]http.Handler{"service": standin.NewService(0), "engine": standin.NewEngine(standin.EngineConfig{})})
 	state := func(id string) fleetv1.EndpointState {
 		for _, e := range s.replica.Configuration().GetEndpoints() {
 			if e.GetId() == id {
@@ -90,14 +90,14 @@
 	for _, server := range s.servers {
 		server.Close()
 	}
-	got := s.dispatch(s.swap("a"))
+	got := s.dispatch(s.claimedCall("a"))
 	is.Equal(got.refusedKind(), fault.Unavailable)
 	for id, address := range addresses {
-		s.until(id+" is reported", func() bool { return state(id) == fleetv1.EndpointState_ENDPOINT_STATE_LEAVING })
+		s.waitUntil(id+" is reported", func() bool { return state(id) == fleetv1.EndpointState_ENDPOINT_STATE_LEAVING })
 		listener := must(net.Listen("tcp", address))
 		t.Cleanup(func() { _ = listener.Close() })
 		go func() { _ = http.Serve(listener, standin.NewService(0)) }()
-		s.until(id+" is back", func() bool { return state(id) == fleetv1.EndpointState_ENDPOINT_STATE_SERVING })
+		s.waitUntil(id+" is back", func() bool { return state(id) == fleetv1.EndpointState_ENDPOINT_STATE_SERVING })
 	}
 }
 
@@ -105,9 +105,9 @@
 // over stops.
 func TestAnnouncerFollowsTheLeaderAndStopsWhenReplaced(t *testing.T) {
 	is := is.New(t)
-	follower := newReplica(t)
+	follower := newFakeReplica(t)
 	follower.refusal = fault.New(fault.NotLeader, "not the leader", "ask the leader")
-	s := newSite(t, map[string]http.Handler{"service": standin.NewService(0)}, follower.addr, "127.0.0.1:1")
+	s := newFixture(t, map[string]http.Handler{"service": standin.NewService(0)}, follower.addr, "127.0.0.1:1")
 	is.True(s.replica.last() != nil)
 	s.replica.mu.Lock()
 	s.replica.refusal = fault.New(fault.Fenced, "superseded", "stop")
@@ -117,11 +117,11 @@
 
 // Reports carry tickets, loads and cache events; an engine that has started
 // again is announced by an event that voids what was known of its cache.
-func TestReportsTellOfCachesAndRestarts(t *testing.T) {
+func TestReportsCarryCacheEventsAcrossRestarts(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	engine := standin.NewEngine(standin.EngineConfig{Slots: 2, CacheBlocks: 8})
-	s := newSite(t, map[string]http.Handler{"engine": http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s := newFixture(t, map[string]http.Handler{"engine": http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		present := engine
 		mu.Unlock()
--- a/agent/reportbuffer.go
+++ b/agent/reportbuffer.go
@@ -12,10 +12,10 @@
 // An event's weight is 1 and the number of its blocks.
 const (
 	// bufferWeight bounds the cache events that are kept for entries.
-	bufferWeight = 256 << 10
+	maxBufferWeight = 256 << 10
 	// reportWeight bounds the cache events of one report, to well under the
 	// size that gRPC lets a message have.
-	reportWeight = 64 << 10
+	maxReportWeight = 64 << 10
 )
 
 // sampleTolerance is by how much two samples of the same figures may differ in
@@ -29,9 +29,9 @@
 	// samples counts the polls that brought new figures.
 	samples uint64
 	// events are the newest; first numbers the oldest of them.
-	events []*agentv1.CacheEvent
-	first  uint64
-	weight int
+	events     []*agentv1.CacheEvent
+	firstEvent uint64
+	weight     int
 }
 
 // loadSample is a load report, the time that its figures are from, and the
@@ -74,12 +74,12 @@
 		b.weight += weightOf(e)
 	}
 	excess := 0
-	for ; b.weight > bufferWeight; excess++ {
+	for ; b.weight > maxBufferWeight; excess++ {
 		b.weight -= weightOf(b.events[excess])
 	}
 	clear(b.events[:excess])
 	b.events = b.events[excess:]
-	b.first += uint64(excess)
+	b.firstEvent += uint64(excess)
 }
 
 func weightOf(e *agentv1.CacheEvent) int { return 1 + len(e.GetStored()) + len(e.GetRemoved()) }
@@ -91,16 +91,16 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	report := &agentv1.Report{}
-	for _, n := range b.loads {
-		if n.seq > from.sample {
-			report.Loads = append(report.Loads, n.aged(now))
+	for _, sample := range b.loads {
+		if sample.seq > from.sample {
+			report.Loads = append(report.Loads, sample.withAge(now))
 		}
 	}
-	event := max(from.event, b.first)
+	event := max(from.event, b.firstEvent)
 	weight := 0
-	for _, e := range b.events[event-b.first:] {
+	for _, e := range b.events[event-b.firstEvent:] {
 		weight += weightOf(e)
-		if weight > reportWeight && len(report.Events) > 0 {
+		if weight > maxReportWeight && len(report.Events) > 0 {
 			break
 		}
 		report.Events = append(report.Events, e)
@@ -109,8 +109,8 @@
 }
 
 // aged returns a copy of the report with its age at now.
-func (n loadSample) aged(now time.Time) *agentv1.LoadReport {
-	report := proto.CloneOf(n.report)
-	report.AgeMs = now.Sub(n.at).Milliseconds()
+func (s loadSample) withAge(now time.Time) *agentv1.LoadReport {
+	report := proto.CloneOf(s.report)
+	report.AgeMs = now.Sub(s.at).Milliseconds()
 	return report
 }
--- a/agent/runs.go
+++ b/agent/runs.go
@@ -12,7 +12,7 @@
 
 // runs names the runs of the endpoints' processes, as far as calls show them: a call that
 // breaks off while nothing listens any more ends a run, the next answer begins one.
-type runs struct {
+type processRuns struct {
 	// prefix keeps the names of one incarnation of the agent apart from those of others.
 	prefix string
 
@@ -25,12 +25,12 @@
 	ended  bool
 }
 
-func newRuns(k *lockedGate) *runs {
-	return &runs{prefix: fmt.Sprintf("%s/%x", k.agent, k.incarnation()), byEndpoint: map[string]*processRun{}}
+func newProcessRuns(g *lockedGate) *processRuns {
+	return &processRuns{prefix: fmt.Sprintf("%s/%x", g.agent, g.incarnation()), byEndpoint: map[string]*processRun{}}
 }
 
 // answered notes that an endpoint's process has answered.
-func (r *runs) answered(endpoint string) {
+func (r *processRuns) recordAnswer(endpoint string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if run := r.byEndpoint[endpoint]; run != nil && run.ended {
@@ -40,7 +40,7 @@
 }
 
 // end notes that an endpoint's process has ended, and returns the name of its run.
-func (r *runs) end(endpoint string) string {
+func (r *processRuns) recordEnd(endpoint string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run := r.byEndpoint[endpoint]
@@ -54,12 +54,12 @@
 
 // refuses reports whether nothing listens at an endpoint's address. A call that was not
 // answered for another reason says nothing of the process.
-func (c *endpointClient) refuses(ctx context.Context, e Endpoint) bool {
+func (c *endpointClient) refusesConnections(ctx context.Context, e Endpoint) bool {
 	target, err := url.Parse(e.URL)
 	if err != nil {
 		return false
 	}
-	connection, err := c.dialer.DialContext(ctx, "tcp", address(target))
+	connection, err := c.dialer.DialContext(ctx, "tcp", dialAddress(target))
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
@@ -68,7 +68,7 @@
 }
 
 // address is where an endpoint takes connections, host:port.
-func address(target *url.URL) string {
+func dialAddress(target *url.URL) string {
 	if target.Port() == "" {
 		return net.JoinHostPort(target.Hostname(), target.Scheme)
 	}
--- a/agent/sender.go
+++ b/agent/sender.go
@@ -17,7 +17,7 @@
 	incarnation uint64
 }
 
-func (s *sender) stamp() *agentv1.DispatchResponse {
+func (s *sender) newResponse() *agentv1.DispatchResponse {
 	return &agentv1.DispatchResponse{
 		RequestId:   s.dispatch.GetRequestId(),
 		Attempt:     s.dispatch.GetAttempt(),
@@ -27,7 +27,7 @@
 
 func (s *sender) refused(f *fault.Error, ticket int64) error {
 	metrics.GetOrCreateCounter(`lilackeel_agent_refused_total{kind="` + string(f.Kind) + `"}`).Inc()
-	message := s.stamp()
+	message := s.newResponse()
 	message.Kind = &agentv1.DispatchResponse_Refused{Refused: &agentv1.Refused{
 		Kind:         string(f.Kind),
 		Message:      f.Message,
@@ -39,7 +39,7 @@
 }
 
 func (s *sender) head(status int, headers []*controlv1.Header, streamID string) error {
-	message := s.stamp()
+	message := s.newResponse()
 	message.Kind = &agentv1.DispatchResponse_Head{Head: &agentv1.Head{
 		Status: int32(status), Headers: headers, StreamId: streamID,
 	}}
@@ -47,19 +47,19 @@
 }
 
 func (s *sender) chunk(offset uint64, part []byte) error {
-	message := s.stamp()
+	message := s.newResponse()
 	message.Kind = &agentv1.DispatchResponse_Chunk{Chunk: &agentv1.Chunk{Offset: offset, Data: part}}
 	return s.stream.Send(message)
 }
 
 func (s *sender) end(length uint64) error {
-	message := s.stamp()
+	message := s.newResponse()
 	message.Kind = &agentv1.DispatchResponse_End{End: &agentv1.End{Length: length}}
 	return s.stream.Send(message)
 }
 
 func (s *sender) broken(text, endedRun string) error {
-	message := s.stamp()
+	message := s.newResponse()
 	message.Kind = &agentv1.DispatchResponse_Broken{Broken: &agentv1.Broken{MayHaveRun: true, Message: text, EndedRun: endedRun}}
 	return s.stream.Send(message)
 }
--- a/agent/service.go
+++ b/agent/service.go
@@ -29,28 +29,28 @@
 	// drained closes when a planned stop has finished all calls.
 	drained chan struct{}
 	// shared is what entries share.
-	shared *sharing.Host
+	sharingHost *sharing.Host
 }
 
 // PublishCrashReports implements agentv1.AgentServer.
 func (s *service) PublishCrashReports(_ context.Context, r *agentv1.PublishCrashReportsRequest) (*agentv1.PublishCrashReportsResponse, error) {
-	s.shared.PublishCrashReports(r)
+	s.sharingHost.PublishCrashReports(r)
 	return &agentv1.PublishCrashReportsResponse{}, nil
 }
 
 // PublishSuspicions implements agentv1.AgentServer.
 func (s *service) PublishSuspicions(_ context.Context, r *agentv1.PublishSuspicionsRequest) (*agentv1.PublishSuspicionsResponse, error) {
-	s.shared.PublishSuspicions(r)
+	s.sharingHost.PublishSuspicions(r)
 	return &agentv1.PublishSuspicionsResponse{}, nil
 }
 
 // Permit implements agentv1.AgentServer.
 func (s *service) Permit(_ context.Context, r *agentv1.PermitRequest) (*agentv1.PermitResponse, error) {
-	return s.shared.Permit(r), nil
+	return s.sharingHost.Permit(r), nil
 }
 
-func newService(k *lockedGate, p *dispatcher, o *orderer, b *reportBuffer, r *ranks.Ranks) *service {
-	return &service{lockedGate: k, dispatcher: p, orderer: o, reportBuffer: b, ranks: r, drained: make(chan struct{}), shared: sharing.NewHost(k.clock.now, k.limits())}
+func newService(g *lockedGate, p *dispatcher, o *orderer, b *reportBuffer, r *ranks.Ranks) *service {
+	return &service{lockedGate: g, dispatcher: p, orderer: o, reportBuffer: b, ranks: r, drained: make(chan struct{}), sharingHost: sharing.NewHost(g.clock.now, g.rateLimits())}
 }
 
 // Dispatch implements agentv1.AgentServer.
@@ -76,9 +76,9 @@
 // Reports implements agentv1.AgentServer. It ends when the reader leaves or the
 // agent has drained.
 func (s *service) Reports(r *agentv1.ReportsRequest, stream grpc.ServerStreamingServer[agentv1.Report]) error {
-	ticker := time.NewTicker(intervalOf(r))
+	ticker := time.NewTicker(reportInterval(r))
 	defer ticker.Stop()
-	reader := s.shared.NewReader(r)
+	reader := s.sharingHost.NewReader(r)
 	var read position
 	for {
 		report, next := s.reportBuffer.report(read, time.Now())
@@ -99,10 +99,10 @@
 	}
 }
 
-func intervalOf(r *agentv1.ReportsRequest) time.Duration {
+func reportInterval(r *agentv1.ReportsRequest) time.Duration {
 	if r.GetIntervalMs() <= 0 {
 		return defaultReportInterval
 	}
-	asked := time.Duration(min(r.GetIntervalMs(), maxReportInterval.Milliseconds())) * time.Millisecond
-	return max(asked, minReportInterval)
+	requested := time.Duration(min(r.GetIntervalMs(), maxReportInterval.Milliseconds())) * time.Millisecond
+	return max(requested, minReportInterval)
 }
--- a/agent/settings.go
+++ b/agent/settings.go
@@ -76,7 +76,7 @@
 	telemetry.Settings(set, &s.Telemetry)
 	set.Check(func() error { return s.Link.CheckListen(s.Listen) })
 	set.Check(s.checkAdvertise)
-	set.Check(s.complete)
+	set.Check(s.resolve)
 }
 
 func (s *Settings) registerLimits(set *setting.Set) {
@@ -113,7 +113,7 @@
 }
 
 // complete reads the endpoints file and fills in what other settings imply.
-func (s *Settings) complete() error {
+func (s *Settings) resolve() error {
 	if s.Host == "" {
 		s.Host = s.Name
 	}
--- a/agent/streamid.go
+++ b/agent/streamid.go
@@ -13,14 +13,14 @@
 
 // streamIDs remembers the engine's stream id of recent requests.
 type streamIDs struct {
-	mu        sync.Mutex
-	byRequest map[string]string
-	order     []string
+	mu             sync.Mutex
+	byRequest      map[string]string
+	insertionOrder []string
 }
 
 // of returns the stream that a dispatch resumes: named by its header, or else
 // remembered from an earlier attempt of the same request.
-func (s *streamIDs) of(d *agentv1.DispatchRequest) string {
+func (s *streamIDs) lookup(d *agentv1.DispatchRequest) string {
 	if d.GetResumeOffset() == 0 {
 		return ""
 	}
@@ -41,11 +41,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, known := s.byRequest[request]; !known {
-		s.order = append(s.order, request)
+		s.insertionOrder = append(s.insertionOrder, request)
 	}
 	s.byRequest[request] = stream
-	if len(s.order) > maxStreamIDs {
-		delete(s.byRequest, s.order[0])
-		s.order = s.order[1:]
+	if len(s.insertionOrder) > maxStreamIDs {
+		delete(s.byRequest, s.insertionOrder[0])
+		s.insertionOrder = s.insertionOrder[1:]
 	}
 }
