--- a/agent/announce.go
+++ b/agent/announce.go
@@ -25,7 +25,7 @@
 	settings   *Settings
 	lockedGate *lockedGate
 	controls   *controls
-	loaded     *loadedStates
+	loaded     *loadedState
 	health     *health
 	logger     *slog.Logger
 	addr       string
@@ -45,7 +45,7 @@
 	ackOnce      sync.Once
 }
 
-func newAnnouncer(s *Settings, g *lockedGate, c *controls, l *loadedStates, h *health, logger *slog.Logger) *announcer {
+func newAnnouncer(s *Settings, g *lockedGate, c *controls, l *loadedState, h *health, logger *slog.Logger) *announcer {
 	a := &announcer{
 		settings:     s,
 		lockedGate:   g,
--- a/agent/daemon.go
+++ b/agent/daemon.go
@@ -287,7 +287,7 @@
 	}), nil
 }
 
-func newPollers(s *Settings, g *lockedGate, c *endpointClient, b *reportBuffer, l *loadedStates, h *health, logger *slog.Logger) []*poller {
+func newPollers(s *Settings, g *lockedGate, c *endpointClient, b *reportBuffer, l *loadedState, h *health, logger *slog.Logger) []*poller {
 	list := make([]*poller, len(s.Endpoints))
 	for i, e := range s.Endpoints {
 		list[i] = &poller{endpoint: e, lockedGate: g, client: c, reportBuffer: b, loaded: l, health: h, logger: logger, interval: s.PollInterval}
--- a/agent/loaded.go
+++ b/agent/loaded.go
@@ -14,19 +14,17 @@
 // loaded knows what each engine of the host has loaded, as read back from the
 // engines themselves. It takes the place of what the endpoints file says, which
 // is out of date once an order has been carried out.
-type loadedStates struct {
+type loadedState struct {
 	mu       sync.Mutex
 	byEngine map[string]engineapi.State
 	// changes counts how often any engine's state was found changed.
 	changes uint64
 }
 
-func newLoadedStates() *loadedStates {
-	return &loadedStates{byEngine: make(map[string]engineapi.State)}
-}
+func newLoadedState() *loadedState { return &loadedState{byEngine: make(map[string]engineapi.State)} }
 
 // note takes in what an engine was read back to have.
-func (l *loadedStates) record(engine string, state engineapi.State) {
+func (l *loadedState) record(engine string, state engineapi.State) {
 	slices.Sort(state.Adapters)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,14 +36,14 @@
 }
 
 // changed returns a number that grows with every change.
-func (l *loadedStates) changeCount() uint64 {
+func (l *loadedState) changeCount() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changes
 }
 
 // apply overwrites what the endpoints file says of an engine.
-func (l *loadedStates) apply(e *fleetv1.Endpoint) {
+func (l *loadedState) apply(e *fleetv1.Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	state, known := l.byEngine[e.GetId()]
@@ -62,7 +60,7 @@
 
 // readLoaded reads back what an engine has loaded. Status is the engine's
 // answer; an engine without orders answers 404.
-func (c *endpointClient) readLoaded(ctx context.Context, e Endpoint, l *loadedStates) (state engineapi.State, status int, err error) {
+func (c *endpointClient) readLoaded(ctx context.Context, e Endpoint, l *loadedState) (state engineapi.State, status int, err error) {
 	status, err = c.exchange(ctx, http.MethodGet, e, engineapi.PathOrders, nil, &state)
 	if err == nil && status == http.StatusOK {
 		l.record(e.ID, state)
--- a/agent/order.go
+++ b/agent/order.go
@@ -30,7 +30,7 @@
 	settings   *Settings
 	lockedGate *lockedGate
 	client     *endpointClient
-	loaded     *loadedStates
+	loaded     *loadedState
 	logger     *slog.Logger
 	targets    map[string]*orderTarget
 }
@@ -42,7 +42,7 @@
 	endpoint Endpoint
 }
 
-func newOrderer(s *Settings, g *lockedGate, c *endpointClient, l *loadedStates, logger *slog.Logger) *orderer {
+func newOrderer(s *Settings, g *lockedGate, c *endpointClient, l *loadedState, logger *slog.Logger) *orderer {
 	targets := make(map[string]*orderTarget, len(s.Endpoints))
 	for _, e := range s.Endpoints {
 		targets[e.ID] = &orderTarget{endpoint: e}
--- a/agent/poll.go
+++ b/agent/poll.go
@@ -25,7 +25,7 @@
 	lockedGate   *lockedGate
 	client       *endpointClient
 	reportBuffer *reportBuffer
-	loaded       *loadedStates
+	loaded       *loadedState
 	health       *health
 	logger       *slog.Logger
 	interval     time.Duration
--- a/agent/wire.go
+++ b/agent/wire.go
@@ -23,7 +23,7 @@
 		newDispatcher,
 		newOrderer,
 		newReportBuffer,
-		newLoadedStates,
+		newLoadedState,
 		newHealth,
 		newPollers,
 		newRanks,
--- a/agent/wire_gen.go
+++ b/agent/wire_gen.go
@@ -26,8 +26,8 @@
 	agentEndpointClient := newEndpointClient(agentLockedGate)
 	agentHealth := newHealth(logger)
 	agentDispatcher := newDispatcher(settings, agentLockedGate, agentEndpointClient, agentHealth, logger)
-	agentLoadedStates := newLoadedStates()
-	agentOrderer := newOrderer(settings, agentLockedGate, agentEndpointClient, agentLoadedStates, logger)
+	agentLoadedState := newLoadedState()
+	agentOrderer := newOrderer(settings, agentLockedGate, agentEndpointClient, agentLoadedState, logger)
 	agentReportBuffer := newReportBuffer()
 	pool, err := newPool(settings)
 	if err != nil {
@@ -40,8 +40,8 @@
 	if err != nil {
 		return nil, err
 	}
-	agentAnnouncer := newAnnouncer(settings, agentLockedGate, agentControls, agentLoadedStates, agentHealth, logger)
-	v := newPollers(settings, agentLockedGate, agentEndpointClient, agentReportBuffer, agentLoadedStates, agentHealth, logger)
+	agentAnnouncer := newAnnouncer(settings, agentLockedGate, agentControls, agentLoadedState, agentHealth, logger)
+	v := newPollers(settings, agentLockedGate, agentEndpointClient, agentReportBuffer, agentLoadedState, agentHealth, logger)
 	daemon := &Daemon{
 		settings:   settings,
 		logger:     logger,
