--- a/agent/engineapi/engineapi.go
+++ b/agent/engineapi/engineapi.go
@@ -1,23 +1,24 @@
-// Package engineapi is the small HTTP API that an agent expects of a model
-// engine beside its model calls:
+// Package engineapi defines the HTTP API that an agent uses at a model engine in addition to its model
+// calls:
 //
 //	GET  /load                   load figures (Load), with their age
-//	GET  /cache/events?after=N   cache events (CacheEvents) later than number N
+//	GET  /cache/events?after=N   cache events (CacheEvents) with a number above N
 //	POST /orders                 carries out an Order; answers State
 //	GET  /orders                 reads back State
 //
-// An engine that checks fencing answers an order with an old token by status
-// 409. An engine without one of the paths answers 404; the agent does without.
+// An engine that checks fencing rejects an order with an old token by status 409. An engine that does
+// not support one of the paths answers 404, and the agent works without it.
 //
-// Answers to model calls may carry the header X-Stream-Id. A cut answer is
-// resumed by sending the call again with that header and X-Resume-Offset; the
-// engine repeats X-Resume-Offset when it resumes, and answers 404 when it no
-// longer knows the stream. X-Priority orders the calls that wait, highest
-// first. An answer of any endpoint may name in Lilackeel-Rate-Limit the requests a second
-// that it takes, for as long as its answers say so. An endpoint that rejects a request with 503 and
-// Retry-After wants nothing more from its sender for that time; Lilackeel-Not-Run says that the
-// request did not run. Lilackeel-Leaving in an answer says that the endpoint is about to stop and
-// is to get no new work.
+// Answers to model calls may carry the header X-Stream-Id. An answer that was interrupted is resumed by
+// sending the call again with that header and X-Resume-Offset; the engine repeats X-Resume-Offset when
+// it resumes, and answers 404 when it no longer knows the stream. X-Priority orders the calls that wait
+// in the engine, highest first.
+//
+// The responses of any endpoint may carry these headers. Lilackeel-Rate-Limit advertises the number of
+// requests per second that the endpoint accepts, and applies for as long as its responses carry it.
+// Retry-After with status 503 rejects the request and asks the sender for a pause of that time, during
+// which it must send nothing to the endpoint; Lilackeel-Not-Run then says that the request has not run.
+// Lilackeel-Leaving announces that the endpoint is about to stop and must get no new calls.
 package engineapi
 
 // Paths of the API.
@@ -25,11 +26,11 @@
 	PathLoad        = "/load"
 	PathCacheEvents = "/cache/events"
 	PathOrders      = "/orders"
-	// QueryAfter is the parameter of PathCacheEvents.
+	// QueryAfter is the query parameter of PathCacheEvents.
 	QueryAfter = "after"
 )
 
-// Headers of model calls.
+// Headers of requests and responses.
 const (
 	HeaderStreamID     = "X-Stream-Id"
 	HeaderResumeOffset = "X-Resume-Offset"
@@ -39,7 +40,7 @@
 	HeaderNotRun       = "Lilackeel-Not-Run"
 )
 
-// Kinds of Order.
+// Values of Order.Kind.
 const (
 	OrderLoadModel     = "load_model"
 	OrderLoadAdapter   = "load_adapter"
@@ -47,12 +48,12 @@
 	OrderChangeRole    = "change_role"
 )
 
-// Load is what an engine says of its load. It lags by AgeMS.
+// Load is the load that an engine reports. Its figures are AgeMS old.
 type Load struct {
-	// Running and Waiting count the calls in the running batch and in the queue.
+	// Running and Waiting are the numbers of calls in the running batch and in the queue.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// CacheUsed is the share of the prefix cache's blocks in use, 0 to 1.
+	// CacheUsed is the fraction of the prefix cache's blocks in use, from 0 to 1.
 	CacheUsed float64 `json:"cache_used"`
 	// TokensPerSecond is the engine's throughput.
 	TokensPerSecond float64 `json:"tokens_per_second"`
@@ -61,27 +62,27 @@
 	// AgeMS is the age of the figures, in milliseconds.
 	AgeMS int64 `json:"age_ms"`
 
-	// The figures below are optional: an engine leaves out what it does not know.
+	// The fields below are optional: an engine omits those that it does not know.
 
-	// PrefillTokens counts the prompt tokens accepted and not yet computed.
+	// PrefillTokens is the number of prompt tokens accepted and not yet computed.
 	PrefillTokens *int64 `json:"prefill_tokens,omitempty"`
-	// PrefillRate is the prompt tokens computed per second.
+	// PrefillRate is the number of prompt tokens computed per second.
 	PrefillRate float64 `json:"prefill_rate,omitempty"`
-	// StepUS is the mean time of the recent steps of the engine, or of its group,
-	// in microseconds. A step that has not ended counts with its time so far when
-	// that is longer. An engine that has run no step lately leaves it out.
+	// StepUS is the mean duration of the recent steps of the engine, or of its group, in
+	// microseconds. If the step in progress has taken longer than that, it is the duration of that
+	// step so far. An engine that has not run a step recently omits it.
 	StepUS int64 `json:"step_us,omitempty"`
-	// OwnStepUS is the part of StepUS in which the engine itself computed, without
-	// the wait for other ranks.
+	// OwnStepUS is the part of StepUS in which the engine itself computed, without the time spent
+	// waiting for other ranks.
 	OwnStepUS int64 `json:"own_step_us,omitempty"`
-	// Adapters are the adapters in memory: null if not known, which is not the
-	// same as an empty list.
+	// Adapters lists the adapters in memory: null if they are not known, which differs from an empty
+	// list.
 	Adapters []string `json:"adapters"`
 }
 
-// CacheEvent says that the engine stored or dropped prefix blocks.
+// CacheEvent reports prefix blocks that the engine stored or evicted.
 type CacheEvent struct {
-	// Seq numbers the events of one run of the engine from 1.
+	// Seq is the sequence number of the event in the run of the engine, from 1.
 	Seq uint64 `json:"seq"`
 	// Stored and Removed list the hashes of the blocks.
 	Stored  []uint64 `json:"stored,omitempty"`
@@ -90,30 +91,30 @@
 	Cleared bool `json:"cleared,omitempty"`
 }
 
-// CacheEvents are the cache events later than a number.
+// CacheEvents is the response of PathCacheEvents.
 type CacheEvents struct {
-	// Run names the run of the engine: new at every start of its process.
+	// Run identifies the run of the engine: it changes at every start of its process.
 	Run string `json:"run"`
 	// Events are in the order of Seq.
 	Events []CacheEvent `json:"events"`
 }
 
-// Order asks an engine to change what it has loaded.
+// Order tells an engine to change what it has loaded.
 type Order struct {
 	// ID identifies the order in logs.
 	ID string `json:"id"`
-	// Kind is one of the kinds of Order above, or OrderLoadMap.
+	// Kind is one of the constants above, or OrderLoadMap.
 	Kind string `json:"kind"`
-	// Model, Version, Adapter and Role are what the order is about, as far as
-	// its kind needs them.
+	// Model, Version, Adapter and Role are the parameters of the order; those that its kind does not
+	// need are empty.
 	Model   string `json:"model,omitempty"`
 	Version string `json:"version,omitempty"`
 	Adapter string `json:"adapter,omitempty"`
 	Role    string `json:"role,omitempty"`
-	// Fence is the fencing token of who gives the order.
+	// Fence is the fencing token of the sender of the order.
 	Fence uint64 `json:"fence"`
-	// Epoch, Digest and Map are the map of OrderLoadMap. Keep lists the epochs
-	// whose weights must stay in place; the engine may drop others.
+	// Epoch, Digest and Map describe the map of OrderLoadMap. Keep lists the epochs whose weights must
+	// stay loaded; the engine may unload those of others.
 	Epoch  uint64     `json:"epoch,omitempty"`
 	Digest uint64     `json:"digest,omitempty"`
 	Map    *ExpertMap `json:"map,omitempty"`
@@ -122,14 +123,14 @@
 
 // State is what an engine has loaded.
 type State struct {
-	// Model, Version and Role are what the engine serves now.
+	// Model, Version and Role describe what the engine currently serves.
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Role    string `json:"role"`
 	// Adapters are the adapters that it serves, in any order.
 	Adapters []string `json:"adapters"`
-	// Fence is the highest token seen; engines that ignore tokens say zero.
+	// Fence is the highest fencing token that the engine has seen; zero if it does not check tokens.
 	Fence uint64 `json:"fence"`
-	// Orders counts the orders carried out.
+	// Orders is the number of orders carried out.
 	Orders int `json:"orders"`
 }
--- a/agent/engineapi/ranks.go
+++ b/agent/engineapi/ranks.go
@@ -4,71 +4,69 @@
 //
 //	POST /steps    StepRequest; answers StepGrant
 //
-// A rank begins no step for which it holds no grant. It has at most one request
-// open, drops the answer of a request that it has given up, and remembers
-// grants for as long as it runs.
+// A rank does not begin a step without a grant for it. It has at most one request open, discards the
+// answer to a request that it has abandoned, and keeps its grants for as long as its process runs.
 const PathSteps = "/steps"
 
 // PathExperts is served by engines that are ranks of a group:
 //
-//	GET /experts   Experts
+//	GET /experts   ExpertCounts
 const PathExperts = "/experts"
 
-// OrderLoadMap asks a rank to load the weights of an epoch's map. It is answered
-// once they are in place. The map in use changes only by grants.
+// OrderLoadMap is the kind of Order that makes a rank load the weights of an epoch's map. It is
+// answered once they are loaded. Only a StepGrant changes the map in use.
 const OrderLoadMap = "load_map"
 
-// StepRequest asks for a grant of further steps.
+// StepRequest requests a grant of further steps.
 type StepRequest struct {
-	// Group and Rank name the rank that asks.
+	// Group and Rank identify the rank.
 	Group string `json:"group"`
 	Rank  int    `json:"rank"`
-	// Run names the run of the engine: new at every start of its process.
+	// Run identifies the run of the engine: it changes at every start of its process.
 	Run string `json:"run"`
-	// Step is the next step that the rank begins, from 1; zero if it has just
-	// started and its group does not know either.
+	// Step is the next step that the rank begins, counted from 1. It is zero if the rank has just
+	// started and its group does not know the step either.
 	Step uint64 `json:"step"`
-	// Granted is the highest step granted to this run, by whichever agent; zero
-	// for none.
+	// Granted is the highest step granted to this run by any process of the agent; zero for none.
 	Granted uint64 `json:"granted"`
-	// Loaded lists the maps whose weights are in place.
+	// Loaded lists the maps whose weights are loaded.
 	Loaded []LoadedMap `json:"loaded,omitempty"`
 }
 
-// LoadedMap names a map that an engine has loaded.
+// LoadedMap identifies a map that an engine has loaded.
 type LoadedMap struct {
-	// Epoch numbers the maps of a group; Digest is the hash of the map's content.
+	// Epoch is the number of the map within its group, Digest the hash of its contents.
 	Epoch  uint64 `json:"epoch"`
 	Digest uint64 `json:"digest"`
 }
 
-// StepGrant allows the steps from From to Until, without Until, with the map of
-// Epoch. Without a grant Until is zero, and the rank asks again.
+// StepGrant allows the steps from From up to, but not including, Until with the map of Epoch. If Until
+// is zero, no step is granted and the rank requests steps again.
 type StepGrant struct {
 	Epoch uint64 `json:"epoch"`
 	From  uint64 `json:"from"`
 	Until uint64 `json:"until"`
-	// First is set for a rank that does not know its step: the group begins at
-	// the highest of its ranks' first steps.
+	// First is set for a rank that does not know its step. The group begins at the highest of the
+	// First of its ranks.
 	First uint64 `json:"first,omitempty"`
 }
 
-// ExpertMap says which expert sits in which slot, by layer, then rank, then slot.
+// ExpertMap is the placement of experts in slots, by layer, then rank, then slot.
 type ExpertMap struct {
 	// Layers, Ranks and SlotsPerRank are the dimensions of Slots.
 	Layers       int `json:"layers"`
 	Ranks        int `json:"ranks"`
 	SlotsPerRank int `json:"slots_per_rank"`
-	// Slots holds the number of the expert in each slot, 0xffff in an empty one.
+	// Slots holds the number of the expert in each slot, or 0xffff for an empty slot.
 	Slots []uint16 `json:"slots"`
 }
 
-// Experts counts the tokens that the rank's experts have handled in its run.
+// ExpertCounts counts the tokens that the rank's experts have processed in its run.
 type ExpertCounts struct {
-	// Run names the run of the engine, as in StepRequest.
+	// Run identifies the run of the engine, as in StepRequest.
 	Run string `json:"run"`
-	// Steps counts the steps run.
+	// Steps is the number of steps run.
 	Steps uint64 `json:"steps"`
-	// Tokens is by layer and then expert.
+	// Tokens is indexed by layer and then expert.
 	Tokens [][]uint64 `json:"tokens"`
 }
