--- a/agent/hopbyhop/hopbyhop.go
+++ b/agent/hopbyhop/hopbyhop.go
@@ -1,5 +1,5 @@
-// Package hopbyhop tells the headers that concern one connection only, which
-// RFC 9110 calls hop-by-hop, from those that pass from one hop to the next.
+// Package hopbyhop identifies and removes hop-by-hop headers: those that apply to a single connection
+// and must not be forwarded (RFC 9110, section 7.6.1).
 package hopbyhop
 
 import (
@@ -8,8 +8,7 @@
 	"strings"
 )
 
-// always lists the headers that are hop-by-hop in every message, by their
-// canonical names.
+// always holds the canonical names of the headers that are hop-by-hop in every message.
 var always = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -22,11 +21,11 @@
 	"Upgrade":             true,
 }
 
-// Is reports whether a header is hop-by-hop in every message.
+// Is reports whether a header is hop-by-hop in every message, whatever its Connection header lists.
 func Is(name string) bool { return always[textproto.CanonicalMIMEHeaderKey(name)] }
 
-// Named returns the canonical names of the headers that Connection makes
-// hop-by-hop in this message; nil for none.
+// ConnectionOptions returns the canonical names of the headers that the Connection header of the
+// message lists as hop-by-hop; nil if there are none.
 func ConnectionOptions(header http.Header) map[string]bool {
 	var named map[string]bool
 	for _, value := range header.Values("Connection") {
@@ -40,7 +39,7 @@
 	return named
 }
 
-// Remove removes the hop-by-hop headers of a message.
+// Remove deletes the hop-by-hop headers of a message.
 func Remove(header http.Header) {
 	for name := range ConnectionOptions(header) {
 		header.Del(name)
--- a/agent/hopbyhop/hopbyhop_test.go
+++ b/agent/hopbyhop/hopbyhop_test.go
@@ -9,8 +9,8 @@
 	"github.com/lilackeel/lilackeel/agent/hopbyhop"
 )
 
-// What Connection names goes with it, in whatever case and however it is
-// listed; everything else passes.
+// The headers that Connection lists are removed with it, whatever their case and however they are
+// listed; all others are kept.
 func TestRemove(t *testing.T) {
 	is := is.New(t)
 	header := http.Header{}
--- a/agent/tally/tally.go
+++ b/agent/tally/tally.go
@@ -1,5 +1,5 @@
-// Package tally turns what an engine's experts have handled since it started
-// into what they have handled since the last report.
+// Package tally converts the cumulative token counts of an engine's experts into the counts since the
+// last report.
 package tally
 
 import (
@@ -7,26 +7,26 @@
 	agentv1 "github.com/lilackeel/lilackeel/api/agent/v1"
 )
 
-// AllLayers is the layer of a load whose tokens are those of all layers, one after
-// the other.
+// AllLayers is the layer number of a load that holds the tokens of all layers, one layer after the
+// other.
 const AllLayers = -1
 
-// Tally is what the experts of one rank have handled since the last report. The
-// zero Tally has seen nothing. It is not safe for concurrent use.
+// Tally holds the token counts of the experts of one rank. The zero Tally is empty and ready to use. It
+// is not safe for concurrent use.
 type Tally struct {
-	// last is the newest reading, reported the one up to which was reported.
+	// last is the latest reading, reported the reading at the last report.
 	last, reported engineapi.ExpertCounts
 }
 
-// Read takes in a reading. One that is older than the last is dropped.
+// Record stores a reading. A reading of the same run with fewer steps than the last one is ignored.
 func (t *Tally) Record(read engineapi.ExpertCounts) {
 	if read.Run != t.last.Run || read.Steps >= t.last.Steps {
 		t.last = read
 	}
 }
 
-// Take returns the loads since the last report. After a new start of the engine
-// what it had not reported is lost.
+// Take returns the loads since the last report, one per layer, and starts the next report. Counts that
+// had not been reported when the engine restarted are lost.
 func (t *Tally) Take(group string, rank int) []*agentv1.ExpertLoad {
 	from := t.reported
 	t.reported = t.last
