--- a/agent/ranks/doc.go
+++ b/agent/ranks/doc.go
@@ -1,21 +1,20 @@
-// Package ranks keeps the ranks that an agent serves to one expert map per step.
+// Package ranks grants steps to the ranks that an agent serves, so that all ranks of a group use the
+// same expert map in the same step.
 //
-// Beside each rank runs one mapswitch.Rank. This package drives them: it takes
-// the coordinator's messages from Agent.Group, grants steps to the engines ahead
-// of time, reads the decided record from a quorum, gives engines the orders to
-// load the weights of a map, and reports what their experts have handled.
+// Each rank has one mapswitch.Rank, the state machine of the protocol that switches maps. This package
+// does the I/O around it: it receives the coordinator's messages from Agent.Group, grants steps to the
+// engines in advance, reads the decided record from a quorum, orders engines to load the weights of a
+// map, and reports the token counts of their experts.
 //
-// # What a grant binds
+// # Grants and promises
 //
-// A granted step counts as the rank's position at once, whether or not the
-// engine has run it: a promise is only given for a step beyond all that were
-// granted. A granted step therefore never has to be taken back, and an engine
-// that outlives its agent can only run what was granted. A new process of the
-// agent learns the highest granted step from the engine's first request, before
-// which it promises nothing.
+// A granted step counts as the rank's position at once, whether or not the engine has run it: a promise
+// is only given for a step beyond all granted steps. A grant therefore never has to be revoked, and an
+// engine whose agent has died can only run the steps that were granted. After a restart, the agent
+// learns the highest granted step from the engine's first request, and promises nothing before it.
 //
-// # Locks
+// # Locking
 //
-// Ranks has one lock, for its machines and what waits to be reported. Neither an
-// engine nor a control replica is asked while it is held.
+// The mutex of Ranks guards its drivers, its record readers and the messages to be reported. It is not
+// held during requests to engines or control replicas.
 package ranks
--- a/agent/ranks/driver.go
+++ b/agent/ranks/driver.go
@@ -9,21 +9,21 @@
 	"github.com/lilackeel/lilackeel/group/mapswitch"
 )
 
-// machine is the decision maker beside one rank.
+// rankDriver holds the state machine of one rank and the state of its engine.
 type rankDriver struct {
 	member Member
-	// run is the run of the engine that rank stands beside.
+	// run is the current run of the engine, rank the state machine for that run.
 	run  string
 	rank *mapswitch.Rank
-	// granted is the highest step ever granted, to any run.
+	// granted is the highest step granted to any run of the engine.
 	granted uint64
-	// inPlace lists what the run of the engine said last that it has loaded.
+	// loadedMaps lists the maps that the engine has loaded according to its last request.
 	loadedMaps []engineapi.LoadedMap
-	// loading names the epochs whose order is under way.
+	// loading is the set of epochs whose order to load is in progress.
 	loading map[uint64]bool
-	// experts is what was counted and not yet reported.
+	// experts holds the expert counts to report.
 	experts tally.Tally
-	// changed closes when the machine has taken in a message.
+	// changed is closed and replaced when the rank has handled a message.
 	changed chan struct{}
 }
 
@@ -33,8 +33,8 @@
 	return d
 }
 
-// begin puts a new Rank beside a run of the engine. What the former run had
-// loaded is gone; what was granted still counts.
+// startRun creates a new state machine for a run of the engine. The maps that the previous run had
+// loaded are lost; the steps granted to it still count.
 func (d *rankDriver) startRun(run string) {
 	d.run = run
 	d.loadedMaps = nil
@@ -42,7 +42,7 @@
 	d.loading = make(map[uint64]bool)
 }
 
-// step hands a message to the rank and wakes the requests that wait.
+// step passes a message to the rank and wakes up the requests that wait for a grant.
 func (d *rankDriver) step(now time.Duration, message mapswitch.Message) []mapswitch.Message {
 	out := d.rank.Step(now, message)
 	close(d.changed)
@@ -50,8 +50,8 @@
 	return out
 }
 
-// ask answers a request of the engine with a grant of at most ahead steps from
-// its position on.
+// handleRequest answers a request of the engine with a grant of at most ahead steps from its position
+// on, and returns the messages of the rank.
 func (d *rankDriver) handleRequest(now time.Duration, r engineapi.StepRequest, ahead uint64) (engineapi.StepGrant, []mapswitch.Message) {
 	if r.Run != d.run {
 		d.startRun(r.Run)
@@ -70,9 +70,9 @@
 	return grant, append(out, d.rank.Tick(now)...)
 }
 
-// observe notes a step that was granted to the engine, perhaps by a former
-// process of the agent. What was granted to other runs of the engine still
-// counts: this request may be a late one of a former run.
+// observeGranted records the highest step that was granted to the engine, perhaps by a previous process
+// of the agent. Steps granted to other runs of the engine still count, because this request may be a
+// late one of a previous run.
 func (d *rankDriver) observeGranted(granted uint64) {
 	d.granted = max(d.granted, granted)
 	if d.granted > 0 {
@@ -80,8 +80,8 @@
 	}
 }
 
-// first returns the first step that was not granted and belongs to the map in
-// force; zero if there is none yet.
+// firstStep returns the first step that was not granted and for which the map in force applies; zero if
+// no map is in force yet.
 func (d *rankDriver) firstStep() uint64 {
 	record := d.rank.Record()
 	if record.Epoch == 0 {
@@ -90,9 +90,9 @@
 	return max(d.granted+1, record.FromStep)
 }
 
-// grant allows steps from first on, as far as promises and one map reach. A
-// promised step that the engine has not reached yet is not asked for: the rank would
-// take it for waiting.
+// grant returns a grant of the steps from first on, up to a promised step, a change of map or ahead steps
+// from the position. It does not call MayRun for a promised step that the engine has not reached yet,
+// because a refusal makes the rank assume that the engine is waiting for that step.
 func (d *rankDriver) grant(position, first, ahead uint64) engineapi.StepGrant {
 	if first > position && (d.promised(first) || first >= position+ahead) {
 		return engineapi.StepGrant{}
@@ -112,13 +112,13 @@
 	return engineapi.StepGrant{Epoch: epoch, From: first, Until: until}
 }
 
-// promised reports whether the step is at or beyond the promise in force.
+// promised reports whether the step is at or after the step of the promise in force.
 func (d *rankDriver) promised(step uint64) bool {
 	epoch, promise := d.rank.Promise()
 	return epoch != 0 && step >= promise
 }
 
-// loaded returns the engine's answer that an epoch is in place.
+// loadedMessage returns the message that the engine has loaded the map of an epoch.
 func (d *rankDriver) loadedMessage(epoch, digest uint64) mapswitch.Message {
 	return mapswitch.Message{
 		Kind:   mapswitch.KindLoaded,
--- a/agent/ranks/experts.go
+++ b/agent/ranks/experts.go
@@ -7,10 +7,10 @@
 	agentv1 "github.com/lilackeel/lilackeel/api/agent/v1"
 )
 
-// expertTimeout bounds one reading of what an engine's experts have handled.
+// expertTimeout is the time limit for one read of an engine's expert counts.
 const expertTimeout = time.Second
 
-// loads returns what there is to report; the lock is held.
+// expertLoads returns the expert loads since the last report. The caller holds the mutex.
 func (r *Ranks) expertLoads() []*agentv1.ExpertLoad {
 	var loads []*agentv1.ExpertLoad
 	for _, d := range r.drivers {
@@ -19,8 +19,8 @@
 	return loads
 }
 
-// countExperts begins a reading of all engines for the next report, unless the
-// last is too recent; the lock is held.
+// readExperts starts a read of the expert counts of all engines for the next report, unless the last
+// read was less than ExpertInterval ago. The caller holds the mutex.
 func (r *Ranks) readExperts() {
 	if r.now()-r.lastExpertRead < r.cfg.ExpertInterval {
 		return
--- a/agent/ranks/load.go
+++ b/agent/ranks/load.go
@@ -12,11 +12,11 @@
 	"github.com/lilackeel/lilackeel/wait"
 )
 
-// loadRetry is the pause after an order to load a map that was not carried out.
+// loadRetryPause is the pause after an order to load a map has failed.
 const loadRetryPause = 200 * time.Millisecond
 
-// load gives the engine of a rank the order to load a map, unless the engine has
-// it or that order is under way; the lock is held.
+// loadMap orders the engine of a rank to load a map, unless it has loaded the map or the order is in
+// progress. The caller holds the mutex.
 func (r *Ranks) loadMap(m mapswitch.Message) {
 	driver := r.drivers[rankKey{m.Group, m.Rank}]
 	if slices.Contains(driver.loadedMaps, engineapi.LoadedMap{Epoch: m.Epoch, Digest: m.Digest}) {
@@ -38,12 +38,12 @@
 	go r.executeLoad(driver, driver.rank, order)
 }
 
-// carryOut gives the order and reports its outcome to the rank, if the engine is
-// still in the run that it was in.
+// executeLoad sends the order and reports its outcome to the rank, unless the engine has restarted in
+// the meantime.
 func (r *Ranks) executeLoad(d *rankDriver, rank *mapswitch.Rank, order engineapi.Order) {
 	err := r.sendOrder(r.background, d.member, order)
 	if err != nil {
-		r.cfg.Logger.Warn("an expert map was not loaded", slog.String("endpoint", d.member.Endpoint),
+		r.cfg.Logger.Warn("cannot load an expert map", slog.String("endpoint", d.member.Endpoint),
 			slog.Uint64("epoch", order.Epoch), slog.Any("error", err))
 		wait.For(r.background, loadRetryPause)
 	}
@@ -75,7 +75,7 @@
 	return r.cfg.Engines.LoadMap(ctx, member.Endpoint, order)
 }
 
-// fenced returns the engine's answer that it has seen a higher token.
+// fencedMessage returns the message that the engine has rejected an order because of a higher token.
 func (d *rankDriver) fencedMessage(token uint64) mapswitch.Message {
 	return mapswitch.Message{
 		Kind:  mapswitch.KindFenced,
--- a/agent/ranks/ranks.go
+++ b/agent/ranks/ranks.go
@@ -13,63 +13,62 @@
 	"github.com/lilackeel/lilackeel/group/mapwire"
 )
 
-// tickInterval is the time between two looks at the machines.
+// tickInterval is the interval between ticks of the ranks' state machines.
 const tickInterval = 10 * time.Millisecond
 
 // Member is one rank that the agent serves.
 type Member struct {
-	// Group is the name of the rank's group, Rank its number in it, from 0.
+	// Group is the name of the rank's group, Rank its number within the group, from 0.
 	Group string
 	Rank  int
 	// Endpoint is the id of the engine.
 	Endpoint string
 }
 
-// Control reads from a quorum of control replicas.
+// Control provides linearizable reads from the control replicas.
 type Control interface {
-	// ReadMap returns the record of a group and the fencing token of the
-	// coordinator that wrote it last, linearizably.
+	// ReadMap returns the record of a group and the fencing token of the coordinator that wrote it
+	// last. The read is linearizable.
 	ReadMap(ctx context.Context, group string) (record *fleetv1.MapRecord, fence uint64, err error)
 }
 
-// Engines reaches the engines of the host.
+// Engines sends requests to the engines of the host.
 type Engines interface {
-	// LoadMap carries out an order to load a map, with a fencing token not lower
-	// than the order's. It returns once the weights are in place.
+	// LoadMap sends an order to load a map, with a fencing token not lower than the order's. It returns
+	// once the weights are loaded.
 	LoadMap(ctx context.Context, endpoint string, order engineapi.Order) error
-	// Experts reads what the experts of an engine have handled.
+	// ReadExperts reads the token counts of an engine's experts.
 	ReadExperts(ctx context.Context, endpoint string) (engineapi.ExpertCounts, error)
 }
 
-// Config sets up Ranks.
+// Config is the configuration of Ranks.
 type Config struct {
 	// Members are the ranks that the agent serves.
 	Members []Member
-	// Control reads the decided records, Engines gives orders to the engines.
+	// Control reads the decided records, Engines sends requests to the engines.
 	Control Control
 	Engines Engines
-	// Ahead is the number of steps granted from an engine's position on.
+	// StepsAhead is the maximum number of steps granted from an engine's position on.
 	StepsAhead int
-	// ExpertInterval is the least time between two readings of what an engine's
-	// experts have handled.
+	// ExpertInterval is the minimum time between reads of the expert counts.
 	ExpertInterval time.Duration
 	Logger         *slog.Logger
 }
 
-// Ranks drives the machines of all ranks of an agent.
+// Ranks runs the drivers of all ranks of an agent.
 type Ranks struct {
 	cfg     Config
 	started time.Time
-	// background ends with Run; reads and orders live in it.
+	// background is the context of reads and orders. It ends with Run.
 	background context.Context
 	cancel     context.CancelFunc
 
 	mu      sync.Mutex
 	drivers map[rankKey]*rankDriver
 	readers map[string]*recordReader
-	// outbox holds the newest message of each kind for the coordinator.
+	// outbox holds, for each rank, the latest message of each kind to the coordinator.
 	outbox map[outboxKey]mapswitch.Message
-	// counted is when experts were read last.
+	// lastExpertRead is the time of the last read of the expert counts.
 	lastExpertRead time.Duration
 }
 
@@ -83,7 +82,7 @@
 	kind mapswitch.Kind
 }
 
-// New returns the machines of the members. They allow no step before Run.
+// New returns the Ranks of the members. No step is granted before Run.
 func New(cfg Config) *Ranks {
 	r := &Ranks{
 		cfg:            cfg,
@@ -101,10 +100,10 @@
 	return r
 }
 
-// Any reports whether the agent serves any rank.
+// HasMembers reports whether the agent serves any rank.
 func (r *Ranks) HasMembers() bool { return len(r.drivers) > 0 }
 
-// Run drives the machines until ctx ends.
+// Run ticks the state machines until ctx ends.
 func (r *Ranks) Run(ctx context.Context) {
 	defer r.cancel()
 	ticker := time.NewTicker(tickInterval)
@@ -129,8 +128,8 @@
 	}
 }
 
-// Group implements the call of Agent: it hands the coordinator's messages to the
-// ranks, and returns their answers and what else they have for it.
+// Group implements the Group call of the Agent service: it passes the coordinator's messages to the
+// ranks, and returns the messages and expert loads that they have for the coordinator.
 func (r *Ranks) Group(request *agentv1.GroupRequest) (*agentv1.GroupResponse, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -154,7 +153,7 @@
 	return response, nil
 }
 
-// emit passes on what machines ask for; the lock is held.
+// deliver routes the messages of the ranks to their destinations. The caller holds the mutex.
 func (r *Ranks) deliver(messages []mapswitch.Message) {
 	for _, m := range messages {
 		switch m.Kind.Destination() {
--- a/agent/ranks/ranks_test.go
+++ b/agent/ranks/ranks_test.go
@@ -25,12 +25,12 @@
 
 const testGroup = "lilackeel-pool"
 
-// host is one rank's engine and the control replicas, as the machines see them.
+// fakeBackend implements Control and Engines for one rank.
 type fakeBackend struct {
 	mu     sync.Mutex
 	record *fleetv1.MapRecord
 	fence  uint64
-	// orders receives each order to load a map; its answer waits for done.
+	// orders receives each order to load a map; the order returns what is sent to done.
 	orders chan engineapi.Order
 	done   chan error
 }
@@ -55,7 +55,7 @@
 	return engineapi.ExpertCounts{}, nil
 }
 
-// newHost returns a host whose group runs epoch 1, and the machines beside it.
+// newFakeBackend returns a backend whose group runs epoch 1, and the Ranks that use it.
 func newFakeBackend(t *testing.T) (*fakeBackend, *Ranks) {
 	first := group.RoundRobin(group.Shape{Layers: 1, Experts: 4, Ranks: 2, Slots: 3})
 	h := &fakeBackend{
@@ -70,7 +70,7 @@
 	return h, r
 }
 
-// begin makes epoch 2 pending and returns its record.
+// prepareEpoch2 makes epoch 2 pending and returns the record.
 func (h *fakeBackend) prepareEpoch2() mapswitch.Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -83,7 +83,7 @@
 	return record
 }
 
-// promise asks rank 0 for a promise and returns its answer.
+// requestPromise sends a promise request to rank 0 and returns its answer.
 func requestPromise(r *Ranks, record mapswitch.Record, token, step uint64) mapswitch.Message {
 	record.Token = token
 	message := mapwire.ToProto(mapswitch.Message{
@@ -102,16 +102,16 @@
 	return mapswitch.Message{}
 }
 
-// ask asks for steps as rank 0.
+// requestSteps requests steps as the engine of rank 0.
 func requestSteps(t *testing.T, r *Ranks, request engineapi.StepRequest) engineapi.StepGrant {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	return r.awaitGrant(ctx, r.drivers[rankKey{testGroup, 0}], request)
 }
 
-// An agent starts again during a switch, beside an engine that still has steps
-// granted. It promises no such step, refuses the late request of a replaced
-// coordinator, and grants nothing beyond its own promise.
+// Guards against an agent that restarts during a switch of maps while its engine still holds granted
+// steps, and then promises one of those steps, accepts the late request of a replaced coordinator, or
+// grants steps beyond its own promise.
 func TestRestartedAgentKeepsPromises(t *testing.T) {
 	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Restart, proof.Late}, Step: "switch of maps promised", Together: true,
 		Guard: "the granted steps that an engine reports; the token of the record's writer"}.Log(t)
@@ -134,9 +134,9 @@
 	})
 }
 
-// An engine starts again while it loads a map. The order to its former run does
-// not count, and a late request of that run takes back nothing that was granted
-// to the present one.
+// Guards against an engine that restarts while it loads a map: the completed order to its previous run
+// must not count as loaded, and a late request of that run must not void steps granted to the current
+// one.
 func TestRestartedEngineReloadsMap(t *testing.T) {
 	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Restart, proof.Late}, Step: "weights loading", Together: true,
 		Guard: "the comparison of the engine's run when an order ends; the granted steps kept over it"}.Log(t)
@@ -147,7 +147,7 @@
 		is.Equal((<-h.orders).Epoch, uint64(1))
 		request := engineapi.StepRequest{Group: testGroup, Run: "b", Step: 55}
 		go requestSteps(t, r, request)
-		<-h.orders // to run b
+		<-h.orders // the order to run b
 		h.done <- nil
 		synctest.Wait()
 		r.mu.Lock()
@@ -167,8 +167,8 @@
 	})
 }
 
-// What a rank pays for its steps by asking over loopback, for each step or for
-// sixteen at once.
+// BenchmarkSteps measures the cost per step of step requests over loopback, with 1 or 16 steps per
+// request.
 func BenchmarkSteps(b *testing.B) {
 	for _, ahead := range []int{1, 16} {
 		b.Run(fmt.Sprintf("ahead=%d", ahead), func(b *testing.B) {
--- a/agent/ranks/recordreader.go
+++ b/agent/ranks/recordreader.go
@@ -13,27 +13,29 @@
 	"github.com/lilackeel/lilackeel/wait"
 )
 
-// The pause after a read of a group's record doubles from the least to the most
-// while the record stays the same. Decisions are sent to ranks by the
-// coordinator as well; a read finds only those that were lost.
+// The interval between reads of a group's record doubles from the minimum to the maximum while the
+// record does not change. The coordinator also sends its decisions to the ranks, so a read only finds
+// those whose messages were lost.
 const (
 	minReadInterval = 20 * time.Millisecond
 	maxReadInterval = 500 * time.Millisecond
 )
 
-// reader reads the record of one group for all ranks that ask. Its fields are
-// guarded by the lock of Ranks.
+// recordReader reads the record of one group for all ranks that request it. Its fields are guarded by
+// the mutex of Ranks.
 type recordReader struct {
-	ranks    *Ranks
-	group    string
+	ranks *Ranks
+	group string
+	// waiting holds the request of each rank that waits for a read.
 	waiting  []mapswitch.Message
 	reading  bool
 	interval time.Duration
-	// record is what was read last.
+	// record is the record that was read last.
 	record *fleetv1.MapRecord
 }
 
-// add puts a rank's request on the list; the lock is held.
+// enqueue adds a rank's request, or replaces the one that is waiting, and starts run if it is not
+// running. The caller holds the mutex.
 func (r *recordReader) enqueue(m mapswitch.Message) {
 	for i := range r.waiting {
 		if r.waiting[i].Rank == m.Rank {
@@ -48,8 +50,8 @@
 	}
 }
 
-// run reads until no rank waits. Each read begins after the requests that it
-// answers.
+// run reads the record until no rank waits. Each read starts after the requests that it answers were
+// queued, so that its result is not older than they are.
 func (r *recordReader) run() {
 	for {
 		batch := r.takeBatch()
@@ -105,8 +107,7 @@
 	return pause
 }
 
-// mapOf returns the map of an epoch as the last record read names it, or as a
-// new reading does.
+// findMap returns the map of an epoch from the record that was read last, or else from a new read.
 func (r *recordReader) findMap(ctx context.Context, epoch, digest uint64) (group.Map, error) {
 	r.ranks.mu.Lock()
 	record := r.record
@@ -124,6 +125,6 @@
 	if found, ok := mapwire.FindMap(record, epoch, digest); ok {
 		return found, nil
 	}
-	return group.Map{}, fault.Newf(fault.NotFound, "wait for the next decision on the group's map",
-		"the record of group %s has no map of epoch %d", r.group, epoch)
+	return group.Map{}, fault.Newf(fault.NotFound, "wait for the next decision about the group's expert map",
+		"the record of group %s contains no map of epoch %d", r.group, epoch)
 }
--- a/agent/ranks/steps.go
+++ b/agent/ranks/steps.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// stepTimeout is how long a request for steps waits for a grant. It is
-	// short, because the engine's position in it grows old.
+	// stepTimeout is the time for which a step request waits for a grant. It is short because the
+	// engine's position in the request becomes stale.
 	stepTimeout = 20 * time.Millisecond
-	// maxStepRequest bounds the body of a request for steps, in bytes.
+	// maxStepRequest is the maximum size of the body of a step request, in bytes.
 	maxStepRequest = 64 << 10
 )
 
@@ -35,7 +35,7 @@
 	}
 	driver := r.drivers[rankKey{stepRequest.Group, stepRequest.Rank}]
 	if driver == nil {
-		http.Error(w, "this agent does not serve the rank; check the endpoints file", http.StatusNotFound)
+		http.Error(w, "this agent does not serve the rank: check group and rank in the endpoints file", http.StatusNotFound)
 		return
 	}
 	r.reportOverrun(stepRequest)
@@ -45,8 +45,8 @@
 	_ = json.NewEncoder(w).Encode(r.awaitGrant(ctx, driver, stepRequest))
 }
 
-// awaitGrant waits until the machine grants steps, or for ctx, or until another
-// run of the engine asks.
+// awaitGrant waits until steps are granted. It returns without a grant when ctx ends or when another
+// run of the engine requests steps.
 func (r *Ranks) awaitGrant(ctx context.Context, d *rankDriver, stepRequest engineapi.StepRequest) engineapi.StepGrant {
 	for first := true; ; first = false {
 		grant, changed, current := r.tryGrant(d, stepRequest, first)
@@ -62,8 +62,9 @@
 	}
 }
 
-// ask returns a grant if there is one, and a channel that closes when there may
-// be. Only the first ask of a request may begin a new run of the engine.
+// tryGrant returns a grant if steps can be granted now, and a channel that is closed when that may have
+// changed. Only the first try of a request may start a new run of the engine; current is false if
+// another run has started since.
 func (r *Ranks) tryGrant(d *rankDriver, stepRequest engineapi.StepRequest, first bool) (grant engineapi.StepGrant, changed <-chan struct{}, current bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,8 +77,8 @@
 	return grant, changed, true
 }
 
-// noteOverrun reports an engine that has run steps without a grant. Nothing else
-// can be done about it here.
+// reportOverrun logs and counts an engine that has run steps without a grant. The agent cannot undo
+// them.
 func (r *Ranks) reportOverrun(stepRequest engineapi.StepRequest) {
 	if stepRequest.Granted == 0 || stepRequest.Step <= stepRequest.Granted+1 {
 		return
