--- a/agent/announce.go
+++ b/agent/announce.go
@@ -14,13 +14,13 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// heartbeatsPerLease keeps the lease when two heartbeats in a row are lost.
+// heartbeatsPerLease is the minimum number of heartbeats in the time of one lease. With four, the
+// lease survives the loss of two consecutive heartbeats.
 const heartbeatsPerLease = 4
 
 var announceFailures = metrics.NewCounter("lilackeel_agent_announce_failures_total")
 
-// announcer keeps the lease of the agent's endpoints by heartbeats to the
-// control leader.
+// announcer renews the lease of the agent's endpoints by heartbeats to the control leader.
 type announcer struct {
 	settings   *Settings
 	lockedGate *lockedGate
@@ -30,17 +30,18 @@
 	logger     *slog.Logger
 	addr       string
 
-	// now wakes the loop ahead of its time.
+	// wakeup makes run send the next announcement at once.
 	wakeup    chan struct{}
 	stopping  atomic.Bool
 	announced atomic.Bool
 
 	mu       sync.Mutex
 	sendFull bool
-	// sent is the number of changes of loaded and health that the last full
-	// announcement carried.
+	// sentChanges is the sum of the change counters of loaded and health at the last full
+	// announcement.
 	sentChanges uint64
-	// acknowledged is closed once a replica has taken the stop, or none can be any more.
+	// acknowledged is closed once a replica has accepted the announcement of the stop, or when run has
+	// ended and no replica can accept it any more.
 	acknowledged chan struct{}
 	ackOnce      sync.Once
 }
@@ -62,8 +63,8 @@
 	return a
 }
 
-// run announces until ctx ends. It returns an error if another process has
-// taken this agent's name over.
+// run sends announcements until ctx ends. It returns an error if another process has taken over this
+// agent's name.
 func (a *announcer) run(ctx context.Context) error {
 	defer a.acknowledge()
 	for ctx.Err() == nil {
@@ -73,7 +74,7 @@
 		}
 		if err != nil && ctx.Err() == nil {
 			announceFailures.Inc()
-			a.logger.WarnContext(ctx, "no control replica took the announcement", slog.Any("error", err))
+			a.logger.WarnContext(ctx, "no control replica accepted the announcement", slog.Any("error", err))
 			interval = retryPause
 		}
 		a.wait(ctx, jitter(interval))
@@ -91,8 +92,8 @@
 	}
 }
 
-// stop announces the planned stop at once and with every heartbeat that
-// follows. The returned channel closes when a replica has taken it.
+// stop announces the planned stop at once and in every heartbeat from then on. The returned channel
+// is closed when a replica has accepted it.
 func (a *announcer) stop() <-chan struct{} {
 	a.stopping.Store(true)
 	a.mu.Lock()
@@ -102,7 +103,7 @@
 	return a.acknowledged
 }
 
-// wake announces ahead of time, for example when an endpoint has drained.
+// wake makes run send an announcement at once, for example when the health of an endpoint changes.
 func (a *announcer) wake() {
 	select {
 	case a.wakeup <- struct{}{}:
@@ -127,8 +128,8 @@
 	return nextInterval(a.settings.HeartbeatInterval, response), nil
 }
 
-// untilNext returns the time from one announcement to the next: the set interval
-// or the slower pace that the leader asks for, but often enough for the lease.
+// nextInterval returns the time until the next announcement: the configured interval, or the longer
+// one that the leader asks for, but short enough to keep the lease.
 func nextInterval(interval time.Duration, response *controlv1.AnnounceResponse) time.Duration {
 	if response.GetSendFull() {
 		return time.Millisecond
@@ -140,8 +141,8 @@
 	return max(interval, time.Millisecond)
 }
 
-// accept notes that an announcement, made after the given number of changes,
-// was taken.
+// handleResponse records that an announcement was accepted. Changes is the change count for which it
+// was made.
 func (a *announcer) handleResponse(request *controlv1.AnnounceRequest, changes uint64, response *controlv1.AnnounceResponse) {
 	a.mu.Lock()
 	a.sendFull = response.GetSendFull() || (a.stopping.Load() && !request.GetStopping())
--- a/agent/answer.go
+++ b/agent/answer.go
@@ -15,36 +15,37 @@
 )
 
 const (
-	// chunkSize is the most that is read from an endpoint at a time, in bytes.
+	// chunkSize is the size of the read buffer, and so the largest part passed on at once, in bytes.
 	chunkSize = 16 << 10
-	// tailSize covers the terminal event and the line ends around it.
+	// tailSize is enough for the terminal event and the line breaks around it, in bytes.
 	tailSize = 32
 	// eventStream is the media type of server-sent events.
 	eventStream = "text/event-stream"
 )
 
-// The terminal event of an OpenAI-shaped stream, with and without the optional
-// space.
+// terminalEvents are the forms of the terminal event of an OpenAI-compatible stream, with and
+// without the optional space.
 var terminalEvents = [][]byte{[]byte("data: [DONE]"), []byte("data:[DONE]")}
 
-// Reasons why an answer is not whole.
+// Errors for an incomplete answer.
 var (
-	errNoFraming  = errors.New("the endpoint closed the connection without stating the length of its answer")
-	errNoTerminal = errors.New("the endpoint's event stream lacks its terminal event")
+	errNoFraming  = errors.New("the endpoint closed the connection, and its answer has neither a length nor chunked encoding")
+	errNoTerminal = errors.New("the endpoint's event stream ended without its terminal event")
 )
 
 var chunkPool = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
-// answer reads an endpoint's answer and judges whether it is whole.
+// answer reads an endpoint's answer and checks that it is complete.
 type answer struct {
 	response *http.Response
-	// framed: the end of the body is told apart from a cut connection.
+	// framed is set if the end of the body can be told from a lost connection.
 	framed bool
-	// terminal: the body must end in a terminal event.
+	// needsTerminal is set if the body must end with a terminal event.
 	needsTerminal bool
-	tail          []byte
-	offset        uint64
-	record        *recording
+	// tail is the last part of the body, at most tailSize bytes.
+	tail   []byte
+	offset uint64
+	record *recording
 }
 
 func newAnswer(e Endpoint, response *http.Response, offset uint64) *answer {
@@ -56,8 +57,8 @@
 	return a
 }
 
-// copyTo passes each part of the body on, in order, with its offset. It returns
-// nil only if the answer is whole. The part is valid during the call of pass.
+// copyTo calls pass for each part of the body, in order, with its offset. It returns nil only if
+// the answer is complete. A part is only valid until pass returns.
 func (a *answer) copyTo(pass func(offset uint64, part []byte) error) error {
 	buffer := chunkPool.Get().(*[chunkSize]byte)
 	defer chunkPool.Put(buffer)
@@ -95,7 +96,7 @@
 	}
 }
 
-// judge decides at the end of the body whether the answer is whole.
+// judge reports at the end of the body whether the answer is complete.
 func (a *answer) judge() error {
 	if !a.framed {
 		return errNoFraming
@@ -117,12 +118,12 @@
 	return false
 }
 
-// resumed reports whether an answer continues at the offset asked for.
+// resumedAt reports whether the engine confirms that the answer continues at the offset.
 func (a *answer) resumedAt(offset uint64) bool {
 	return a.response.Header.Get(engineapi.HeaderResumeOffset) == strconv.FormatUint(offset, 10)
 }
 
-// recording keeps the answer of a claimed call. A nil recording keeps nothing.
+// recording keeps the answer to a claimed call. A nil recording keeps nothing.
 type recording struct {
 	answer controlv1.Answer
 }
--- a/agent/bench_test.go
+++ b/agent/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/lilackeel/lilackeel/standin"
 )
 
-// liveBytes returns the heap and the stacks in use after a collection.
+// liveBytes returns the bytes of heap and stack in use after a garbage collection.
 func liveBytes() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -18,9 +18,8 @@
 	return float64(stats.HeapAlloc + stats.StackInuse)
 }
 
-// BenchmarkOpenStreams reports the memory of one open stream. The figure is an
-// upper bound for the agent: it holds the parts of the client and of the
-// stand-in engine as well, which run in the same process.
+// BenchmarkOpenStreams reports the memory per open stream. The figure is an upper bound for the agent,
+// since it includes the memory of the client and of the stand-in engine, which run in the same process.
 func BenchmarkOpenStreams(b *testing.B) {
 	engine := standin.NewEngine(standin.EngineConfig{Slots: 1 << 20})
 	s := newFixture(b, map[string]http.Handler{"engine": engine})
@@ -34,15 +33,15 @@
 		d.Incarnation = s.daemon.lockedGate.incarnation()
 		must(s.client.Dispatch(b.Context(), d))
 	}
-	s.waitUntil("all streams run", func() bool { return s.daemon.lockedGate.inFlight() == streams })
-	s.waitUntil("the engine has them", func() bool { runs, _ := engine.Counts(); return runs == streams })
+	s.waitUntil("all streams are in flight", func() bool { return s.daemon.lockedGate.inFlight() == streams })
+	s.waitUntil("the engine runs all streams", func() bool { runs, _ := engine.Counts(); return runs == streams })
 	b.StopTimer()
 	b.ReportMetric((liveBytes()-before)/float64(streams), "B/stream")
 	engine.SetFaults(standin.Faults{})
 }
 
-// BenchmarkDispatch runs whole dispatches through the agent, and direct calls to
-// the same endpoint for comparison in the same run.
+// BenchmarkDispatch runs complete dispatches through the agent and, for comparison, direct calls to the
+// same endpoint in the same run.
 func BenchmarkDispatch(b *testing.B) {
 	s := newFixture(b, map[string]http.Handler{"service": standin.NewService(0)})
 	connection := s.client
--- a/agent/claim_test.go
+++ b/agent/claim_test.go
@@ -22,7 +22,7 @@
 	"github.com/lilackeel/lilackeel/standin"
 )
 
-// swap returns a claimed call of the service.
+// claimedCall returns a claimed call to the service.
 func (s *fixture) claimedCall(claim string) *agentv1.DispatchRequest {
 	return &agentv1.DispatchRequest{
 		RequestId: claim, Attempt: 1, Endpoint: "service", Method: http.MethodPost, Path: "/swaps",
@@ -31,12 +31,12 @@
 	}
 }
 
-// A claimed call whose caller leaves runs on, once; who asks then gets the
-// recorded answer.
+// Guards against a claimed call that is canceled or run again when its caller disconnects: a repeated
+// dispatch and a revocation must get the recorded answer.
 func TestClaimedCallRunsOnceAndIsRecorded(t *testing.T) {
 	proof.Cell{
 		Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Lost, proof.Doubled}, Step: "the entry leaves while its claimed call runs, and another asks again",
-		Guard: "dispatcher.limit, and the end being recorded before it is sent, each alone", Together: true,
+		Guard: "dispatcher.callContext, and the end being recorded before it is sent, each alone", Together: true,
 	}.Log(t)
 	is := is.New(t)
 	service := standin.NewService(0)
@@ -44,12 +44,12 @@
 	service.SetFaults(standin.Faults{Stall: true})
 	claim := s.claimedCall(gate.ClaimID("k", s.daemon.lockedGate.ticket()))
 	claim.ClaimTicketNs = 0
-	is.Equal(s.dispatch(claim).refused.GetKind(), string(fault.Invalid)) // another ticket: closed, not run
+	is.Equal(s.dispatch(claim).refused.GetKind(), string(fault.Invalid)) // the claim id is of another ticket: not run
 	claim = s.claimedCall("claim")
 	ctx, leave := context.WithCancel(t.Context())
 	first := make(chan reply, 1)
 	go func() { first <- s.dispatchContext(ctx, claim, nil) }()
-	s.waitUntil("the effect runs", func() bool { return len(service.Effects()) == 1 })
+	s.waitUntil("the call runs", func() bool { return len(service.Effects()) == 1 })
 	leave()
 	is.True((<-first).err != nil)
 	repeated := make(chan reply, 1)
@@ -68,14 +68,14 @@
 	claim = s.claimedCall("early")
 	claim.Incarnation = s.daemon.lockedGate.incarnation()
 	is.NoErr(s.daemon.service.Dispatch(claim, &recordingStream{ctx: t.Context(), send: func(r *agentv1.DispatchResponse) {
-		if r.GetEnd() != nil { // who reads the end can ask for the answer at once
+		if r.GetEnd() != nil { // the answer can be read as soon as the end arrives
 			state := s.daemon.lockedGate.revoke(&agentv1.RevokeRequest{ClaimId: "early", Incarnation: claim.GetIncarnation()}).GetState()
 			is.Equal(state, agentv1.RevokeState_REVOKE_STATE_ANSWERED)
 		}
 	}}))
 }
 
-// checkedStream shows each response to send at the moment it is sent.
+// recordingStream calls send with each response at the moment it is sent.
 type recordingStream struct {
 	grpc.ServerStream
 	ctx  context.Context
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// An endpoint that the configuration gives to another agent is not served here.
+// Guards against an agent that serves an endpoint which the configuration assigns to another agent.
 func TestEndpointOfAnotherAgentIsRefused(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t, map[string]http.Handler{"service": standin.NewService(0)})
@@ -102,9 +102,8 @@
 	is.Equal(got.refusedKind(), fault.Unavailable)
 }
 
-// Copies of a claimed call and revocations of it arrive at once, in any order,
-// at the agent that it was meant for and at its successor. The call runs at
-// most once, and not at all if anybody was told so.
+// Guards against a claimed call that runs twice, or that runs although a caller was told that it has not
+// run, when copies and revocations of it arrive concurrently at its agent and at the agent's successor.
 func TestConcurrentDuplicatesAndRevocations(t *testing.T) {
 	proof.Cell{
 		Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Doubled, proof.Crossed, proof.Restart}, Step: "copies and a revocation race at an agent and at its successor",
@@ -162,17 +161,17 @@
 			want = 0
 		}
 		is.Equal(runs[id], want)
-		is.Equal(ended[id], want*copies) // each copy gets the one answer, or none does
+		is.Equal(ended[id], want*copies) // all copies get the answer, or none does
 	}
 	t.Log("denied", len(denied), "run", len(runs))
 }
 
-// The transport never sends a claimed call twice, although the endpoint closes
-// the connection after running it and the call carries an idempotency key.
+// Guards against a claimed call that the HTTP transport retries when the endpoint closes the connection
+// after running it, even if the call carries an idempotency key.
 func TestTransportDoesNotRepeatClaims(t *testing.T) {
 	proof.Cell{
 		Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Lost}, Step: "the endpoint closes the connection after running a claimed call",
-		Guard: "endpointClient.single and onceBody, both together",
+		Guard: "endpointClient.singleUse and nonReplayableBody, both together",
 	}.Log(t)
 	is := is.New(t)
 	var runs atomic.Int32
@@ -183,18 +182,18 @@
 		}
 		runs.Add(1)
 		if r.Method == http.MethodPost && !r.Close {
-			t.Error("a claimed call came on a connection that others use")
+			t.Error("a claimed call arrived on a keep-alive connection")
 		}
 		drop(w, r)
 	})})
 	warm := &agentv1.DispatchRequest{Endpoint: "service", Method: http.MethodGet, Path: "/"}
-	is.True(s.dispatch(warm).end != nil) // leaves an open connection behind
+	is.True(s.dispatch(warm).end != nil) // leaves an idle connection
 	got := s.dispatch(s.claimedCall("a"))
 	is.True(got.broken.GetMayHaveRun())
 	is.Equal(runs.Load(), int32(1))
 	again := &agentv1.DispatchRequest{Endpoint: "service", Method: http.MethodPut, Path: "/", Headers: []*controlv1.Header{}}
 	is.True(s.dispatch(warm).end != nil)
-	is.True(s.dispatch(again).broken != nil) // resent on a new connection, where it fails for good
+	is.True(s.dispatch(again).broken != nil) // retried on a new connection, where it fails again
 	is.Equal(runs.Load(), int32(3))
 	bad := s.claimedCall("bad")
 	bad.Headers[0].Value = "a\nb"
--- a/agent/client.go
+++ b/agent/client.go
@@ -24,46 +24,46 @@
 )
 
 const (
-	// connectTimeout bounds opening a connection to an endpoint of the host.
+	// connectTimeout is the time limit for opening a connection to an endpoint of the host.
 	connectTimeout = 2 * time.Second
-	// idleTimeout closes connections to endpoints that are not used. Usual
-	// servers of engines do so after five seconds; being first avoids that a
-	// call meets a connection that is just being closed.
+	// idleTimeout is how long an idle connection to an endpoint is kept. The usual HTTP servers of
+	// engines close idle connections after 5 s; closing them earlier avoids sending a call on a
+	// connection that the server is closing.
 	idleTimeout = 4 * time.Second
-	// idlePerEndpoint bounds the open connections kept for one endpoint.
+	// maxIdlePerEndpoint is the maximum number of idle connections kept to one endpoint.
 	maxIdlePerEndpoint = 256
-	// headerLimit bounds the headers of an endpoint's answer, in bytes.
+	// maxHeaderBytes is the maximum size of the headers of an endpoint's response.
 	maxHeaderBytes = 1 << 20
 )
 
-// headerResend marks a request for net/http as one that may be sent again.
+// headerIdempotencyKey is the header by whose presence net/http recognizes a request that it may
+// retry.
 const headerIdempotencyKey = "X-Idempotency-Key"
 
-// endpointClient speaks HTTP to the endpoints of the host.
+// endpointClient is the HTTP client for the endpoints of the host.
 type endpointClient struct {
-	// reused serves calls that may be repeated.
+	// keepAlive reuses connections. It is for requests that may be repeated.
 	keepAlive *http.Transport
-	// single opens a connection for each call, so that a call that must run at
-	// most once never meets a connection that the endpoint is closing, and is
-	// never sent again by the transport.
+	// singleUse opens a connection for each request, so that one that must run at most once is never
+	// sent on a connection that the endpoint is closing, and is never retried by the transport.
 	singleUse *http.Transport
 	dialer    *net.Dialer
-	// lockedGate learns the rate limits that answers name.
+	// lockedGate is told the rate limits, pauses and announced stops that responses carry.
 	lockedGate *lockedGate
 }
 
 func newEndpointClient(g *lockedGate) *endpointClient {
 	dialer := &net.Dialer{Timeout: connectTimeout}
-	reused := &http.Transport{
+	keepAlive := &http.Transport{
 		DialContext:            dialer.DialContext,
 		DisableCompression:     true,
 		IdleConnTimeout:        idleTimeout,
 		MaxIdleConnsPerHost:    maxIdlePerEndpoint,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
-	single := reused.Clone()
-	single.DisableKeepAlives = true
-	return &endpointClient{keepAlive: reused, singleUse: single, dialer: dialer, lockedGate: g}
+	singleUse := keepAlive.Clone()
+	singleUse.DisableKeepAlives = true
+	return &endpointClient{keepAlive: keepAlive, singleUse: singleUse, dialer: dialer, lockedGate: g}
 }
 
 func (c *endpointClient) close() {
@@ -71,7 +71,7 @@
 	c.singleUse.CloseIdleConnections()
 }
 
-// connects reports whether an endpoint takes a connection.
+// canConnect reports whether an endpoint accepts a connection.
 func (c *endpointClient) canConnect(ctx context.Context, e Endpoint) bool {
 	target, err := url.Parse(e.URL)
 	if err != nil {
@@ -84,10 +84,10 @@
 	return connection.Close() == nil
 }
 
-// notAsked is an error of a call whose endpoint never saw any of it.
+// notSentError is the error of a request of which nothing was sent to its endpoint.
 type notSentError struct {
 	cause *fault.Error
-	// refused: the endpoint takes no connections.
+	// refused is set if the endpoint did not accept a connection.
 	refused bool
 }
 
@@ -97,15 +97,14 @@
 // Unwrap returns the fault.
 func (n notSentError) Unwrap() error { return n.cause }
 
-// onceBody is a request body that the transport cannot rewind and send again.
+// nonReplayableBody is a request body that the transport cannot rewind to send it again.
 type nonReplayableBody struct{ io.Reader }
 
 // Close implements io.Closer.
 func (nonReplayableBody) Close() error { return nil }
 
-// call sends a dispatch to its endpoint and returns the answer's head. An error
-// of type notAsked means that the endpoint never saw the call; after any other
-// error it may have run.
+// call sends a dispatch to its endpoint and returns the response once its headers are read. After a
+// notSentError the call has not run; after any other error it may have run.
 func (c *endpointClient) call(ctx context.Context, e Endpoint, d *agentv1.DispatchRequest, streamID string) (*http.Response, error) {
 	request, err := newRequest(ctx, e, d, streamID)
 	if err != nil {
@@ -118,8 +117,9 @@
 	return c.roundTrip(transport, request, e)
 }
 
-// roundTrip sends a request; an error of type notAsked means that the endpoint
-// never saw any of it. All requests to endpoints pass here.
+// roundTrip sends a request unless its endpoint is in a pause, and records what the response says
+// about the endpoint. A notSentError means that nothing was sent. All requests to endpoints are sent
+// here.
 func (c *endpointClient) roundTrip(transport *http.Transport, request *http.Request, e Endpoint) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -139,7 +139,8 @@
 	return response, err
 }
 
-// answered takes in what an answer says of the requests that the endpoint takes.
+// recordResponse records in the gate what a response says about the requests that the endpoint
+// accepts: a rate limit, a pause, or that it is about to stop.
 func (c *endpointClient) recordResponse(e Endpoint, sent time.Duration, response *http.Response) {
 	c.lockedGate.learnRateLimit(e.ID, sent, response.Header.Get(engineapi.HeaderRateLimit))
 	c.lockedGate.recordLeaving(e.ID, sent, response.Header.Get(engineapi.HeaderLeaving) != "")
@@ -152,8 +153,8 @@
 	}
 }
 
-// countPushback counts an answer that asks for a pause, countPaused a request that is not sent
-// because of one.
+// countPushback counts a response that asks for a pause; countPaused counts a request that is not
+// sent because of such a pause.
 func countPushback(endpoint string) {
 	metrics.GetOrCreateCounter(`lilackeel_agent_pushbacks_total{endpoint="` + endpoint + `"}`).Inc()
 }
@@ -162,8 +163,8 @@
 	metrics.GetOrCreateCounter(`lilackeel_agent_paused_requests_total{endpoint="` + endpoint + `"}`).Inc()
 }
 
-// unconnected tells an endpoint that takes no connection from a call that the
-// transport would not send.
+// connectError returns the error of a request that never had a connection: the endpoint did not
+// accept one, the context ended first, or the transport rejected the request as invalid.
 func connectError(ctx context.Context, e Endpoint, err error) error {
 	var dial *net.OpError
 	refused := ctx.Err() == nil && errors.As(err, &dial) && dial.Op == "dial"
@@ -171,7 +172,7 @@
 		return invalidCallError(err)
 	}
 	return notSentError{refused: refused, cause: fault.Newf(fault.Unavailable, "choose another endpoint",
-		"endpoint %q takes no connection", e.ID).Because(err)}
+		"endpoint %q does not accept connections", e.ID).Because(err)}
 }
 
 func newRequest(ctx context.Context, e Endpoint, d *agentv1.DispatchRequest, streamID string) (*http.Request, error) {
@@ -199,8 +200,8 @@
 	return request, nil
 }
 
-// allowResend lets the transport send a call again that met a connection which
-// the endpoint had closed. A key without values is not sent.
+// allowRetransmission lets the transport retry a call that was sent on a connection which the
+// endpoint had closed. The header has no value, so it is not sent.
 func allowRetransmission(header http.Header) {
 	if _, present := header[headerIdempotencyKey]; !present {
 		header[headerIdempotencyKey] = nil
@@ -216,11 +217,11 @@
 	}
 }
 
-// targetURL joins an endpoint's URL and the path and query of a call. The path
-// cannot lead to another host.
+// targetURL joins an endpoint's URL with the path and query of a call. The path must begin with a
+// slash, so that it cannot change the host.
 func targetURL(base, path string) (string, error) {
 	if !strings.HasPrefix(path, "/") {
-		return "", invalidCallError(fault.New(fault.Invalid, "the path does not begin with a slash", "begin the path of the call with a slash"))
+		return "", invalidCallError(fault.New(fault.Invalid, "the path of the call does not begin with a slash", "begin the path of the call with a slash"))
 	}
 	return strings.TrimSuffix(base, "/") + path, nil
 }
--- a/agent/clock.go
+++ b/agent/clock.go
@@ -5,12 +5,11 @@
 	"time"
 )
 
-// clockRange bounds the random start of a clock, in nanoseconds: 73 years.
+// clockRange is the upper bound of the random start of a clock, in nanoseconds: 73 years.
 const clockRange = int64(1) << 61
 
-// clock is the agent's own monotonic clock, in which tickets are issued. It
-// starts at a random time, so that a ticket of an earlier incarnation almost
-// never falls among the recent times of this one.
+// clock is the agent's own monotonic clock, which tickets are read from. It starts at a random
+// value, so that a ticket of an earlier incarnation is very unlikely to look recent to this one.
 type clock struct {
 	started time.Time
 	start   time.Duration
@@ -20,14 +19,14 @@
 	return &clock{started: time.Now(), start: time.Duration(1 + rand.Int64N(clockRange))}
 }
 
-// now returns the present time of the clock.
+// now returns the current reading of the clock.
 func (c *clock) now() time.Duration { return c.at(time.Now()) }
 
-// at returns the time of the clock at t, which must have a monotonic reading.
+// at returns the reading of the clock at t, which must have a monotonic clock reading.
 func (c *clock) at(t time.Time) time.Duration { return c.start + t.Sub(c.started) }
 
-// incarnation names one start of the agent's process.
+// incarnation identifies one run of the agent's process.
 type incarnation uint64
 
-// newIncarnation returns a number that no other start of an agent has.
+// newIncarnation returns a random non-zero number, unique to this run of the process.
 func newIncarnation() incarnation { return incarnation(rand.Uint64() | 1) }
--- a/agent/control.go
+++ b/agent/control.go
@@ -12,10 +12,10 @@
 	"github.com/lilackeel/lilackeel/wait"
 )
 
-// retryPause is the mean pause after all replicas have failed.
+// retryPause is the mean pause before a retry after all replicas have failed.
 const retryPause = 200 * time.Millisecond
 
-// controls asks the control replica that decides.
+// controls sends requests to the leader of the control replicas.
 type controls struct {
 	*replicas.Finder
 	logger *slog.Logger
@@ -25,8 +25,8 @@
 	return &controls{Finder: replicas.New(pool, s.Control), logger: logger}
 }
 
-// learnFence reads the highest fencing token from a quorum. It tries until it
-// has it or ctx ends.
+// learnFence reads the highest fencing token from a quorum. It retries until it succeeds or ctx
+// ends.
 func (c *controls) learnFence(ctx context.Context, g *lockedGate) {
 	for ctx.Err() == nil {
 		err := c.Ask(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
@@ -44,7 +44,7 @@
 	}
 }
 
-// jitter spreads a pause over half to one and a half of its length.
+// jitter returns a random duration between 0.5 and 1.5 times d.
 func jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
--- a/agent/daemon.go
+++ b/agent/daemon.go
@@ -23,18 +23,18 @@
 )
 
 const (
-	// stopAckTimeout bounds the wait for a control replica to take the
-	// announcement of a stop.
+	// stopAckTimeout is the maximum time to wait for a control replica to accept the announcement of a
+	// stop.
 	stopAckTimeout = 3 * time.Second
-	// drainPoll is how often a stopping agent looks for work in flight.
+	// drainPollInterval is the interval at which a stopping agent checks for calls in flight.
 	drainPollInterval = 20 * time.Millisecond
-	// readyPoll is how often a starting agent looks whether it is ready.
+	// readyPollInterval is the interval at which a starting agent checks whether it is ready.
 	readyPollInterval = 20 * time.Millisecond
-	// stepsHeaderTimeout bounds reading the headers of a request for steps.
+	// stepsHeaderTimeout is the time limit for reading the headers of a step request.
 	stepsHeaderTimeout = 5 * time.Second
 )
 
-// stoppingReason is shown by the readiness of a stopping agent.
+// stoppingReason is the reason that a stopping agent gives for not being ready.
 const stoppingReason = "stopping"
 
 // Daemon is the assembled agent.
@@ -54,15 +54,15 @@
 	ranks      *ranks.Ranks
 
 	listener net.Listener
-	// steps is nil if the agent serves no rank.
+	// steps is the listener for step requests; nil if the agent serves no rank.
 	steps net.Listener
 }
 
-// Ready says whether the agent takes new work.
+// Ready returns the readiness of the agent.
 func (d *Daemon) Ready() *telemetry.Ready { return d.ready }
 
-// Listen opens the agent's address and returns it. Run does so if it was not
-// done before.
+// Listen opens the agent's listeners and returns the address of its gRPC service. Run calls Listen if
+// it has not been called.
 func (d *Daemon) Listen(ctx context.Context) (string, error) {
 	listener, err := link.Listen(ctx, d.settings.Listen)
 	if err != nil {
@@ -80,9 +80,9 @@
 	return listener.Addr().String(), nil
 }
 
-// Run serves until ctx ends, then stops as planned: it is no longer ready,
-// announces the stop, refuses new work, lets the work in flight finish and
-// returns. It also stops when another process has taken over its name.
+// Run serves until ctx ends, or until another process has taken over the agent's name. It then does a
+// planned stop: it reports that it is not ready, refuses new calls, announces the stop, waits for the
+// calls in flight and returns.
 func (d *Daemon) Run(ctx context.Context) error {
 	if d.listener == nil {
 		if _, err := d.Listen(ctx); err != nil {
@@ -113,7 +113,7 @@
 	return trace.NewAggregate(fencedErr, d.pool.Close())
 }
 
-// start begins what goes on during a planned stop, until ctx ends.
+// start starts the goroutines that also run during a planned stop. They end with ctx.
 func (d *Daemon) start(ctx context.Context, group *sync.WaitGroup) {
 	group.Go(func() { _ = d.server.Serve(d.listener) })
 	group.Go(func() { _ = d.feed.Run(ctx) })
@@ -127,19 +127,18 @@
 	}
 }
 
-// serveSteps grants steps to ranks until ctx ends, which is after all work in
-// flight has: the calls that an engine finishes need its steps.
+// serveSteps serves step requests of ranks until ctx ends. That is after the calls in flight have
+// ended, because an engine needs further steps to finish them.
 func (d *Daemon) serveSteps(ctx context.Context) {
 	server := &http.Server{Handler: d.ranks.Handler(), ReadHeaderTimeout: stepsHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.Serve(d.steps); !errors.Is(err, http.ErrServerClosed) {
-		d.logger.Error("ranks can no longer ask for steps", slog.Any("error", err))
+		d.logger.Error("the server of step requests failed", slog.Any("error", err))
 	}
 }
 
-// readLoaded reads all engines back once, so that the first announcement says
-// what they have.
+// readLoaded reads back the state of all engines once, so that the first announcement includes it.
 func (d *Daemon) readLoaded(ctx context.Context) {
 	var group sync.WaitGroup
 	for _, p := range d.pollers {
@@ -148,7 +147,7 @@
 	group.Wait()
 }
 
-// awaitReady makes the agent ready once it has a configuration and a lease.
+// awaitReady sets the agent ready once it has a configuration and a lease.
 func (d *Daemon) awaitReady(ctx context.Context) {
 	for ctx.Err() == nil {
 		if d.feed.Ready() && d.announcer.announced.Load() {
@@ -161,7 +160,7 @@
 	}
 }
 
-// setReady makes the agent ready unless it is stopping.
+// setReady sets the agent ready unless it is stopping.
 func (d *Daemon) setReady(ctx context.Context) {
 	d.ready.Set(true, "")
 	if ctx.Err() != nil {
@@ -169,7 +168,7 @@
 	}
 }
 
-// stop carries out the planned stop.
+// stop performs the planned stop.
 func (d *Daemon) stop() {
 	d.ready.Set(false, stoppingReason)
 	d.logger.Info("stopping", slog.Int("in_flight", d.lockedGate.inFlight()))
@@ -184,8 +183,8 @@
 	d.logger.Info("stopped", slog.Int("in_flight", d.lockedGate.inFlight()))
 }
 
-// awaitDrain waits until a replica has taken the stop, for stopAckTimeout at
-// most, and then until no work is in flight. It returns early when ctx ends.
+// awaitDrain waits until a replica has accepted the announcement of the stop, at most for
+// stopAckTimeout, and then until no call is in flight. It returns early when ctx ends.
 func (d *Daemon) awaitDrain(ctx context.Context, acknowledged <-chan struct{}) {
 	select {
 	case <-acknowledged:
@@ -197,7 +196,7 @@
 	}
 }
 
-// stopServer lets the gRPC calls under way end, or waits for ctx.
+// stopServer stops the gRPC server gracefully. It returns early when ctx ends.
 func (d *Daemon) stopServer(ctx context.Context) {
 	stopped := make(chan struct{})
 	go func() {
@@ -210,7 +209,7 @@
 	}
 }
 
-// announceDrained says that all work has ended, if the stop could be announced.
+// announceDrained announces that all calls have ended, if the stop itself could be announced.
 func (d *Daemon) announceDrained(ctx context.Context, acknowledged <-chan struct{}) {
 	select {
 	case <-acknowledged:
@@ -220,7 +219,7 @@
 	ctx, cancel := context.WithTimeout(ctx, stopAckTimeout)
 	defer cancel()
 	if _, err := d.announcer.announce(ctx); err != nil {
-		d.logger.Warn("the end of all work could not be announced", slog.Any("error", err))
+		d.logger.Warn("cannot announce that all calls have ended", slog.Any("error", err))
 	}
 }
 
@@ -231,8 +230,8 @@
 	return context.WithTimeout(context.Background(), d.settings.StopLimit)
 }
 
-// exportMetrics registers the gauges of this agent. With several agents in one
-// process, as in tests, the first one's are shown.
+// exportMetrics registers the gauges of this agent. If one process runs several agents, as tests do,
+// the gauges are those of the first.
 func (d *Daemon) exportMetrics() {
 	metrics.GetOrCreateGauge("lilackeel_agent_configuration_revision", func() float64 {
 		return float64(d.lockedGate.revision())
@@ -251,7 +250,7 @@
 	}
 }
 
-// newServer returns the gRPC server with the agent's service on it.
+// newServer returns a gRPC server with the agent's service registered.
 func newServer(s *Settings, agent *service) (*grpc.Server, error) {
 	options, err := link.ServerOptions(s.Link)
 	if err != nil {
--- a/agent/daemon_test.go
+++ b/agent/daemon_test.go
@@ -20,8 +20,7 @@
 	"github.com/lilackeel/lilackeel/standin"
 )
 
-// rawAnswer answers every call by the given bytes on the bare connection, which
-// it closes then.
+// rawResponse answers every request by writing the text to the hijacked connection and closing it.
 func rawResponse(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		connection, buffer, err := http.NewResponseController(w).Hijack()
@@ -34,8 +33,8 @@
 	}
 }
 
-// An answer that does not come to its own end is broken and never ended, in
-// whichever way it is cut; the same answers uncut are whole.
+// Guards against a truncated answer that is delivered as complete, for each way in which an answer can
+// be truncated, and against a complete answer that is reported as broken.
 func TestTruncatedAnswerIsNeverComplete(t *testing.T) {
 	proof.Cell{
 		Promise: proof.OwnAnswer, Faults: []proof.Fault{proof.Lost}, Step: "the endpoint's connection is cut in its answer, in seven ways",
@@ -76,13 +75,12 @@
 	}
 }
 
-// A cut stream resumes at its offset and joins to the whole answer. An engine
-// that has forgotten the stream runs nothing, and one that cannot resume is not
-// taken to have resumed.
+// Guards against an interrupted stream that is resumed with a gap or an overlap, that is run again by an
+// engine that no longer knows it, or that counts as resumed by an engine that cannot resume.
 func TestInterruptedStreamResumes(t *testing.T) {
 	proof.Cell{
 		Promise: proof.OwnAnswer, Faults: []proof.Fault{proof.Lost}, Step: "a stream cut at the engine is resumed through the agent",
-		Guard: "answer.resumed, the 404 of a forgotten stream, and streamIDs, each alone",
+		Guard: "answer.resumedAt, the 404 of a forgotten stream, and streamIDs, each alone",
 	}.Log(t)
 	is := is.New(t)
 	engine := standin.NewEngine(standin.EngineConfig{Slots: 4})
@@ -110,8 +108,8 @@
 	is.True(got.broken.GetMayHaveRun() && got.head == nil)
 }
 
-// A planned stop falls out of readiness, refuses new work, cuts none of 200
-// open streams, and is announced.
+// Guards against a planned stop that truncates one of 200 open streams, accepts new calls, leaves the
+// agent ready or is not announced.
 func TestPlannedStopCompletesOpenStreams(t *testing.T) {
 	proof.Cell{
 		Promise: proof.PlannedStop, Faults: []proof.Fault{proof.Restart, proof.StalledRank}, Step: "an agent with 200 streams open at an engine that stands still",
@@ -130,7 +128,7 @@
 			replies <- s.dispatch(d)
 		}()
 	}
-	s.waitUntil("all streams run", func() bool { return s.daemon.lockedGate.inFlight() == open })
+	s.waitUntil("all streams are in flight", func() bool { return s.daemon.lockedGate.inFlight() == open })
 	s.stop()
 	s.waitUntil("the stop is announced", func() bool { return s.replica.last().GetStopping() })
 	ready, _ := s.daemon.Ready().Get()
@@ -148,7 +146,8 @@
 	is.True(slices.ContainsFunc(s.replica.announced, func(a *controlv1.AnnounceRequest) bool { return a.GetStopping() && a.GetFull() }))
 }
 
-// A stop limit ends the wait for work in flight; what it cuts is not whole.
+// Guards against a planned stop that waits longer than the stop limit, or that reports a call which it
+// ended as complete.
 func TestStopLimitBoundsDrain(t *testing.T) {
 	is := is.New(t)
 	engine := standin.NewEngine(standin.EngineConfig{})
@@ -157,14 +156,14 @@
 	s.daemon.settings.StopLimit = time.Millisecond
 	replies := make(chan reply)
 	go func() { replies <- s.dispatch(completion(true, "1")) }()
-	s.waitUntil("the call runs", func() bool { return s.daemon.lockedGate.inFlight() == 1 })
+	s.waitUntil("the call is in flight", func() bool { return s.daemon.lockedGate.inFlight() == 1 })
 	s.stop()
 	is.NoErr(<-s.stopped)
 	got := <-replies
 	is.True(got.end == nil)
 }
 
-// A caller that leaves ends the engine's work on a call that may be repeated.
+// Guards against an engine that continues a call without a claim after its caller has disconnected.
 func TestCallerDisconnectCancelsEngineCall(t *testing.T) {
 	is := is.New(t)
 	engine := standin.NewEngine(standin.EngineConfig{Slots: 1, TokenTime: time.Millisecond})
@@ -176,12 +175,12 @@
 		}
 	})
 	is.True(errors.Is(got.err, context.Canceled))
-	s.waitUntil("the engine is told", func() bool { _, gone := engine.Counts(); return gone == 1 })
+	s.waitUntil("the engine sees the disconnect", func() bool { _, gone := engine.Counts(); return gone == 1 })
 	s.waitUntil("nothing is in flight", func() bool { return s.daemon.lockedGate.inFlight() == 0 })
 }
 
-// An endpoint that writes faster than its caller reads is held back, so that
-// the agent holds a bounded part of the answer; a caller that leaves ends it.
+// Guards against an agent that buffers without limit the answer of an endpoint that writes faster than
+// its caller reads, and against a call that goes on after the caller has disconnected.
 func TestSlowReaderAppliesBackpressure(t *testing.T) {
 	is := is.New(t)
 	const answerSize, bound, piece = 256 << 20, 64 << 20, 64 << 10
@@ -200,7 +199,7 @@
 	ctx, leave := context.WithCancel(t.Context())
 	d := &agentv1.DispatchRequest{Endpoint: "service", Method: http.MethodGet, Path: "/", Incarnation: s.daemon.lockedGate.incarnation()}
 	must(s.client.Dispatch(ctx, d))
-	const stallSamples = 100 // looks in a row without progress
+	const stallSamples = 100 // consecutive samples without progress
 	for last, unchanged := int64(0), 0; unchanged < stallSamples; time.Sleep(time.Millisecond) {
 		present := written.Load()
 		unchanged++
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -19,7 +19,7 @@
 	"github.com/lilackeel/lilackeel/telemetry"
 )
 
-// dispatcher runs dispatches on endpoints.
+// dispatcher runs admitted dispatches on the endpoints.
 type dispatcher struct {
 	settings   *Settings
 	lockedGate *lockedGate
@@ -48,7 +48,8 @@
 	}
 }
 
-// dispatch runs one attempt, or repeats what is known of a claim.
+// dispatch serves one attempt: it runs the call, or delivers the outcome of its claim if the claim was
+// dispatched before.
 func (p *dispatcher) dispatch(d *agentv1.DispatchRequest, stream grpc.ServerStreamingServer[agentv1.DispatchResponse]) error {
 	ctx := telemetry.WithAttributes(stream.Context(),
 		slog.String("request_id", d.GetRequestId()), slog.String("workspace", d.GetWorkspace()),
@@ -81,10 +82,10 @@
 	}
 }
 
-// repeat delivers the recorded answer of a claimed call.
+// replay delivers the recorded answer to a claimed call.
 func replay(recorded *controlv1.Answer, out *sender) error {
 	if recorded.GetTruncated() {
-		return out.broken("the call has run; its answer was too large to be kept", "")
+		return out.broken("the call has run, but its answer was too large to be recorded", "")
 	}
 	if err := out.head(int(recorded.GetStatus()), recorded.GetHeaders(), ""); err != nil {
 		return err
@@ -97,9 +98,8 @@
 	return out.end(uint64(len(recorded.GetBody())))
 }
 
-// run asks the endpoint and passes its answer on. The outcome is recorded
-// before the last message is sent, so that a revocation that follows the
-// message finds it.
+// run sends the call to the endpoint and forwards its answer. The outcome is recorded before the last
+// message is sent, so that a revocation sent after that message finds it.
 func (p *dispatcher) run(ctx context.Context, d *agentv1.DispatchRequest, out *sender) error {
 	ctx, cancel := p.callContext(ctx, d)
 	defer cancel()
@@ -116,13 +116,13 @@
 	default:
 		countOutcome("broken")
 		ended := p.endedRun(ctx, d.GetEndpoint())
-		p.logger.InfoContext(ctx, "the answer of an endpoint is not whole", slog.Any("error", err), slog.String("ended_run", ended))
+		p.logger.InfoContext(ctx, "the answer of an endpoint is incomplete", slog.Any("error", err), slog.String("ended_run", ended))
 		return out.broken(err.Error(), ended)
 	}
 }
 
-// endedRun names the run of an endpoint's process that has ended under a call; empty if the
-// endpoint still listens, or the call was ended from this side.
+// endedRun returns the name of the run if the endpoint's process ended during the call. It is empty
+// if the endpoint still listens, or if the call was canceled or timed out on this side.
 func (p *dispatcher) endedRun(ctx context.Context, endpoint string) string {
 	if ctx.Err() != nil || !p.client.refusesConnections(ctx, p.endpoints[endpoint]) {
 		return ""
@@ -140,11 +140,11 @@
 	if f := fault.As(err); f != nil {
 		return f
 	}
-	return fault.New(fault.Internal, err.Error(), "report the defect with the log of the agent")
+	return fault.New(fault.Internal, err.Error(), "report this as a bug, with the log of the agent")
 }
 
-// limit bounds a call in time. A claimed call goes on when its caller leaves,
-// so that its answer can be recorded; any other ends with its caller.
+// callContext returns a context with the time limit of the call. A claimed call goes on when its
+// caller disconnects, so that its answer can be recorded; any other call is canceled.
 func (p *dispatcher) callContext(ctx context.Context, d *agentv1.DispatchRequest) (context.Context, context.CancelFunc) {
 	if d.GetClaimId() != "" {
 		return context.WithTimeout(context.WithoutCancel(ctx), p.settings.ClaimLimit)
@@ -155,7 +155,7 @@
 	return context.WithCancel(ctx)
 }
 
-// call is one admitted dispatch.
+// call is the state of one admitted dispatch.
 type call struct {
 	*dispatcher
 	dispatch *agentv1.DispatchRequest
@@ -164,7 +164,8 @@
 	length   uint64
 }
 
-// run returns how the call ended, and why if it is not whole.
+// run runs the call in a span of its own. It returns the outcome, and an error if the outcome is not
+// Complete.
 func (c *call) run(ctx context.Context) (gate.Outcome, error) {
 	e := c.endpoints[c.dispatch.GetEndpoint()]
 	ctx, span := telemetry.Span(ctx, "endpoint", attribute.String("endpoint", e.ID))
@@ -195,7 +196,7 @@
 		return gate.NotRun, errNoResume()
 	}
 	if offset > 0 && !answer.resumedAt(offset) {
-		return gate.Incomplete, errors.New("the engine did not resume at the offset")
+		return gate.Incomplete, errors.New("the engine did not confirm that it resumes at the requested offset")
 	}
 	return c.forward(answer)
 }
@@ -204,8 +205,8 @@
 	return fault.New(fault.NotFound, "the stream cannot be resumed here", "start the call again from the beginning")
 }
 
-// pass passes an answer on to the caller. A claimed call is read to its end
-// even if the caller has left.
+// forward sends an answer to the caller. The answer to a claimed call is read to its end even if the
+// caller has disconnected.
 func (c *call) forward(a *answer) (gate.Outcome, error) {
 	streamID := a.response.Header.Get(engineapi.HeaderStreamID)
 	c.streams.remember(c.dispatch.GetRequestId(), streamID)
--- a/agent/endpoints.go
+++ b/agent/endpoints.go
@@ -14,42 +14,42 @@
 	"github.com/lilackeel/lilackeel/setting"
 )
 
-// Kinds of endpoint in the endpoints file.
+// Values of Endpoint.Kind.
 const (
 	KindEngine  = "engine"
 	KindService = "service"
 )
 
-// maxSlots bounds the slots that an endpoint may state.
+// maxSlots is the largest value of Endpoint.Slots that is accepted.
 const maxSlots = 1 << 20
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]*$`)
 
-// Endpoint describes one endpoint of the host.
+// Endpoint is one endpoint of the host as described in the endpoints file.
 type Endpoint struct {
 	// ID is unique in the fleet.
 	ID string `json:"id"`
-	// Pool is the pool that it belongs to.
+	// Pool is the name of the pool that it belongs to.
 	Pool string `json:"pool"`
 	// Kind is KindEngine or KindService.
 	Kind string `json:"kind"`
-	// URL is where it answers HTTP.
+	// URL is the base URL at which it serves HTTP.
 	URL string `json:"url"`
-	// Model, Version, Role and Adapters are what an engine serves.
+	// Model, Version, Role and Adapters describe what an engine serves.
 	Model    string   `json:"model,omitempty"`
 	Version  string   `json:"version,omitempty"`
 	Role     string   `json:"role,omitempty"`
 	Adapters []string `json:"adapters,omitempty"`
-	// Slots is the number of calls it serves at the same time.
+	// Slots is the number of calls that it serves concurrently.
 	Slots int32 `json:"slots"`
-	// Group and Rank place an engine in a group of ranks.
+	// Group and Rank identify an engine that is a rank of a group.
 	Group string `json:"group,omitempty"`
 	Rank  int32  `json:"rank,omitempty"`
-	// ChecksFencing says that the engine itself refuses old orders.
+	// ChecksFencing is set if the engine itself rejects orders with an old fencing token.
 	ChecksFencing bool `json:"checks_fencing,omitempty"`
 }
 
-// endpointsFile is the form of the endpoints file.
+// endpointsFile is the schema of the endpoints file.
 type endpointsFile struct {
 	Endpoints []Endpoint `json:"endpoints"`
 }
@@ -63,15 +63,15 @@
 	return DecodeEndpoints(data)
 }
 
-// DecodeEndpoints reads the YAML of an endpoints file. It refuses unknown and
-// doubled fields, and reports every fault it finds.
+// DecodeEndpoints decodes and validates the YAML of an endpoints file. It rejects unknown and
+// duplicate fields, and reports all errors that it finds, not only the first.
 func DecodeEndpoints(data []byte) ([]Endpoint, error) {
 	var file endpointsFile
 	if err := yaml.UnmarshalStrict(data, &file); err != nil {
 		return nil, fault.New(fault.Invalid, "the endpoints file is not valid", "correct the field or line that is named").Because(err)
 	}
 	if len(file.Endpoints) == 0 {
-		return nil, fault.New(fault.Invalid, "the endpoints file names no endpoint", "list at least one under endpoints:")
+		return nil, fault.New(fault.Invalid, "the endpoints file lists no endpoint", "list at least one under endpoints:")
 	}
 	var faults []error
 	seen := make(map[string]bool)
@@ -84,7 +84,7 @@
 	return file.Endpoints, errors.Join(faults...)
 }
 
-// problem is one thing wrong with an endpoint and what to do about it.
+// problem is one validation error of an endpoint and its remedy.
 type problem struct{ text, remedy string }
 
 func (e Endpoint) problems(duplicate bool) []problem {
@@ -95,23 +95,23 @@
 		}
 	}
 	require(namePattern.MatchString(e.ID), "id is missing or malformed", "use lower-case letters, digits, dots and hyphens")
-	require(!duplicate, "id is used twice", "give each endpoint an id of its own")
+	require(!duplicate, "id is used twice", "give each endpoint a unique id")
 	require(namePattern.MatchString(e.Pool), "pool is missing or malformed", "use lower-case letters, digits, dots and hyphens")
-	require(e.Kind == KindEngine || e.Kind == KindService, "kind is unknown", "write engine or service")
-	require(setting.IsURL(e.URL) && !strings.ContainsAny(e.URL, "?#"), "url is malformed", "write an http:// or https:// URL without a query")
-	require(e.Slots > 0 && e.Slots <= maxSlots, "slots is out of range", "write how many calls it serves at the same time, at least 1")
+	require(e.Kind == KindEngine || e.Kind == KindService, "kind is unknown", "set it to engine or service")
+	require(setting.IsURL(e.URL) && !strings.ContainsAny(e.URL, "?#"), "url is malformed", "set it to an http:// or https:// URL without a query or fragment")
+	require(e.Slots > 0 && e.Slots <= maxSlots, "slots is out of range", "set it to the number of calls that the endpoint serves concurrently, at least 1")
 	require(e.Rank >= 0, "rank is negative", "number the ranks of a group from 0")
-	require(e.Group != "" || e.Rank == 0, "rank has no group", "name the group")
+	require(e.Group != "" || e.Rank == 0, "rank is set without a group", "set group")
 	if e.Kind == KindEngine {
-		require(e.Model != "", "model is missing", "name the model that the engine serves")
+		require(e.Model != "", "model is missing", "set it to the model that the engine serves")
 	}
 	if e.Kind == KindService {
-		require(e.Model == "" && e.Group == "" && len(e.Adapters) == 0, "a service has no model, adapters or group", "remove them, or write kind: engine")
+		require(e.Model == "" && e.Group == "" && len(e.Adapters) == 0, "a service must not have a model, adapters or a group", "remove them, or set kind to engine")
 	}
 	return found
 }
 
-// announced returns the endpoint as the agent announces it.
+// toProto returns the endpoint in the form in which the agent announces it.
 func (e Endpoint) toProto(s *Settings) *fleetv1.Endpoint {
 	kind := fleetv1.EndpointKind_ENDPOINT_KIND_SERVICE
 	if e.Kind == KindEngine {
--- a/agent/endpoints_test.go
+++ b/agent/endpoints_test.go
@@ -18,8 +18,8 @@
 - {id: roster-1, pool: roster-api, kind: service, url: "http://127.0.0.1:8002", slots: 4}
 `
 
-// A file with several faults names each with its remedy; unknown and doubled
-// fields are refused.
+// Guards against a validation that stops at the first error of the endpoints file, or that accepts
+// unknown or duplicate fields.
 func TestEndpointsFileReportsEveryFault(t *testing.T) {
 	is := is.New(t)
 	endpoints, err := DecodeEndpoints([]byte(goodEndpoints))
@@ -28,7 +28,7 @@
 	bad := strings.NewReplacer("engine-1", "roster-1", "kind: service", "kind: servant", "slots: 16", "slots: 0", "draft", `""`).Replace(goodEndpoints)
 	_, err = DecodeEndpoints([]byte(bad))
 	for _, part := range []string{"used twice", "kind is unknown", "slots is out of range", "model is missing"} {
-		is.True(strings.Contains(err.Error(), part)) // every fault at once
+		is.True(strings.Contains(err.Error(), part)) // all errors at once
 	}
 	for _, broken := range []string{"endpoints: []", "endpoint: []", "endpoints: [{id: a, id: b}]", "endpoints: [{colour: red}]", "\t"} {
 		_, err = DecodeEndpoints([]byte(broken))
@@ -36,7 +36,7 @@
 	}
 }
 
-// A start with wrong settings names every fault, not the first only.
+// Guards against a validation that stops at the first invalid setting.
 func TestSettingsReportEveryFault(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "endpoints.yaml")
@@ -50,7 +50,7 @@
 	}
 	_, err := parse("-listen=0.0.0.0:7400", "-insecure", "-freshness=0s", "-endpoints="+path+".absent")
 	for _, part := range []string{"-name", "-zone", "-control", "-advertise", "-freshness", "endpoints file"} {
-		is.True(strings.Contains(err.Error(), part)) // every fault at once
+		is.True(strings.Contains(err.Error(), part)) // all errors at once
 	}
 	good, err := parse("-name=a", "-zone=z", "-control=127.0.0.1:1,127.0.0.1:2", "-answer-memory=1MiB", "-endpoints="+path)
 	is.NoErr(err)
@@ -60,8 +60,8 @@
 	is.Equal(len(good.Endpoints), 2)
 }
 
-// Whatever the file holds, decoding neither panics nor accepts an endpoint that
-// the rest of the agent could not use.
+// FuzzDecodeEndpoints checks that decoding neither panics nor accepts an endpoint that the rest of the
+// agent cannot use, whatever the file contains.
 func FuzzDecodeEndpoints(f *testing.F) {
 	f.Add([]byte(goodEndpoints))
 	f.Add([]byte("endpoints:\n- id: a\n  id: b\n"))
@@ -72,7 +72,7 @@
 		var typed *fault.Error
 		if err != nil {
 			if !errors.As(err, &typed) || typed.Remedy == "" {
-				t.Fatalf("a fault without a remedy: %v", err)
+				t.Fatalf("error without a remedy: %v", err)
 			}
 			return
 		}
@@ -82,7 +82,7 @@
 				t.Fatalf("accepted %+v", e)
 			}
 			if target, err := targetURL(e.URL, "/x"); err != nil || !strings.HasPrefix(target, "http") {
-				t.Fatalf("accepted url %q: %v", e.URL, err)
+				t.Fatalf("accepted URL %q: %v", e.URL, err)
 			}
 			seen[e.ID] = true
 		}
--- a/agent/exchange.go
+++ b/agent/exchange.go
@@ -9,12 +9,12 @@
 	"strings"
 )
 
-// maxExchange bounds the body that is read from an engine's own API, in bytes.
+// maxExchangeBody is the maximum size of a response body read from an engine's API, in bytes.
 const maxExchangeBody = 4 << 20
 
-// exchange sends a body to an endpoint's own API and decodes the JSON answer of
-// status 200 into result, if result is not nil. An error of type notAsked means
-// that the endpoint never saw the request.
+// exchange sends a request to the API of package engineapi at an endpoint. It decodes the JSON body
+// of a response with status 200 into result, unless result is nil. A notSentError means that nothing
+// was sent.
 func (c *endpointClient) exchange(ctx context.Context, method string, e Endpoint, path string, body []byte, result any) (status int, err error) {
 	request, err := http.NewRequestWithContext(ctx, method, strings.TrimSuffix(e.URL, "/")+path, bytes.NewReader(body))
 	if err != nil {
--- a/agent/harness_test.go
+++ b/agent/harness_test.go
@@ -22,11 +22,11 @@
 	"github.com/lilackeel/lilackeel/link"
 )
 
-// patience bounds what a test waits for; it is never what a test measures.
+// waitTimeout is the time limit for conditions that tests wait for. No test measures it.
 const waitTimeout = 20 * time.Second
 
-// replica is a fake control replica: it accepts every announcement and
-// publishes what was announced.
+// fakeReplica is a control replica that accepts every announcement and publishes the announced
+// endpoints as the configuration.
 type fakeReplica struct {
 	controlv1.UnimplementedControlServer
 	addr string
@@ -35,7 +35,7 @@
 	configuration *fleetv1.Configuration
 	changed       chan struct{}
 	announced     []*controlv1.AnnounceRequest
-	// refusal answers everything, if set.
+	// refusal is the response to every request, if set.
 	refusal error
 }
 
@@ -95,7 +95,7 @@
 	return r.announced[len(r.announced)-1]
 }
 
-// The methods of feed.Source.
+// Revision and the methods below implement feed.Source.
 func (r *fakeReplica) Revision() uint64 { return r.Configuration().GetRevision() }
 
 func (r *fakeReplica) Configuration() *fleetv1.Configuration {
@@ -111,7 +111,7 @@
 }
 func (r *fakeReplica) Freshness() (uint64, time.Time, bool) { return r.Revision(), time.Now(), true }
 
-// site is one agent with its endpoints and a fake control replica.
+// fixture is an agent with its endpoints and a fake control replica.
 type fixture struct {
 	t       testing.TB
 	replica *fakeReplica
@@ -122,8 +122,8 @@
 	servers []*httptest.Server
 }
 
-// newSite starts an agent before the given handlers; endpoint ids are their
-// keys, and those that begin with "engine" are engines.
+// newFixture starts an agent with one endpoint per handler. The keys are the endpoint ids; those that
+// begin with "engine" are of kind engine. It waits until the agent is ready.
 func newFixture(t testing.TB, handlers map[string]http.Handler, replicas ...string) *fixture {
 	s := &fixture{t: t, replica: newFakeReplica(t), stopped: make(chan error, 1)}
 	settings := &Settings{
@@ -165,12 +165,12 @@
 	s.t.Helper()
 	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			s.t.Fatalf("waited in vain until %s", condition)
+			s.t.Fatalf("timed out waiting until %s", condition)
 		}
 	}
 }
 
-// reply is what a dispatch came to.
+// reply holds the responses to a dispatch.
 type reply struct {
 	refused *agentv1.Refused
 	head    *agentv1.Head
@@ -184,8 +184,9 @@
 	return s.dispatchContext(s.t.Context(), d, nil)
 }
 
-// dispatchIn reads a dispatch's stream to its end and checks that its parts are
-// stamped and join without gaps. Each part is shown to seen, if not nil.
+// dispatchContext sends a dispatch and reads its responses to the end. It checks that each response
+// carries the ids of the dispatch and that the chunks have no gaps, and calls seen, if not nil, with
+// each response.
 func (s *fixture) dispatchContext(ctx context.Context, d *agentv1.DispatchRequest, seen func(*agentv1.DispatchResponse)) reply {
 	if d.GetIncarnation() == 0 {
 		d.Incarnation = s.daemon.lockedGate.incarnation()
@@ -205,7 +206,7 @@
 			return got
 		}
 		if r.GetRequestId() != d.GetRequestId() || r.GetAttempt() != d.GetAttempt() || r.GetIncarnation() != s.daemon.lockedGate.incarnation() {
-			s.t.Errorf("a response without the stamp of its dispatch: %v", r)
+			s.t.Errorf("response with the ids of another dispatch: %v", r)
 		}
 		got.add(s.t, d, r)
 		if seen != nil {
@@ -232,7 +233,7 @@
 	}
 }
 
-// refusedKind returns the kind of a refusal, or nothing.
+// refusedKind returns the kind of the refusal, or an empty string if the dispatch was not refused.
 func (g *reply) refusedKind() fault.Kind { return fault.Kind(g.refused.GetKind()) }
 
 func completion(stream bool, tokens string) *agentv1.DispatchRequest {
@@ -245,7 +246,7 @@
 	}
 }
 
-// listenAt listens at an address that has just become free.
+// listenAt listens at an address that has just been closed, and retries until it is free.
 func listenAt(t testing.TB, addr string) net.Listener {
 	t.Helper()
 	var listener net.Listener
--- a/agent/header.go
+++ b/agent/header.go
@@ -7,8 +7,8 @@
 	controlv1 "github.com/lilackeel/lilackeel/api/control/v1"
 )
 
-// requestHeader returns the headers for the endpoint. The length follows from
-// the body.
+// requestHeader returns the headers of the request to the endpoint, without hop-by-hop headers.
+// Content-Length is set from the body by the transport.
 func requestHeader(headers []*controlv1.Header) http.Header {
 	header := make(http.Header, len(headers))
 	for _, h := range headers {
@@ -21,7 +21,8 @@
 	return header
 }
 
-// answerHeaders returns the endpoint's headers for the caller.
+// responseHeaders returns the headers of the endpoint's response for the caller, without
+// hop-by-hop headers.
 func responseHeaders(header http.Header) []*controlv1.Header {
 	hopbyhop.Remove(header)
 	list := make([]*controlv1.Header, 0, len(header))
--- a/agent/health.go
+++ b/agent/health.go
@@ -8,16 +8,16 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// transitionThreshold is how many observations in a row must contradict the
-// state of an endpoint before the state changes. Each transition costs the
-// control replicas an entry of their log.
+// transitionThreshold is the number of consecutive observations that must contradict the state of
+// an endpoint before the state changes. It limits flapping: each transition costs the control
+// replicas an entry in their log.
 const transitionThreshold = 5
 
-// health knows which endpoints take no connections. It learns from calls and
-// from the pollers.
+// health tracks which endpoints are unreachable, that is, do not accept connections. The
+// observations come from calls and from the pollers.
 type health struct {
 	logger *slog.Logger
-	// onTransition is called after a transition, without the lock.
+	// onTransition is called after a transition, without the lock held.
 	onTransition func()
 
 	mu          sync.Mutex
@@ -25,10 +25,10 @@
 	transitions uint64
 }
 
-// reachability is what is believed of one endpoint.
+// reachability is the state of one endpoint.
 type reachability struct {
 	down bool
-	// contradicted counts the observations in a row that say otherwise.
+	// contradictions is the number of consecutive observations that contradict down.
 	contradictions int
 }
 
@@ -36,7 +36,7 @@
 	return &health{logger: logger, onTransition: func() {}, byEndpoint: make(map[string]*reachability)}
 }
 
-// note records whether an endpoint took a connection.
+// record records whether an endpoint accepted a connection.
 func (h *health) record(endpoint string, reachable bool) {
 	if !reachable {
 		metrics.GetOrCreateCounter(`lilackeel_agent_endpoint_unreachable_total{endpoint="` + endpoint + `"}`).Inc()
@@ -48,8 +48,8 @@
 	h.onTransition()
 }
 
-// noteCall takes in how a call to an endpoint began. A call that was ended
-// before it had a connection says nothing.
+// recordCall records whether a call reached its endpoint. A call that was canceled before it had a
+// connection is not an observation.
 func (h *health) recordCall(endpoint string, err error) {
 	var notSent notSentError
 	switch {
@@ -60,7 +60,7 @@
 	}
 }
 
-// observe takes one observation in and reports whether the state has changed.
+// observe counts one observation and reports whether the state has changed.
 func (h *health) observe(endpoint string, reachable bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -83,7 +83,7 @@
 	return true
 }
 
-// down reports whether the endpoint is believed to take no connections.
+// down reports whether the endpoint is considered unreachable.
 func (h *health) down(endpoint string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -91,7 +91,7 @@
 	return r != nil && r.down
 }
 
-// suspected reports whether the endpoint is down or the last observation says so.
+// suspected reports whether the endpoint is down or the last observation found it unreachable.
 func (h *health) suspected(endpoint string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -99,7 +99,7 @@
 	return r != nil && (r.down || r.contradictions > 0)
 }
 
-// changed returns a number that grows with every transition.
+// transitionCount returns the number of transitions of all endpoints.
 func (h *health) transitionCount() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/agent/leaving_test.go
+++ b/agent/leaving_test.go
@@ -12,8 +12,8 @@
 	"github.com/lilackeel/lilackeel/standin"
 )
 
-// Guards against new calls to an endpoint behind an agent whose answers say that it leaves, and
-// against an endpoint that is kept out once another process answers.
+// Guards against new calls to an endpoint whose responses announce that it is about to stop, and
+// against an engine that stays excluded after its next process has answered.
 func TestLeavingEndpointGetsNoNewCalls(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -22,7 +22,7 @@
 	s := newFixture(t, map[string]http.Handler{"engine": engine, "service": service})
 	engine.SetFaults(standin.Faults{Leaving: true})
 	service.SetFaults(standin.Faults{Leaving: true})
-	s.waitUntil("the engine's leaving is known by its polls", func() bool {
+	s.waitUntil("a poll reveals that the engine is leaving", func() bool {
 		got := s.dispatch(completion(false, "1"))
 		return got.refusedKind() == fault.Leaving
 	})
@@ -30,14 +30,14 @@
 	got := s.dispatch(serviceCall(1))
 	is.Equal(got.refusedKind(), fault.Leaving)
 	engine.SetFaults(standin.Faults{})
-	s.waitUntil("another process of the engine answers its polls", func() bool { return s.dispatch(completion(false, "1")).end != nil })
+	s.waitUntil("the next process of the engine answers a poll", func() bool { return s.dispatch(completion(false, "1")).end != nil })
 	service.SetFaults(standin.Faults{})
 	time.Sleep(100 * time.Millisecond)
 	got = s.dispatch(serviceCall(2))
-	is.Equal(got.refusedKind(), fault.Leaving) // a service is not polled while it listens
+	is.Equal(got.refusedKind(), fault.Leaving) // a service is only probed for connections, so it stays excluded while it listens
 }
 
-// Guards against a service that is kept out for good since its former process left.
+// Guards against a service that stays excluded after its leaving process has been replaced.
 func TestRestartedServiceIsNotLeaving(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -56,5 +56,5 @@
 	next.Listener = listenAt(t, addr)
 	next.Start()
 	t.Cleanup(next.Close)
-	s.waitUntil("the next process is called", func() bool { got := s.dispatch(serviceCall(2)); return got.end != nil })
+	s.waitUntil("the next process gets calls", func() bool { got := s.dispatch(serviceCall(2)); return got.end != nil })
 }
--- a/agent/load_test.go
+++ b/agent/load_test.go
@@ -12,8 +12,9 @@
 	"github.com/lilackeel/lilackeel/standin"
 )
 
-// What an engine says of its prompts, steps and adapters reaches the readers of
-// reports, a step that does not end included; what it does not say stays unset.
+// Guards against reports that lose the optional figures of an engine about its prompts, steps and
+// adapters, or that set figures which the engine omits. A step that does not end must be reported with
+// its duration so far.
 func TestReportsCarryOptionalEngineFigures(t *testing.T) {
 	is := is.New(t)
 	cfg := standin.EngineConfig{Slots: 2, TokenTime: time.Millisecond, PrefillTime: time.Millisecond}
@@ -42,7 +43,7 @@
 	is.True(full.GetOwnStepUs() >= 1000)
 	is.Equal(full.GetPrefillRate(), 16000.0) // a block of 16 tokens in a millisecond
 	is.True(full.PrefillTokens != nil)
-	is.True(full.Adapters != nil && len(full.GetAdapters().GetNames()) == 0) // known to be none
+	is.True(full.Adapters != nil && len(full.GetAdapters().GetNames()) == 0) // known to be empty
 
 	countsOnly := next("engine-plain", func(l *agentv1.LoadReport) bool { return l.GetRunning() > 0 })
 	is.True(countsOnly.PrefillTokens == nil)
@@ -53,7 +54,7 @@
 	next("engine", func(l *agentv1.LoadReport) bool { return l.GetStepUs() > 100_000 && l.GetOwnStepUs() > 100_000 })
 }
 
-// A reader gets the figures of each look once, however often it reads.
+// Guards against load figures that are reported to the same reader twice, or not to every reader.
 func TestLoadSamplesAreReportedOncePerReader(t *testing.T) {
 	is := is.New(t)
 	b, at := newReportBuffer(), time.Now()
@@ -67,12 +68,12 @@
 	sample(1, at)
 	is.Equal(count(), 1)
 	is.Equal(count(), 0)
-	sample(1, at.Add(time.Millisecond)) // the same figures, looked at again
+	sample(1, at.Add(time.Millisecond)) // the same figures, polled again
 	is.Equal(count(), 0)
 	sample(1, at.Add(time.Second)) // measured again
 	is.Equal(count(), 1)
 	sample(2, at.Add(time.Second))
 	is.Equal(count(), 1)
 	other, _ := b.report(position{}, at)
-	is.Equal(len(other.GetLoads()), 1) // another reader begins with all
+	is.Equal(len(other.GetLoads()), 1) // a new reader gets all loads
 }
--- a/agent/loaded.go
+++ b/agent/loaded.go
@@ -11,19 +11,19 @@
 	"github.com/lilackeel/lilackeel/agent/engineapi"
 )
 
-// loaded knows what each engine of the host has loaded, as read back from the
-// engines themselves. It takes the place of what the endpoints file says, which
-// is out of date once an order has been carried out.
+// loadedState holds what each engine of the host has loaded, as read back from the engines
+// themselves. It overrides the endpoints file, which is out of date once an order has been carried
+// out.
 type loadedState struct {
 	mu       sync.Mutex
 	byEngine map[string]engineapi.State
-	// changes counts how often any engine's state was found changed.
+	// changes is the number of times that the state of any engine was found to have changed.
 	changes uint64
 }
 
 func newLoadedState() *loadedState { return &loadedState{byEngine: make(map[string]engineapi.State)} }
 
-// note takes in what an engine was read back to have.
+// record stores the state that was read back from an engine.
 func (l *loadedState) record(engine string, state engineapi.State) {
 	slices.Sort(state.Adapters)
 	l.mu.Lock()
@@ -35,14 +35,15 @@
 	}
 }
 
-// changed returns a number that grows with every change.
+// changeCount returns a counter that is incremented by every change of state.
 func (l *loadedState) changeCount() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changes
 }
 
-// apply overwrites what the endpoints file says of an engine.
+// apply overwrites the fields of e that come from the endpoints file with the state read back, if
+// there is one.
 func (l *loadedState) apply(e *fleetv1.Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,8 +59,8 @@
 	return a.Model == b.Model && a.Version == b.Version && a.Role == b.Role && slices.Equal(a.Adapters, b.Adapters)
 }
 
-// readLoaded reads back what an engine has loaded. Status is the engine's
-// answer; an engine without orders answers 404.
+// readLoaded reads back what an engine has loaded and records it in l. Status is the HTTP status of
+// the engine's response: 404 from an engine that does not support orders.
 func (c *endpointClient) readLoaded(ctx context.Context, e Endpoint, l *loadedState) (state engineapi.State, status int, err error) {
 	status, err = c.exchange(ctx, http.MethodGet, e, engineapi.PathOrders, nil, &state)
 	if err == nil && status == http.StatusOK {
--- a/agent/lockedgate.go
+++ b/agent/lockedgate.go
@@ -14,12 +14,14 @@
 	"github.com/lilackeel/lilackeel/ratelimit"
 )
 
-// freshnessSource is what a lockedGate asks of the feed.
+// freshnessSource is the part of the feed client that a lockedGate needs. Freshness returns the last
+// revision that a quorum has confirmed, and when.
 type freshnessSource interface {
 	Freshness() (revision uint64, at time.Time, ok bool)
 }
 
-// lockedGate guards the gate: one decision at a time, at the time of the clock.
+// lockedGate makes the gate safe for concurrent use and passes it the time of the clock. The mutex is
+// held for one decision at a time.
 type lockedGate struct {
 	clock     *clock
 	agent     string
@@ -27,7 +29,8 @@
 
 	mu   sync.Mutex
 	gate *gate.Gate
-	// ends holds a channel for each running claim that others wait for.
+	// claimDone holds, by claim id, a channel for each running claim that other dispatches wait for. It
+	// is closed when the claim ends.
 	claimDone map[string]chan struct{}
 }
 
@@ -41,13 +44,13 @@
 	}
 }
 
-// incarnation never changes, so it needs no lock.
+// incarnation returns the incarnation of the agent. It never changes, so the mutex is not needed.
 func (g *lockedGate) incarnation() uint64 { return g.gate.Incarnation() }
 
 func (g *lockedGate) ticket() int64 { return int64(g.clock.now()) }
 
-// configure puts a configuration in force. Endpoints that the configuration
-// gives to another agent are not served.
+// configure puts a configuration into force. Endpoints that the configuration assigns to another agent
+// are not served.
 func (g *lockedGate) configure(view *feed.View) {
 	states := make(map[string]fleetv1.EndpointState)
 	for id, e := range view.Endpoints.All() {
@@ -70,10 +73,11 @@
 	return g.gate.Admit(g.clock.now(), d)
 }
 
-// limits are the rate limits that endpoints name. They have a lock of their own.
+// rateLimits returns the rate limits that endpoints advertise. The arbiter has a mutex of its own.
 func (g *lockedGate) rateLimits() *ratelimit.Arbiter { return g.gate.RateLimits() }
 
-// named takes in what an endpoint has named in its answer to a request that was sent at a time.
+// learnRateLimit records the rate limit in the response to a request that was sent at the given time,
+// if there is a valid one.
 func (g *lockedGate) learnRateLimit(endpoint string, sent time.Duration, text string) {
 	rate, ok := ratelimit.Parse(text)
 	if !ok {
@@ -85,7 +89,7 @@
 	g.gate.LearnRateLimit(now, endpoint, ratelimit.Limit{Rate: rate, SentAt: sent, ReceivedAt: now})
 }
 
-// pushedBack notes that an endpoint wants nothing for a pause.
+// recordPushback records that an endpoint has asked for a pause.
 func (g *lockedGate) recordPushback(endpoint string, pause time.Duration) {
 	countPushback(endpoint)
 	g.mu.Lock()
@@ -93,42 +97,43 @@
 	g.gate.RecordPushback(g.clock.now(), endpoint, pause)
 }
 
-// taken notes that an endpoint has not rejected a request that was sent at a time.
+// recordAccepted records that an endpoint has accepted a request that was sent at the given time.
 func (g *lockedGate) recordAccepted(endpoint string, sent time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.gate.RecordAccepted(endpoint, sent)
 }
 
-// saidLeaving takes in whether an answer says that its endpoint is about to stop.
+// recordLeaving records whether the response to a request that was sent at the given time announces
+// that the endpoint is about to stop.
 func (g *lockedGate) recordLeaving(endpoint string, sent time.Duration, leaving bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.gate.RecordLeaving(g.clock.now(), endpoint, sent, leaving)
 }
 
-// goes reports whether an endpoint's answers say that it is about to stop.
+// announcedLeaving reports whether an endpoint's responses announce that it is about to stop.
 func (g *lockedGate) announcedLeaving(endpoint string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.gate.AnnouncedLeaving(endpoint)
 }
 
-// checkSend lets one request be sent to an endpoint, unless that is in a pause.
+// checkSend admits one request to an endpoint unless the endpoint is in a pause.
 func (g *lockedGate) checkSend(endpoint string) *fault.Error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.gate.CheckSend(g.clock.now(), endpoint)
 }
 
-// ended notes that an endpoint's process has ended.
+// processEnded records that an endpoint's process has ended.
 func (g *lockedGate) processEnded(endpoint string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.gate.ProcessEnded(g.clock.now(), endpoint)
 }
 
-// admitPoll reports whether an endpoint may be polled now, and whether it names a rate limit.
+// admitPoll reports whether an endpoint may be polled now, and whether it advertises a rate limit.
 func (g *lockedGate) admitPoll(endpoint string) (ok, limited bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -145,7 +150,7 @@
 	}
 }
 
-// awaitEnd waits until a running claim has ended, or for ctx.
+// awaitClaim waits until the claim of a dispatch is no longer running, or until ctx ends.
 func (g *lockedGate) awaitClaim(ctx context.Context, d *agentv1.DispatchRequest) error {
 	end := g.doneChannel(d)
 	if end == nil {
@@ -159,7 +164,8 @@
 	}
 }
 
-// endOf returns a channel that closes when the claim ends; nil if it has.
+// doneChannel returns a channel that is closed when the claim of a dispatch ends; nil if it is not
+// running.
 func (g *lockedGate) doneChannel(d *agentv1.DispatchRequest) <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/agent/order.go
+++ b/agent/order.go
@@ -16,7 +16,7 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// orderKinds names the kinds of order in the engines' API.
+// orderKinds maps the kinds of order to their names in package engineapi.
 var orderKinds = map[agentv1.OrderKind]string{
 	agentv1.OrderKind_ORDER_KIND_LOAD_MODEL:     engineapi.OrderLoadModel,
 	agentv1.OrderKind_ORDER_KIND_LOAD_ADAPTER:   engineapi.OrderLoadAdapter,
@@ -24,8 +24,8 @@
 	agentv1.OrderKind_ORDER_KIND_CHANGE_ROLE:    engineapi.OrderChangeRole,
 }
 
-// orderer carries out orders, one at a time for each endpoint, so that no order
-// with a lower fencing token overtakes one with a higher.
+// orderer carries out orders, one at a time per endpoint, so that no order with a lower fencing token
+// is carried out after one with a higher token.
 type orderer struct {
 	settings   *Settings
 	lockedGate *lockedGate
@@ -35,8 +35,7 @@
 	targets    map[string]*orderTarget
 }
 
-// orderTarget is an endpoint that orders go to. Its lock is held while an order
-// is carried out.
+// orderTarget is an endpoint that receives orders. Its mutex is held while an order is carried out.
 type orderTarget struct {
 	sync.Mutex
 	endpoint Endpoint
@@ -50,8 +49,8 @@
 	return &orderer{settings: s, lockedGate: g, client: c, loaded: l, logger: logger, targets: targets}
 }
 
-// order carries out an order and reads back what the endpoint has. It goes on
-// when its sender leaves, since an order cut short may still take effect.
+// order carries out an order and reads back the state of the endpoint. It goes on when its sender
+// disconnects, since a canceled order may still take effect.
 func (o *orderer) order(ctx context.Context, request *agentv1.OrderRequest) (*agentv1.OrderResponse, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), o.settings.OrderLimit)
 	defer cancel()
@@ -77,7 +76,7 @@
 		return nil, err
 	}
 	if target.endpoint.Kind != KindEngine {
-		return nil, fault.Newf(fault.Invalid, "give orders to engines only", "endpoint %q is a plain service", target.endpoint.ID)
+		return nil, fault.Newf(fault.Invalid, "send orders to engines only", "endpoint %q is not an engine", target.endpoint.ID)
 	}
 	if request.GetKind() != agentv1.OrderKind_ORDER_KIND_READ_BACK {
 		if err := o.send(ctx, target.endpoint, request); err != nil {
@@ -101,11 +100,11 @@
 	return o.post(ctx, e, order)
 }
 
-// post gives an order to an engine.
+// post sends an order to an engine.
 func (o *orderer) post(ctx context.Context, e Endpoint, order engineapi.Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
-		return fault.New(fault.Internal, "the order cannot be encoded", "report the defect").Because(err)
+		return fault.New(fault.Internal, "the order cannot be encoded", "report this as a bug").Because(err)
 	}
 	status, err := o.client.exchange(ctx, http.MethodPost, e, engineapi.PathOrders, body, nil)
 	var notSent notSentError
@@ -116,8 +115,8 @@
 		return fault.Newf(fault.Unknown, "read the endpoint back before repeating the order",
 			"endpoint %q may have carried out the order", e.ID).Because(err)
 	case status == http.StatusConflict:
-		return fault.Newf(fault.Fenced, "only the present control leader may give orders; read its state again",
-			"endpoint %q has seen a higher fencing token than %d", e.ID, order.Fence)
+		return fault.Newf(fault.Fenced, "only the current control leader may send orders; read the control state again",
+			"endpoint %q has seen a fencing token higher than %d", e.ID, order.Fence)
 	case status >= http.StatusInternalServerError:
 		return fault.Newf(fault.Unknown, "read the endpoint back before repeating the order",
 			"endpoint %q answered the order with status %d", e.ID, status)
@@ -130,8 +129,8 @@
 func (o *orderer) readBack(ctx context.Context, e Endpoint) (*agentv1.OrderResponse, error) {
 	_, status, err := o.client.readLoaded(ctx, e, o.loaded)
 	if err != nil || status != http.StatusOK {
-		return nil, fault.Newf(fault.Unknown, "read the endpoint back again",
-			"endpoint %q cannot be read back (status %d)", e.ID, status).Because(err)
+		return nil, fault.Newf(fault.Unknown, "read back the endpoint again",
+			"the state of endpoint %q cannot be read back (status %d)", e.ID, status).Because(err)
 	}
 	observed := e.toProto(o.settings)
 	observed.Incarnation = o.lockedGate.incarnation()
--- a/agent/poll.go
+++ b/agent/poll.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// pollTimeout bounds one poll of an endpoint.
+	// pollTimeout is the time limit for one poll of an endpoint.
 	pollTimeout = time.Second
-	// readBackEvery is the number of polls after which an engine is read back.
+	// pollsPerReadBack is the number of polls between reads of what an engine has loaded.
 	pollsPerReadBack = 10
 )
 
@@ -30,9 +30,9 @@
 	logger       *slog.Logger
 	interval     time.Duration
 
-	// run names the run of the engine that events come from. lastSeq is the
-	// number of the last event read of it. seqOffset is added to such numbers, so
-	// that they keep growing when the engine starts again.
+	// run is the run of the engine that the events are from, lastSeq the sequence number of the last
+	// event read from it. seqOffset is added to the engine's sequence numbers, so that the reported
+	// ones keep increasing across restarts of the engine.
 	run                string
 	lastSeq, seqOffset uint64
 }
@@ -48,8 +48,8 @@
 	}
 }
 
-// readLoaded reads back what an engine has loaded. It may have started again
-// with something else.
+// readLoaded reads back what an engine has loaded, which differs from what is known if the engine has
+// restarted with other settings.
 func (p *poller) readLoaded(ctx context.Context) {
 	if p.endpoint.Kind != KindEngine {
 		return
@@ -57,7 +57,7 @@
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	if _, _, err := p.client.readLoaded(ctx, p.endpoint, p.loaded); err != nil {
-		p.logger.DebugContext(ctx, "cannot read an engine back", slog.String("endpoint", p.endpoint.ID), slog.Any("error", err))
+		p.logger.DebugContext(ctx, "cannot read back what an engine has loaded", slog.String("endpoint", p.endpoint.ID), slog.Any("error", err))
 	}
 }
 
@@ -92,8 +92,8 @@
 	}
 }
 
-// probe connects to a plain service whose last call found no connection, or which leaves: it gets
-// no calls that would show its end.
+// probe checks by a connection whether a service is reachable, if its last call could not connect or if
+// it is leaving. A leaving service gets no calls that would reveal that its process has ended.
 func (p *poller) probe(ctx context.Context) {
 	leaving := p.lockedGate.announcedLeaving(p.endpoint.ID)
 	if !leaving && !p.health.suspected(p.endpoint.ID) {
@@ -106,8 +106,8 @@
 	}
 }
 
-// ownLoad reports the calls that the agent itself has in flight, for endpoints
-// that do not report their load.
+// reportInFlight reports the number of calls that the agent has in flight as the load of an endpoint
+// that does not report its own, or that may not be polled now.
 func (p *poller) reportInFlight() {
 	p.reportBuffer.setLoad(&agentv1.LoadReport{
 		Endpoint: p.endpoint.ID,
@@ -144,9 +144,9 @@
 	p.reportBuffer.addEvents(p.toEvents(answer))
 }
 
-// renumber renumbers the events of an answer. A new run of the engine begins with
-// an event that says that its cache is empty; what the answer held of the new
-// run is read again from its beginning.
+// toEvents converts the events of a response and renumbers them. For a new run of the engine it returns
+// a single event that says that the cache was cleared; the events of that run are read by the next
+// poll, from the first on.
 func (p *poller) toEvents(answer engineapi.CacheEvents) []*agentv1.CacheEvent {
 	if answer.Run != p.run {
 		restarted := p.run != ""
--- a/agent/pushback_test.go
+++ b/agent/pushback_test.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	// pause is what the endpoints of these tests ask for, pauseGrace the part of it in which
-	// what was under way may still come, allowedInPause what they may get in the rest.
+	// retryAfterPause is the pause that the endpoints ask for. Requests that were already under way may
+	// arrive during the first pauseGrace of it; in the rest an endpoint may get at most
+	// maxRequestsInPause.
 	retryAfterPause    = 3 * time.Second
 	pauseGrace         = 500 * time.Millisecond
 	maxRequestsInPause = 2
 )
 
-// every runs something each interval until a time has passed.
+// repeatFor calls run once per interval until the total time has passed.
 func repeatFor(interval, total time.Duration, run func(number int)) {
 	for began, number := time.Now(), 0; time.Since(began) < total; number++ {
 		run(number)
@@ -33,8 +34,8 @@
 	return &agentv1.DispatchRequest{RequestId: fmt.Sprint("s", number), Attempt: 1, Endpoint: "service", Method: http.MethodGet, Path: "/x"}
 }
 
-// Guards against an agent that goes on sending to an endpoint which has rejected a request and
-// asked for a pause: calls, polls, read-backs and orders alike.
+// Guards against an agent that continues to send calls, polls, read-backs or orders to an endpoint that
+// has rejected a request and asked for a pause.
 func TestRetryAfterPauseIsKept(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(standin.EngineConfig{Slots: 64})
@@ -52,7 +53,7 @@
 			OrderId: fmt.Sprint("o", number), Endpoint: "engine", Kind: agentv1.OrderKind_ORDER_KIND_LOAD_MODEL, Model: "draft", Fence: 5,
 		})
 	})
-	// A time within the pause that each of them has asked for.
+	// Both endpoints have asked for a pause that covers this time.
 	known, rest := began.Add(pauseGrace), retryAfterPause-pauseGrace
 	for name, got := range map[string]int{"engine": engine.MostArrivals(known, rest), "service": service.MostArrivals(known, rest)} {
 		t.Logf("the %s got %d", name, got)
@@ -60,8 +61,8 @@
 	}
 }
 
-// Guards against dispatches that are held, or said to have failed, while their endpoint wants
-// nothing, and against an endpoint that stays left out after its pause.
+// Guards against dispatches that are delayed or reported as failed while their endpoint is in a pause,
+// and against an endpoint that stays excluded after its pause.
 func TestDispatchDuringPauseIsRefusedWithRemainingTime(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/agent/ranks.go
+++ b/agent/ranks.go
@@ -12,11 +12,11 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// pollsPerCount is how many polls of an engine's load there are for one reading
-// of what its experts have handled, which is larger.
+// pollsPerExpertRead is the ratio of the interval between reads of the expert counts to the poll
+// interval. The expert counts are larger than the load figures and so are read less often.
 const pollsPerExpertRead = 5
 
-// newRanks returns the machines of the endpoints that are ranks of a group.
+// newRanks returns the Ranks of the endpoints that are ranks of a group.
 func newRanks(s *Settings, c *controls, o *orderer, logger *slog.Logger) *ranks.Ranks {
 	var members []ranks.Member
 	for _, e := range s.Endpoints {
@@ -34,7 +34,7 @@
 	})
 }
 
-// mapReader reads the records of expert maps from the control leader.
+// mapReader implements ranks.Control by requests to the control leader.
 type mapReader struct{ controls *controls }
 
 // ReadMap implements ranks.Control.
@@ -47,16 +47,16 @@
 	return record, fence, err
 }
 
-// rankEngines gives orders to the engines that are ranks.
+// rankEngines implements ranks.Engines by requests to the engines that are ranks.
 type rankEngines struct {
 	orderer  *orderer
 	controls *controls
 }
 
-// LoadMap implements ranks.Engines. The order goes out with the highest fencing
-// token that the agent knows, if that is higher than the coordinator's: a leader
-// draws further tokens in its term, and an engine may have seen one. An engine
-// that knows a higher one yet makes the agent ask a quorum.
+// LoadMap implements ranks.Engines. The order is sent with the highest fencing token that the agent
+// knows, if that is higher than the coordinator's: a leader issues further tokens during its term, and
+// an engine may have seen one of them. If the engine rejects the order because it has seen a still
+// higher token, LoadMap reads the token from a quorum and sends the order once more.
 func (e rankEngines) LoadMap(ctx context.Context, endpoint string, order engineapi.Order) error {
 	err := e.loadOnce(ctx, endpoint, order)
 	if fault.Is(err, fault.Fenced) {
@@ -82,13 +82,13 @@
 	return e.orderer.post(ctx, target.endpoint, order)
 }
 
-// Experts implements ranks.Engines.
+// ReadExperts implements ranks.Engines.
 func (e rankEngines) ReadExperts(ctx context.Context, endpoint string) (engineapi.ExpertCounts, error) {
 	var experts engineapi.ExpertCounts
 	status, err := e.orderer.client.exchange(ctx, http.MethodGet, e.orderer.targets[endpoint].endpoint, engineapi.PathExperts, nil, &experts)
 	if err == nil && status != http.StatusOK {
-		err = fault.Newf(fault.Unavailable, "use an engine that counts what its experts handle",
-			"endpoint %q answered status %d", endpoint, status)
+		err = fault.Newf(fault.Unavailable, "use an engine that serves its expert counts at /experts",
+			"endpoint %q answered the request for its expert counts with status %d", endpoint, status)
 	}
 	return experts, err
 }
--- a/agent/ratelimit_test.go
+++ b/agent/ratelimit_test.go
@@ -13,8 +13,8 @@
 	"github.com/lilackeel/lilackeel/standin"
 )
 
-// Guards against an endpoint behind an agent that names a limit and gets more: from all
-// entries together, calls and the agent's own polls alike.
+// Guards against an endpoint that advertises a rate limit and gets more requests than that from all
+// entries and the agent's own polls together.
 func TestCombinedRateStaysWithinEndpointLimit(t *testing.T) {
 	t.Parallel()
 	const window = 4 * time.Second
@@ -47,6 +47,6 @@
 	} {
 		t.Logf("the %s got %d in %v, allowed %d", name, c.got, window, c.allowed)
 		is.New(t).True(c.got <= c.allowed)
-		is.New(t).True(c.got >= 1) // the limit is used
+		is.New(t).True(c.got >= 1) // requests within the limit are sent
 	}
 }
--- a/agent/report_test.go
+++ b/agent/report_test.go
@@ -16,8 +16,9 @@
 	"github.com/lilackeel/lilackeel/standin"
 )
 
-// A body as large as entries take passes, and a reader that is far behind gets
-// the events in messages that gRPC lets pass, or a gap.
+// Guards against the message size limit of gRPC failing a body as large as entries accept, or a reader
+// that is far behind: it must get the events in messages below the limit, after a gap for those that
+// were evicted.
 func TestLargeMessagesPass(t *testing.T) {
 	is := is.New(t)
 	service := standin.NewService(0)
@@ -26,7 +27,7 @@
 	d.Body = bytes.Repeat([]byte("x"), 9<<20)
 	is.True(s.dispatch(d).end != nil)
 	is.Equal(len(service.Effects()[0].Body), len(d.Body))
-	is.True(s.dispatch(s.claimedCall("large")).broken.GetMayHaveRun()) // its answer was too large to keep
+	is.True(s.dispatch(s.claimedCall("large")).broken.GetMayHaveRun()) // the answer was too large to be recorded
 
 	const count = 2 * maxBufferWeight / 1000
 	for seq := range uint64(count) {
@@ -35,7 +36,7 @@
 	stream := must(s.client.Reports(t.Context(), &agentv1.ReportsRequest{IntervalMs: 20}))
 	first, err := stream.Recv()
 	is.NoErr(err)
-	is.True(first.GetEvents()[0].GetSeq() > 0) // the oldest have gone
+	is.True(first.GetEvents()[0].GetSeq() > 0) // the oldest were evicted
 	is.True(len(first.GetEvents()) <= maxReportWeight/1000)
 	last := first.GetEvents()
 	for last[len(last)-1].GetSeq() < count-1 {
@@ -44,12 +45,12 @@
 	}
 }
 
-// Orders pass only with the highest token that the quorum knows, also to an
-// engine that does not check; what the engine has then is read back.
+// Guards against orders with an outdated fencing token to an engine that does not check tokens itself,
+// and against an announcement of the state before the order.
 func TestOrdersAreFencedForEnginesThatDoNotCheck(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t, map[string]http.Handler{"engine": standin.NewEngine(standin.EngineConfig{Model: "draft"})})
-	s.waitUntil("the token is known", func() bool { _, known := s.daemon.lockedGate.fence(); return known })
+	s.waitUntil("the fencing token is known", func() bool { _, known := s.daemon.lockedGate.fence(); return known })
 	order := func(fence uint64, version string) (*agentv1.OrderResponse, error) {
 		return s.client.Order(t.Context(), &agentv1.OrderRequest{Endpoint: "engine", Incarnation: s.daemon.lockedGate.incarnation(),
 			Fence: fence, Kind: agentv1.OrderKind_ORDER_KIND_LOAD_MODEL, Model: "draft", Version: version})
@@ -65,13 +66,13 @@
 	read, err := s.client.Order(t.Context(), &agentv1.OrderRequest{Endpoint: "engine", Incarnation: s.daemon.lockedGate.incarnation(), Kind: agentv1.OrderKind_ORDER_KIND_READ_BACK})
 	is.NoErr(err)
 	is.Equal(read.GetObserved().GetVersion(), "2")
-	s.waitUntil("the announcement says what the engine has", func() bool {
+	s.waitUntil("the new version is announced", func() bool {
 		return s.replica.Configuration().GetEndpoints()[0].GetVersion() == "2"
 	})
 }
 
-// An endpoint that takes no connections is announced as leaving, whether a
-// call or a poll found out, and as serving once it takes them again.
+// Guards against an unreachable endpoint that is not announced as leaving, whether found by a call or by
+// a poll, or that is not announced as serving once it accepts connections again.
 func TestUnreachableEndpointIsReported(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t, map[string]http.Handler{"service": standin.NewService(0), "engine": standin.NewEngine(standin.EngineConfig{})})
@@ -93,16 +94,16 @@
 	got := s.dispatch(s.claimedCall("a"))
 	is.Equal(got.refusedKind(), fault.Unavailable)
 	for id, address := range addresses {
-		s.waitUntil(id+" is reported", func() bool { return state(id) == fleetv1.EndpointState_ENDPOINT_STATE_LEAVING })
+		s.waitUntil(id+" is announced as leaving", func() bool { return state(id) == fleetv1.EndpointState_ENDPOINT_STATE_LEAVING })
 		listener := must(net.Listen("tcp", address))
 		t.Cleanup(func() { _ = listener.Close() })
 		go func() { _ = http.Serve(listener, standin.NewService(0)) }()
-		s.waitUntil(id+" is back", func() bool { return state(id) == fleetv1.EndpointState_ENDPOINT_STATE_SERVING })
+		s.waitUntil(id+" is announced as serving", func() bool { return state(id) == fleetv1.EndpointState_ENDPOINT_STATE_SERVING })
 	}
 }
 
-// The announcer follows the leader, and a process whose name another has taken
-// over stops.
+// Guards against an announcer that stays with a follower or an unreachable replica, and against an agent
+// that goes on after another process has taken over its name.
 func TestAnnouncerFollowsTheLeaderAndStopsWhenReplaced(t *testing.T) {
 	is := is.New(t)
 	follower := newFakeReplica(t)
@@ -115,8 +116,8 @@
 	is.True(fault.Is(<-s.stopped, fault.Fenced))
 }
 
-// Reports carry tickets, loads and cache events; an engine that has started
-// again is announced by an event that voids what was known of its cache.
+// Guards against reports without tickets or cache events, and against entries that keep the cached
+// blocks of an engine's previous run: after a restart the first event must clear them.
 func TestReportsCarryCacheEventsAcrossRestarts(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
--- a/agent/reportbuffer.go
+++ b/agent/reportbuffer.go
@@ -9,41 +9,42 @@
 	agentv1 "github.com/lilackeel/lilackeel/api/agent/v1"
 )
 
-// An event's weight is 1 and the number of its blocks.
+// The weight of a cache event is 1 plus the number of its blocks.
 const (
-	// bufferWeight bounds the cache events that are kept for entries.
+	// maxBufferWeight is the maximum weight of the cache events that are kept for entries.
 	maxBufferWeight = 256 << 10
-	// reportWeight bounds the cache events of one report, to well under the
-	// size that gRPC lets a message have.
+	// maxReportWeight is the maximum weight of the cache events of one report. It keeps a report well
+	// below the maximum message size of gRPC.
 	maxReportWeight = 64 << 10
 )
 
-// sampleTolerance is by how much two samples of the same figures may differ in
-// the time that the figures are from.
+// sampleTolerance is the maximum difference between the times of two samples with the same figures for
+// the second to count as a repetition of the first.
 const sampleTolerance = 10 * time.Millisecond
 
-// reportBuffer holds the newest load of each endpoint and the recent cache events.
+// reportBuffer holds the latest load sample of each endpoint and the recent cache events.
 type reportBuffer struct {
 	mu    sync.Mutex
 	loads map[string]loadSample
-	// samples counts the polls that brought new figures.
+	// samples is the number of samples with new figures.
 	samples uint64
-	// events are the newest; first numbers the oldest of them.
+	// events are the most recent cache events, firstEvent is the number of the oldest of them, and
+	// weight is the sum of their weights.
 	events     []*agentv1.CacheEvent
 	firstEvent uint64
 	weight     int
 }
 
-// loadSample is a load report, the time that its figures are from, and the
-// number of the sample.
+// loadSample is a load report with the time at which its figures were measured and the number of the
+// sample.
 type loadSample struct {
 	report *agentv1.LoadReport
 	at     time.Time
 	seq    uint64
 }
 
-// position is how far a reader has read: the number of the next event, and of
-// the last load sample.
+// position is the position of a reader: the number of the next event to read, and the number of the
+// last load sample read.
 type position struct{ event, sample uint64 }
 
 func newReportBuffer() *reportBuffer { return &reportBuffer{loads: make(map[string]loadSample)} }
@@ -59,7 +60,7 @@
 	b.loads[report.GetEndpoint()] = loadSample{report: report, at: at, seq: b.samples}
 }
 
-// dropLoad forgets the load of an endpoint that cannot be asked.
+// dropLoad removes the load of an endpoint that cannot be polled.
 func (b *reportBuffer) dropLoad(endpoint string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -84,9 +85,9 @@
 
 func weightOf(e *agentv1.CacheEvent) int { return 1 + len(e.GetStored()) + len(e.GetRemoved()) }
 
-// report returns the loads and the events that the reader does not have, and the
-// position of the next report. A reader that has fallen behind misses events,
-// which the gap in their numbers shows.
+// report returns the loads and events after a reader's position, and the position after them. A reader
+// that has fallen behind misses the events that were evicted, and detects this by the gap in their
+// sequence numbers.
 func (b *reportBuffer) report(from position, now time.Time) (*agentv1.Report, position) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -108,7 +109,7 @@
 	return report, position{event: event + uint64(len(report.GetEvents())), sample: b.samples}
 }
 
-// aged returns a copy of the report with its age at now.
+// withAge returns a copy of the report with its age at now.
 func (s loadSample) withAge(now time.Time) *agentv1.LoadReport {
 	report := proto.CloneOf(s.report)
 	report.AgeMs = now.Sub(s.at).Milliseconds()
--- a/agent/runs.go
+++ b/agent/runs.go
@@ -10,10 +10,11 @@
 	"syscall"
 )
 
-// runs names the runs of the endpoints' processes, as far as calls show them: a call that
-// breaks off while nothing listens any more ends a run, the next answer begins one.
+// processRuns names the runs of the endpoints' processes, as far as calls reveal them: a run ends
+// when a call breaks off and nothing listens at the address any more, and the next answer begins a
+// new one.
 type processRuns struct {
-	// prefix keeps the names of one incarnation of the agent apart from those of others.
+	// prefix makes the names of this incarnation of the agent differ from those of others.
 	prefix string
 
 	mu         sync.Mutex
@@ -29,7 +30,7 @@
 	return &processRuns{prefix: fmt.Sprintf("%s/%x", g.agent, g.incarnation()), byEndpoint: map[string]*processRun{}}
 }
 
-// answered notes that an endpoint's process has answered.
+// recordAnswer records that an endpoint's process has answered.
 func (r *processRuns) recordAnswer(endpoint string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -39,7 +40,7 @@
 	}
 }
 
-// end notes that an endpoint's process has ended, and returns the name of its run.
+// recordEnd records that an endpoint's process has ended, and returns the name of the run.
 func (r *processRuns) recordEnd(endpoint string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -52,8 +53,8 @@
 	return fmt.Sprintf("%s/%s/%d", r.prefix, endpoint, run.number)
 }
 
-// refuses reports whether nothing listens at an endpoint's address. A call that was not
-// answered for another reason says nothing of the process.
+// refusesConnections reports whether nothing listens at an endpoint's address. Any other connection
+// error, such as a time-out, does not show that the process has ended.
 func (c *endpointClient) refusesConnections(ctx context.Context, e Endpoint) bool {
 	target, err := url.Parse(e.URL)
 	if err != nil {
@@ -67,7 +68,7 @@
 	return false
 }
 
-// address is where an endpoint takes connections, host:port.
+// dialAddress returns the host:port of a URL, with the port of its scheme if it names none.
 func dialAddress(target *url.URL) string {
 	if target.Port() == "" {
 		return net.JoinHostPort(target.Hostname(), target.Scheme)
--- a/agent/sender.go
+++ b/agent/sender.go
@@ -9,8 +9,8 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// sender sends the responses of one dispatch, each stamped with what it
-// answers.
+// sender sends the responses to one dispatch. Each carries the request id, the attempt and the
+// incarnation of the agent.
 type sender struct {
 	stream      grpc.ServerStreamingServer[agentv1.DispatchResponse]
 	dispatch    *agentv1.DispatchRequest
--- a/agent/service.go
+++ b/agent/service.go
@@ -11,7 +11,7 @@
 	"github.com/lilackeel/lilackeel/sharing"
 )
 
-// Bounds of the interval between two reports.
+// Limits and default of the interval between reports.
 const (
 	minReportInterval     = 20 * time.Millisecond
 	maxReportInterval     = 10 * time.Second
@@ -26,9 +26,9 @@
 	orderer      *orderer
 	reportBuffer *reportBuffer
 	ranks        *ranks.Ranks
-	// drained closes when a planned stop has finished all calls.
+	// drained is closed when a planned stop has waited for the calls in flight.
 	drained chan struct{}
-	// shared is what entries share.
+	// sharingHost holds the data that entries share through this host.
 	sharingHost *sharing.Host
 }
 
@@ -73,8 +73,8 @@
 	return s.ranks.Group(r)
 }
 
-// Reports implements agentv1.AgentServer. It ends when the reader leaves or the
-// agent has drained.
+// Reports implements agentv1.AgentServer. The stream ends when the reader disconnects or the agent has
+// drained.
 func (s *service) Reports(r *agentv1.ReportsRequest, stream grpc.ServerStreamingServer[agentv1.Report]) error {
 	ticker := time.NewTicker(reportInterval(r))
 	defer ticker.Stop()
--- a/agent/streamid.go
+++ b/agent/streamid.go
@@ -8,18 +8,19 @@
 	agentv1 "github.com/lilackeel/lilackeel/api/agent/v1"
 )
 
-// maxStreamIDs bounds the streams whose ids are remembered for resuming.
+// maxStreamIDs is the maximum number of requests whose stream ids are kept for resuming.
 const maxStreamIDs = 4096
 
-// streamIDs remembers the engine's stream id of recent requests.
+// streamIDs maps recent requests to the stream ids that engines assigned to them. The oldest are
+// evicted first.
 type streamIDs struct {
 	mu             sync.Mutex
 	byRequest      map[string]string
 	insertionOrder []string
 }
 
-// of returns the stream that a dispatch resumes: named by its header, or else
-// remembered from an earlier attempt of the same request.
+// lookup returns the id of the stream that a dispatch resumes: from the dispatch's headers, or else
+// as recorded for an earlier attempt of the same request. It is empty if there is none.
 func (s *streamIDs) lookup(d *agentv1.DispatchRequest) string {
 	if d.GetResumeOffset() == 0 {
 		return ""
