--- a/agent/announce.go
+++ b/agent/announce.go
@@ -115,7 +115,7 @@
 	changes := a.loaded.changed() + a.health.changed()
 	request := a.request(changes)
 	var response *controlv1.AnnounceResponse
-	err := a.controls.Ask(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
+	err := a.controls.Call(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
 		var err error
 		response, err = client.Announce(ctx, request)
 		return err
--- a/agent/control.go
+++ b/agent/control.go
@@ -29,7 +29,7 @@
 // has it or ctx ends.
 func (c *controls) learnFence(ctx context.Context, k *lockedGate) {
 	for ctx.Err() == nil {
-		err := c.Ask(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
+		err := c.Call(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
 			response, err := client.ReadFence(ctx, &controlv1.ReadFenceRequest{})
 			if err == nil {
 				k.learnFence(response.GetFence())
--- a/agent/ranklink.go
+++ b/agent/ranklink.go
@@ -39,7 +39,7 @@
 
 // ReadMap implements ranks.Control.
 func (r mapReader) ReadMap(ctx context.Context, group string) (record *fleetv1.MapRecord, fence uint64, err error) {
-	err = r.controls.Ask(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
+	err = r.controls.Call(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
 		response, err := client.ReadMap(ctx, &controlv1.ReadMapRequest{Group: group})
 		record, fence = response.GetRecord(), response.GetFence()
 		return err
--- a/entry/client.go
+++ b/entry/client.go
@@ -95,7 +95,7 @@
 // the response of a replica that is stopping, or that finds an endpoint's lease expired.
 func (c *remoteClaims) askReplicas(ctx context.Context, call func(context.Context, controlv1.ControlClient) error) error {
 	var unavailable error
-	err := c.finder.AskUntil(ctx, call, func(err error) bool {
+	err := c.finder.CallUntil(ctx, call, func(err error) bool {
 		if f := fault.As(err); f != nil && f.Kind == fault.Unavailable && f.Cause == nil {
 			unavailable = err
 		}
--- a/feed/client.go
+++ b/feed/client.go
@@ -61,7 +61,7 @@
 	follower *Follower
 	view     *View
 	changed  chan struct{}
-	applied  []func(*Step)
+	applied  []func(*Transition)
 	source   string
 	// sources are those to watch, in order of preference.
 	sources []string
@@ -70,10 +70,10 @@
 // NewClient returns a client, which does nothing before Run.
 func NewClient(cfg Config) *Client {
 	cfg.PingInterval = orDefault(cfg.PingInterval, DefaultPingInterval)
-	cfg.Limits.Silence = orDefault(cfg.Limits.Silence, DefaultSilence)
-	cfg.Limits.FirstAnswer = orDefault(cfg.Limits.FirstAnswer, DefaultFirstAnswer)
-	cfg.Limits.Stale = orDefault(cfg.Limits.Stale, DefaultStale)
-	cfg.Limits.Blank = orDefault(cfg.Limits.Blank, min(DefaultBlank, cfg.Limits.Stale))
+	cfg.Limits.PongTimeout = orDefault(cfg.Limits.PongTimeout, DefaultPongTimeout)
+	cfg.Limits.FirstPongTimeout = orDefault(cfg.Limits.FirstPongTimeout, DefaultFirstPongTimeout)
+	cfg.Limits.MaxStaleness = orDefault(cfg.Limits.MaxStaleness, DefaultMaxStaleness)
+	cfg.Limits.InitialConfirmTimeout = orDefault(cfg.Limits.InitialConfirmTimeout, min(DefaultInitialConfirmTimeout, cfg.Limits.MaxStaleness))
 	if cfg.Logger == nil {
 		cfg.Logger = slog.Default()
 	}
@@ -131,10 +131,10 @@
 // revision and before it is acknowledged. The first call has a nil old view and
 // a delta from the empty configuration. OnApply must be called before Run.
 func (c *Client) OnApply(callback func(old, new *View, delta *fleetv1.Delta)) {
-	c.onStep(func(step *Step) { callback(step.Old, step.New, step.Delta) })
+	c.onStep(func(step *Transition) { callback(step.Old, step.New, step.Delta) })
 }
 
-func (c *Client) onStep(callback func(*Step)) {
+func (c *Client) onStep(callback func(*Transition)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.applied = append(c.applied, callback)
--- a/feed/daemons.go
+++ b/feed/daemons.go
@@ -35,7 +35,7 @@
 
 // Hear records the report of a daemon that came at the given time. A report
 // that is older than what is known is dropped.
-func (d *Daemons) Hear(heard time.Time, status *controlv1.DaemonStatus) {
+func (d *Daemons) Update(heard time.Time, status *controlv1.DaemonStatus) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.record(heard, status)
@@ -61,7 +61,7 @@
 }
 
 func (d *Daemons) hear(now time.Time, hello *controlv1.Hello, revision uint64) {
-	d.Hear(now, &controlv1.DaemonStatus{
+	d.Update(now, &controlv1.DaemonStatus{
 		Name:        hello.GetDaemon(),
 		Role:        hello.GetRole(),
 		Zone:        hello.GetZone(),
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -92,7 +92,7 @@
 		Daemon:       daemon,
 		Role:         "entry",
 		PingInterval: 20 * time.Millisecond,
-		Limits:       Limits{Silence: 200 * time.Millisecond, FirstAnswer: time.Second, Stale: 300 * time.Millisecond},
+		Limits:       Limits{PongTimeout: 200 * time.Millisecond, FirstPongTimeout: time.Second, MaxStaleness: 300 * time.Millisecond},
 		DialOptions:  []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())},
 	})
 }
@@ -245,7 +245,7 @@
 	cut := serve(t, NewServer(&cutSource{fakeSource: newFakeSource(1), confirmed: time.Now()}))
 	working := serve(t, NewServer(newFakeSource(2)))
 	client := newTestClient("entry-1", cut, working)
-	client.follower.limits.FirstAnswer = time.Minute
+	client.follower.limits.FirstPongTimeout = time.Minute
 	var lines bytes.Buffer
 	client.cfg.Logger = slog.New(slog.NewJSONHandler(&lines, nil))
 	begun := time.Now()
@@ -265,9 +265,9 @@
 	old := NewView(&fleetv1.Configuration{Revision: 10})
 	with := old.Apply(&fleetv1.Delta{FromRevision: 10, ToRevision: 11, Workspaces: []*fleetv1.Workspace{{Name: "gone"}}})
 	latest := NewView(&fleetv1.Configuration{Revision: 12})
-	relay.apply(&Step{New: old, Delta: Diff(nil, old), Compared: true})
+	relay.apply(&Transition{New: old, Delta: Diff(nil, old), FromDiff: true})
 	is.True(relay.DeltaSince(5) == nil)
-	relay.apply(&Step{Old: old, New: latest, Delta: Diff(old, latest), Compared: true})
+	relay.apply(&Transition{Old: old, New: latest, Delta: Diff(old, latest), FromDiff: true})
 	if delta := relay.DeltaSince(with.Revision); delta != nil {
 		is.Equal(with.Apply(delta).Workspaces.Len(), 0) // the removed workspace must not stay
 	}
--- a/feed/follower.go
+++ b/feed/follower.go
@@ -11,17 +11,17 @@
 // Limits say when a follower gives a source up.
 type Limits struct {
 	// Silence is how long a source may leave pings unanswered.
-	Silence time.Duration
+	PongTimeout time.Duration
 	// FirstAnswer is the same for the first answer of a watch, which may have to
 	// carry a whole configuration.
-	FirstAnswer time.Duration
+	FirstPongTimeout time.Duration
 	// Stale is how old the knowledge of an answering source may be. It bounds
 	// how long a daemon acts on the configuration of a control replica that is
 	// cut off from its quorum while the others accept a newer one.
-	Stale time.Duration
+	MaxStaleness time.Duration
 	// Blank is the same for a daemon that has no configuration at all, and whose
 	// source knows of no quorum: other sources may, and there is nothing to lose.
-	Blank time.Duration
+	InitialConfirmTimeout time.Duration
 }
 
 // Defaults of Limits. A configuration has to be in force within two seconds of
@@ -30,24 +30,24 @@
 // works is confirmed every 150 ms and asked every 250 ms, so a second is more
 // than twice what it needs.
 const (
-	DefaultSilence     = time.Second
-	DefaultFirstAnswer = 3 * time.Second
-	DefaultStale       = time.Second
+	DefaultPongTimeout      = time.Second
+	DefaultFirstPongTimeout = 3 * time.Second
+	DefaultMaxStaleness     = time.Second
 	// DefaultBlank is some confirmation intervals of a source. After a restart of all
 	// machines a second more with a replica that is outside the quorum is a second in
 	// which an entry refuses everything.
-	DefaultBlank = 300 * time.Millisecond
+	DefaultInitialConfirmTimeout = 300 * time.Millisecond
 )
 
 // Step is the change from one configuration to the next that a daemon has to
 // act on. Old is nil at the first step.
-type Step struct {
+type Transition struct {
 	Old, New *View
 	// Delta turns Old into New.
 	Delta *fleetv1.Delta
 	// Compared is set when the delta was made by comparing the two views: it
 	// then turns Old into New, but says nothing of the revisions in between.
-	Compared bool
+	FromDiff bool
 }
 
 // confirmation says that every revision accepted before at, in the follower's
@@ -97,7 +97,7 @@
 	OldRevisions uint64
 	// StrayPongs counts answers to pings that are not outstanding: doubled ones
 	// and those of an earlier watch.
-	StrayPongs uint64
+	UnmatchedPongs uint64
 	// Gaps counts deltas that start after the revision held.
 	Gaps uint64
 }
@@ -112,7 +112,7 @@
 
 // Open begins a watch on another source. Answers to pings of the watch before
 // no longer count.
-func (f *Follower) Open(now time.Time) {
+func (f *Follower) StartWatch(now time.Time) {
 	f.pings = map[uint64]time.Time{}
 	f.opened = now
 	f.answered = time.Time{}
@@ -121,7 +121,7 @@
 }
 
 // Held returns the newest revision received, from which a watch goes on.
-func (f *Follower) Held() uint64 {
+func (f *Follower) HeldRevision() uint64 {
 	if f.held == nil {
 		return 0
 	}
@@ -130,7 +130,7 @@
 
 // Good reports whether the watch opened at the given time has given an answer
 // that was not stale.
-func (f *Follower) Good(opened time.Time) bool {
+func (f *Follower) HadFreshPong(opened time.Time) bool {
 	return f.opened.Equal(opened) && !f.good.IsZero()
 }
 
@@ -144,7 +144,7 @@
 // Receive takes a message of the present watch. It returns the step that the
 // daemon has to take, or nil. After taking it the caller calls Acknowledge. An
 // error means that the source has to be left.
-func (f *Follower) Receive(now time.Time, message *controlv1.WatchResponse) (*Step, error) {
+func (f *Follower) Receive(now time.Time, message *controlv1.WatchResponse) (*Transition, error) {
 	switch kind := message.GetKind().(type) {
 	case *controlv1.WatchResponse_Snapshot:
 		return f.receiveSnapshot(kind.Snapshot), nil
@@ -156,7 +156,7 @@
 	return nil, nil
 }
 
-func (f *Follower) receiveSnapshot(configuration *fleetv1.Configuration) *Step {
+func (f *Follower) receiveSnapshot(configuration *fleetv1.Configuration) *Transition {
 	if f.held != nil && configuration.GetRevision() <= f.held.Revision {
 		f.counts.OldRevisions++
 		return nil
@@ -166,10 +166,10 @@
 	if f.acked == 0 {
 		return f.firstStep()
 	}
-	return &Step{Old: old, New: f.held, Delta: Diff(old, f.held), Compared: true}
+	return &Transition{Old: old, New: f.held, Delta: Diff(old, f.held), FromDiff: true}
 }
 
-func (f *Follower) receiveDelta(delta *fleetv1.Delta) (*Step, error) {
+func (f *Follower) receiveDelta(delta *fleetv1.Delta) (*Transition, error) {
 	if f.held == nil || delta.GetFromRevision() > f.held.Revision {
 		f.counts.Gaps++
 		return nil, fault.New(fault.Conflict, "the feed left revisions out", "the client watches again from the revision it holds")
@@ -183,13 +183,13 @@
 	if f.acked == 0 {
 		return f.firstStep(), nil
 	}
-	return &Step{Old: old, New: f.held, Delta: delta}, nil
+	return &Transition{Old: old, New: f.held, Delta: delta}, nil
 }
 
-func (f *Follower) receivePong(now time.Time, pong *controlv1.Pong) *Step {
+func (f *Follower) receivePong(now time.Time, pong *controlv1.Pong) *Transition {
 	sent, ok := f.pings[pong.GetSeq()]
 	if !ok {
-		f.counts.StrayPongs++
+		f.counts.UnmatchedPongs++
 		return nil
 	}
 	f.forgetPings(pong.GetSeq())
@@ -204,7 +204,7 @@
 		return nil
 	}
 	at := sent.Add(-age)
-	if now.Sub(at) <= f.limits.Stale && at.After(f.good) {
+	if now.Sub(at) <= f.limits.MaxStaleness && at.After(f.good) {
 		f.good = at
 	}
 	f.believe(confirmation{revision: pong.GetRevision(), at: at, ok: true})
@@ -240,12 +240,12 @@
 
 // firstStep shows the first configuration once it is known to be at least as
 // new as anything that an earlier run of this daemon can have been shown.
-func (f *Follower) firstStep() *Step {
+func (f *Follower) firstStep() *Transition {
 	confirmed := f.waiting.ok && !f.waiting.at.Before(f.started)
 	if f.held == nil || !confirmed || f.waiting.revision > f.held.Revision {
 		return nil
 	}
-	return &Step{New: f.held, Delta: Diff(nil, f.held), Compared: true}
+	return &Transition{New: f.held, Delta: Diff(nil, f.held), FromDiff: true}
 }
 
 // Acknowledge records that the daemon acts on the revision from now on.
@@ -273,7 +273,7 @@
 
 // Keep returns an error when the present source must be left for another:
 // frozen, unreachable, or itself cut off from the quorum.
-func (f *Follower) Keep(now time.Time) error {
+func (f *Follower) CheckSource(now time.Time) error {
 	if now.Sub(f.heardUntil()) > f.silenceLimit() {
 		return fault.New(fault.Unavailable, "the feed has gone silent", "the client watches the next source")
 	}
@@ -284,7 +284,7 @@
 }
 
 // GiveUp returns when Keep will refuse the present source unless it answers.
-func (f *Follower) GiveUp() time.Time {
+func (f *Follower) SourceDeadline() time.Time {
 	silent := f.heardUntil().Add(f.silenceLimit())
 	stale := f.staleAt()
 	if stale.Before(silent) {
@@ -300,21 +300,21 @@
 // answered yet, with a whole configuration under way, is only silent.
 func (f *Follower) staleAt() time.Time {
 	if f.answered.IsZero() {
-		return f.opened.Add(f.limits.FirstAnswer + f.limits.Stale)
+		return f.opened.Add(f.limits.FirstPongTimeout + f.limits.MaxStaleness)
 	}
 	if f.acked == 0 && f.good.IsZero() {
-		return f.answered.Add(f.limits.Blank)
+		return f.answered.Add(f.limits.InitialConfirmTimeout)
 	}
-	return later(f.answered, f.good).Add(f.limits.Stale)
+	return later(f.answered, f.good).Add(f.limits.MaxStaleness)
 }
 
 func (f *Follower) heardUntil() time.Time { return later(f.opened, f.heard) }
 
 func (f *Follower) silenceLimit() time.Duration {
 	if f.heard.IsZero() {
-		return f.limits.FirstAnswer
+		return f.limits.FirstPongTimeout
 	}
-	return f.limits.Silence
+	return f.limits.PongTimeout
 }
 
 func later(a, b time.Time) time.Time {
--- a/feed/follower_test.go
+++ b/feed/follower_test.go
@@ -103,9 +103,9 @@
 	sources := []*replicaModel{{held: 1, confirmed: now}, {held: 1, confirmed: now}, {held: 1, confirmed: now}}
 	source := sources[0]
 	links := &network{rng: rng}
-	limits := Limits{Silence: time.Second, FirstAnswer: time.Second, Stale: time.Second}
+	limits := Limits{PongTimeout: time.Second, FirstPongTimeout: time.Second, MaxStaleness: time.Second}
 	follower := NewFollower(limits, now, rng.Uint64()>>1)
-	follower.Open(now)
+	follower.StartWatch(now)
 	shown := uint64(0)
 	muted := now // until when pings are lost and changes still come
 	for range 1500 {
@@ -124,14 +124,14 @@
 		if rng.IntN(150) == 0 {
 			// The daemon restarts; what it showed before still binds it.
 			follower = NewFollower(limits, now, rng.Uint64()>>1)
-			follower.Open(now)
+			follower.StartWatch(now)
 		}
-		if rng.IntN(60) == 0 || follower.Keep(now) != nil {
+		if rng.IntN(60) == 0 || follower.CheckSource(now) != nil {
 			source = sources[rng.IntN(len(sources))]
-			follower.Open(now)
+			follower.StartWatch(now)
 		}
 		ping := follower.Ping(now)
-		if held := follower.Held(); source.held > held {
+		if held := follower.HeldRevision(); source.held > held {
 			links.send(now, source.update(held))
 		}
 		if rng.IntN(100) == 0 {
@@ -143,7 +143,7 @@
 		for _, message := range links.due(now) {
 			step, err := follower.Receive(now, message)
 			if err != nil {
-				follower.Open(now)
+				follower.StartWatch(now)
 			}
 			if step == nil {
 				continue
@@ -173,30 +173,30 @@
 		Guard: "the limit of silence, and of staleness, each alone"}.Log(t)
 	is := is.New(t)
 	start := time.Now()
-	limits := Limits{Silence: time.Second, FirstAnswer: 3 * time.Second, Stale: 2 * time.Second}
+	limits := Limits{PongTimeout: time.Second, FirstPongTimeout: 3 * time.Second, MaxStaleness: 2 * time.Second}
 	follower := NewFollower(limits, start, 0)
 	source := &replicaModel{held: 1, confirmed: start}
-	follower.Open(start)
-	is.NoErr(follower.Keep(start.Add(2 * time.Second)))
+	follower.StartWatch(start)
+	is.NoErr(follower.CheckSource(start.Add(2 * time.Second)))
 	now := start
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
 		source.confirmed = now
 		_, err := follower.Receive(now, source.pong(now, follower.Ping(now).GetSeq()))
 		is.NoErr(err)
-		is.NoErr(follower.Keep(now))
+		is.NoErr(follower.CheckSource(now))
 	}
-	is.True(follower.Keep(now.Add(1100*time.Millisecond)) != nil) // frozen
+	is.True(follower.CheckSource(now.Add(1100*time.Millisecond)) != nil) // frozen
 	var left error
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
 		_, _ = follower.Receive(now, source.pong(now, follower.Ping(now).GetSeq()))
-		if left = follower.Keep(now); left != nil {
+		if left = follower.CheckSource(now); left != nil {
 			break
 		}
 	}
 	is.True(left != nil) // answers, but no quorum confirms it any more
-	is.True(!follower.GiveUp().After(now))
+	is.True(!follower.SourceDeadline().After(now))
 }
 
 // A daemon without any configuration leaves a source that knows of no quorum well before
@@ -204,9 +204,9 @@
 func TestABlankFollowerMovesOnSooner(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
-	limits := Limits{Silence: time.Second, FirstAnswer: 3 * time.Second, Stale: time.Second, Blank: 300 * time.Millisecond}
+	limits := Limits{PongTimeout: time.Second, FirstPongTimeout: 3 * time.Second, MaxStaleness: time.Second, InitialConfirmTimeout: 300 * time.Millisecond}
 	follower := NewFollower(limits, start, 0)
-	follower.Open(start)
+	follower.StartWatch(start)
 	unknown := func(now time.Time) {
 		_, err := follower.Receive(now, &controlv1.WatchResponse{Kind: &controlv1.WatchResponse_Pong{
 			Pong: &controlv1.Pong{Seq: follower.Ping(now).GetSeq()},
@@ -215,14 +215,14 @@
 	}
 	unknown(start.Add(10 * time.Millisecond))
 	unknown(start.Add(300 * time.Millisecond))
-	is.NoErr(follower.Keep(start.Add(300 * time.Millisecond)))
-	is.True(follower.Keep(start.Add(320*time.Millisecond)) != nil)
-	follower.Open(start.Add(time.Second)) // another source, which works
+	is.NoErr(follower.CheckSource(start.Add(300 * time.Millisecond)))
+	is.True(follower.CheckSource(start.Add(320*time.Millisecond)) != nil)
+	follower.StartWatch(start.Add(time.Second)) // another source, which works
 	source := &replicaModel{held: 1, confirmed: start.Add(time.Second)}
 	now := start.Add(1010 * time.Millisecond)
 	_, err := follower.Receive(now, source.pong(now, follower.Ping(now).GetSeq()))
 	is.NoErr(err)
-	is.NoErr(follower.Keep(now.Add(900 * time.Millisecond)))
+	is.NoErr(follower.CheckSource(now.Add(900 * time.Millisecond)))
 }
 
 // A source that loses the quorum is left as soon as what it knows is older than
@@ -236,26 +236,26 @@
 		is := is.New(t)
 		rng := rand.New(rand.NewPCG(seed, 2))
 		now := time.Now()
-		limits := Limits{Silence: DefaultSilence, FirstAnswer: DefaultFirstAnswer, Stale: DefaultStale}
+		limits := Limits{PongTimeout: DefaultPongTimeout, FirstPongTimeout: DefaultFirstPongTimeout, MaxStaleness: DefaultMaxStaleness}
 		follower := NewFollower(limits, now, 0)
-		follower.Open(now)
+		follower.StartWatch(now)
 		source := &replicaModel{held: 1, confirmed: now}
 		for range 40 {
 			now = now.Add(tick)
 			source.confirmed = now.Add(-time.Duration(rng.IntN(300)) * time.Millisecond)
 			_, err := follower.Receive(now, source.pong(now, follower.Ping(now).GetSeq()))
 			is.NoErr(err)
-			is.NoErr(follower.Keep(now))
+			is.NoErr(follower.CheckSource(now))
 		}
 		lastConfirmed := source.confirmed
-		for follower.Keep(now) == nil {
+		for follower.CheckSource(now) == nil {
 			now = now.Add(tick)
 			ping := follower.Ping(now)
 			if rng.IntN(3) > 0 {
 				_, err := follower.Receive(now, source.pong(now, ping.GetSeq()))
 				is.NoErr(err)
 			}
-			is.True(now.Sub(lastConfirmed) <= DefaultStale+2*tick+300*time.Millisecond)
+			is.True(now.Sub(lastConfirmed) <= DefaultMaxStaleness+2*tick+300*time.Millisecond)
 		}
 	}
 }
@@ -265,18 +265,18 @@
 func TestFollowerKeepsASlowFirstAnswer(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
-	limits := Limits{Silence: DefaultSilence, FirstAnswer: DefaultFirstAnswer, Stale: DefaultStale}
+	limits := Limits{PongTimeout: DefaultPongTimeout, FirstPongTimeout: DefaultFirstPongTimeout, MaxStaleness: DefaultMaxStaleness}
 	follower := NewFollower(limits, start, 0)
-	follower.Open(start)
+	follower.StartWatch(start)
 	first := follower.Ping(start)
 	now := start.Add(2800 * time.Millisecond)
 	source := &replicaModel{held: 1, confirmed: start}
 	second := follower.Ping(now.Add(-100 * time.Millisecond))
-	is.NoErr(follower.Keep(now))
+	is.NoErr(follower.CheckSource(now))
 	_, err := follower.Receive(now, source.pong(start, first.GetSeq()))
 	is.NoErr(err)
 	source.confirmed = now
 	_, err = follower.Receive(now, source.pong(now, second.GetSeq()))
 	is.NoErr(err)
-	is.NoErr(follower.Keep(now.Add(200 * time.Millisecond)))
+	is.NoErr(follower.CheckSource(now.Add(200 * time.Millisecond)))
 }
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -72,12 +72,12 @@
 	return nil
 }
 
-func (r *Relay) apply(step *Step) {
+func (r *Relay) apply(step *Transition) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.view = step.New
 	r.snapshot = nil
-	if step.Compared {
+	if step.FromDiff {
 		// A daemon between the two revisions could not use this delta.
 		r.journal.clear()
 	} else {
--- a/feed/watch.go
+++ b/feed/watch.go
@@ -189,7 +189,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.source = source
-	c.follower.Open(now)
+	c.follower.StartWatch(now)
 }
 
 // hello returns the first message of a watch.
@@ -201,7 +201,7 @@
 		Role:        c.cfg.Role,
 		Zone:        c.cfg.Zone,
 		Incarnation: c.cfg.Incarnation,
-		Revision:    c.follower.Held(),
+		Revision:    c.follower.HeldRevision(),
 	}}}
 }
 
@@ -248,19 +248,19 @@
 func (c *Client) keep() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.follower.Keep(time.Now())
+	return c.follower.CheckSource(time.Now())
 }
 
 // giveUp returns when the present source has to be left at the earliest.
 func (c *Client) giveUp() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.follower.GiveUp()
+	return c.follower.SourceDeadline()
 }
 
 // worked reports whether the watch opened at that time ever had fresh knowledge.
 func (c *Client) worked(opened time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.follower.Good(opened)
+	return c.follower.HadFreshPong(opened)
 }
--- a/link/config.go
+++ b/link/config.go
@@ -34,13 +34,13 @@
 }
 
 // Secure reports whether TLS is configured.
-func (cfg Config) Secure() bool { return cfg.Cert != "" && cfg.Key != "" && cfg.CA != "" }
+func (cfg Config) TLSEnabled() bool { return cfg.Cert != "" && cfg.Key != "" && cfg.CA != "" }
 
 // check finds contradictions and files that cannot be used.
 func (cfg Config) check() error {
 	anyFile := cfg.Cert != "" || cfg.Key != "" || cfg.CA != ""
 	switch {
-	case anyFile && !cfg.Secure():
+	case anyFile && !cfg.TLSEnabled():
 		return fault.New(fault.Invalid, "only some of -tls-cert, -tls-key and -tls-ca are set", "set all three, or none")
 	case anyFile && cfg.Insecure:
 		return fault.New(fault.Invalid, "-insecure contradicts -tls-cert", "remove one of them")
@@ -56,7 +56,7 @@
 // CheckListen refuses an address that would accept connections without TLS from
 // other hosts. Daemons call it from a setting check.
 func (cfg Config) CheckListen(address string) error {
-	if cfg.Secure() || cfg.Insecure {
+	if cfg.TLSEnabled() || cfg.Insecure {
 		return nil
 	}
 	host, _, err := net.SplitHostPort(address)
--- a/link/credential.go
+++ b/link/credential.go
@@ -15,7 +15,7 @@
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	if !cfg.Secure() {
+	if !cfg.TLSEnabled() {
 		return &plainCredentials{insecure.NewCredentials(), cfg.Insecure}, nil
 	}
 	store, err := newKeyStore(cfg)
--- a/link/replicas/cursor.go
+++ b/link/replicas/cursor.go
@@ -35,7 +35,7 @@
 }
 
 // Known returns how many replicas are known.
-func (c *Cursor) Known() int {
+func (c *Cursor) Len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.addrs)
@@ -43,7 +43,7 @@
 
 // Present returns the number and the address of the replica to ask; the address is
 // empty if none is known.
-func (c *Cursor) Present() (number int, addr string) {
+func (c *Cursor) Current() (number int, addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.addrs) == 0 {
@@ -55,7 +55,7 @@
 // MoveOn goes on from the replica of a number, which has answered with err: to the leader
 // that the fault names, or to the next replica. The leader need not be one that was known:
 // the settings name a few replicas, and the others are learned only from one that decides.
-func (c *Cursor) MoveOn(from int, err error) {
+func (c *Cursor) Advance(from int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.current != from {
--- a/link/replicas/finder.go
+++ b/link/replicas/finder.go
@@ -31,16 +31,16 @@
 
 // Ask calls the replica that decided last, then the leader that it names or the
 // others in turn, until one answers. It makes one round over the replicas.
-func (f *Finder) Ask(ctx context.Context, call func(context.Context, controlv1.ControlClient) error) error {
-	return f.AskUntil(ctx, call, decides)
+func (f *Finder) Call(ctx context.Context, call func(context.Context, controlv1.ControlClient) error) error {
+	return f.CallUntil(ctx, call, decides)
 }
 
 // AskUntil is Ask, where decided reports whether an error is the answer of a replica that
 // decides, so that no other is asked.
-func (f *Finder) AskUntil(ctx context.Context, call func(context.Context, controlv1.ControlClient) error, decided func(error) bool) error {
+func (f *Finder) CallUntil(ctx context.Context, call func(context.Context, controlv1.ControlClient) error, decided func(error) bool) error {
 	err := error(fault.New(fault.Unavailable, "no control replica is known", "name one in the settings"))
-	for range f.cursor.Known() + 1 {
-		number, addr := f.cursor.Present()
+	for range f.cursor.Len() + 1 {
+		number, addr := f.cursor.Current()
 		if addr == "" {
 			return err
 		}
@@ -48,7 +48,7 @@
 		if err == nil || decided(err) || ctx.Err() != nil {
 			return err
 		}
-		f.cursor.MoveOn(number, err)
+		f.cursor.Advance(number, err)
 	}
 	return err
 }
--- a/link/replicas/finder_test.go
+++ b/link/replicas/finder_test.go
@@ -58,7 +58,7 @@
 	pool := link.NewPool(options...)
 	defer func() { _ = pool.Close() }()
 	finder := New(pool, named)
-	is.NoErr(finder.Ask(t.Context(), func(ctx context.Context, client controlv1.ControlClient) error {
+	is.NoErr(finder.Call(t.Context(), func(ctx context.Context, client controlv1.ControlClient) error {
 		_, err := client.Announce(ctx, &controlv1.AnnounceRequest{})
 		return err
 	}))
--- a/operator/client.go
+++ b/operator/client.go
@@ -59,7 +59,7 @@
 	var last *fault.Error
 	lost := false
 	for try := 1; ; try++ {
-		number, addr := c.cursor.Present()
+		number, addr := c.cursor.Current()
 		response, err := askOnce(ctx, c, addr, request, method)
 		if err == nil {
 			return response, nil
@@ -69,7 +69,7 @@
 			return nil, last
 		}
 		lost = lost || (kind == change && last.Kind == fault.Unknown)
-		c.cursor.MoveOn(number, last)
+		c.cursor.Advance(number, last)
 		if !pause(ctx, c.pauseAfter(try)) {
 			return nil, c.givenUp(last, lost)
 		}
@@ -109,7 +109,7 @@
 
 // pauseAfter is the wait after a try: none while there are replicas left to ask.
 func (c *Client) pauseAfter(try int) time.Duration {
-	if try%c.cursor.Known() != 0 {
+	if try%c.cursor.Len() != 0 {
 		return 0
 	}
 	return roundPause
--- a/rankhost/announce.go
+++ b/rankhost/announce.go
@@ -64,7 +64,7 @@
 		request.Endpoints = []*fleetv1.Endpoint{a.record(status)}
 	}
 	var response *controlv1.AnnounceResponse
-	err := a.finder.Ask(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
+	err := a.finder.Call(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
 		var err error
 		response, err = client.Announce(ctx, request)
 		return err
--- a/rankhost/daemon.go
+++ b/rankhost/daemon.go
@@ -103,7 +103,7 @@
 
 // ReadMap implements Control.
 func (r recordReader) ReadMap(ctx context.Context, group string) (record *fleetv1.MapRecord, fence uint64, err error) {
-	err = r.finder.Ask(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
+	err = r.finder.Call(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
 		response, err := client.ReadMap(ctx, &controlv1.ReadMapRequest{Group: group})
 		record, fence = response.GetRecord(), response.GetFence()
 		return err
