--- a/wal/errors.go
+++ b/wal/errors.go
@@ -7,20 +7,22 @@
 )
 
 var (
-	errUnknownKind = errors.New("unknown record kind")
-	errTooLarge    = errors.New("the record is over the limit of 2 GiB")
+	errUnknownKind    = errors.New("unknown record kind")
+	errRecordTooLarge = errors.New("record exceeds the limit of 2 GiB")
 )
 
-// remedyCorrupt is the same for all damage: the copy of this disk is no longer
-// worth a vote, the other replicas hold the state.
+// remedyCorrupt is the same for all corruption: this copy of the state can no
+// longer count towards a quorum, but the other replicas hold the state.
 const remedyCorrupt = "set the data folder aside and start with an empty one: the replica rejoins as a learner and is promoted once caught up"
 
-func corrupt(file string, offset int, reason string) *fault.Error {
+// corruptError returns the error for a corrupt file.
+func corruptError(file string, offset int, reason string) *fault.Error {
 	return fault.Newf(fault.Corrupt, remedyCorrupt, "%s at offset %d: %s", file, offset, reason)
 }
 
-func failed(operation string, cause error) *fault.Error {
+// ioError returns the error for a failed file operation.
+func ioError(operation string, cause error) *fault.Error {
 	return fault.Newf(fault.Internal,
-		"free or replace the disk, then restart the replica; nothing unsynced was acknowledged",
+		"free space on the disk or replace it, then restart the replica; no unsynced write was acknowledged",
 		"data folder: %s failed", operation).Because(cause)
 }
--- a/wal/frame.go
+++ b/wal/frame.go
@@ -22,28 +22,31 @@
 // A frame is a fixed header and a payload:
 //
 //	length of the payload   4 bytes, little endian
-//	batch                   4 bytes, number of syncs before it in the segment
+//	sync count              4 bytes, number of syncs before it in the segment
 //	kind                    1 byte
-//	checksum of the header  4 bytes, crc32c of the nine bytes above
-//	checksum of the payload 4 bytes, crc32c that continues the payload
-//	                        checksum of the frame before
+//	checksum of the header  4 bytes, CRC-32C of the nine bytes above
+//	checksum of the payload 4 bytes, CRC-32C that continues the payload
+//	                        checksum of the previous frame
 //
-// The separate header checksum tells a flipped length from a torn payload. The
-// chained payload checksum finds frames that were lost or moved in the middle.
-// The batch tells a torn frame from a damaged one: what a later sync followed
-// had been durable.
+// The separate header checksum distinguishes a flipped length from a torn
+// payload. The chained payload checksum detects frames that were lost or moved
+// in the middle of a segment. The sync count distinguishes a torn frame from a
+// corrupt one: a frame that is followed by one written after a later sync had
+// been durable.
 const (
-	headerSummed    = 9
-	frameHeaderSize = headerSummed + 8
-	sectorSize      = 512
-	// maxPayload bounds a record, above all a snapshot, on writing and reading.
-	maxPayload = 1<<31 - 1
+	headerSummedSize = 9
+	frameHeaderSize  = headerSummedSize + 8
+	sectorSize       = 512
+	// maxPayloadSize bounds a record on writing and reading. Snapshots are the
+	// largest records.
+	maxPayloadSize = 1<<31 - 1
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// appendFrame appends one frame to buffer and returns it with the new chain.
-func appendFrame(buffer []byte, chain, batch uint32, kind recordKind, message proto.Message) ([]byte, uint32, error) {
+// appendFrame appends one frame to buffer. It returns the buffer and the new
+// chained payload checksum.
+func appendFrame(buffer []byte, chain, syncCount uint32, kind recordKind, message proto.Message) ([]byte, uint32, error) {
 	start := len(buffer)
 	buffer = append(buffer, make([]byte, frameHeaderSize)...)
 	buffer, err := proto.MarshalOptions{}.MarshalAppend(buffer, message)
@@ -52,14 +55,14 @@
 	}
 	header := buffer[start : start+frameHeaderSize]
 	payload := buffer[start+frameHeaderSize:]
-	if len(payload) > maxPayload {
-		return buffer[:start], chain, errTooLarge
+	if len(payload) > maxPayloadSize {
+		return buffer[:start], chain, errRecordTooLarge
 	}
 	chain = crc32.Update(chain, castagnoli, payload)
 	binary.LittleEndian.PutUint32(header[0:4], uint32(len(payload)))
-	binary.LittleEndian.PutUint32(header[4:8], batch)
+	binary.LittleEndian.PutUint32(header[4:8], syncCount)
 	header[8] = byte(kind)
-	binary.LittleEndian.PutUint32(header[9:13], crc32.Checksum(header[:headerSummed], castagnoli))
+	binary.LittleEndian.PutUint32(header[9:13], crc32.Checksum(header[:headerSummedSize], castagnoli))
 	binary.LittleEndian.PutUint32(header[13:17], chain)
 	return buffer, chain, nil
 }
@@ -68,24 +71,24 @@
 type frameStatus int
 
 const (
-	frameWhole frameStatus = iota
+	frameValid frameStatus = iota
 	frameEnd
 	frameTorn
-	frameDamaged
+	frameCorrupt
 )
 
 // frame is one decoded frame.
 type frame struct {
-	kind    recordKind
-	batch   uint32
-	payload []byte
-	chain   uint32
-	size    int
+	kind      recordKind
+	syncCount uint32
+	payload   []byte
+	chain     uint32
+	size      int
 }
 
-// readFrame reads the frame at offset of data. The frame before it had the
-// given chain and batch.
-func readFrame(data []byte, offset int, chain, batch uint32) (frame, frameStatus) {
+// readFrame reads the frame at offset of data. chain and syncCount are those of
+// the previous frame.
+func readFrame(data []byte, offset int, chain, syncCount uint32) (frame, frameStatus) {
 	rest := data[offset:]
 	if len(rest) == 0 {
 		return frame{}, frameEnd
@@ -93,12 +96,12 @@
 	if len(rest) < frameHeaderSize {
 		return frame{}, frameTorn
 	}
-	length, found, ok := readHeader(rest)
+	length, frameSyncCount, ok := readHeader(rest)
 	if !ok {
-		return frame{}, tornOrDamaged(data, offset, frameHeaderSize, batch+1)
+		return frame{}, classifyMismatch(data, offset, frameHeaderSize, syncCount+1)
 	}
-	if length > maxPayload {
-		return frame{}, frameDamaged
+	if length > maxPayloadSize {
+		return frame{}, frameCorrupt
 	}
 	size := frameHeaderSize + length
 	if len(rest) < size {
@@ -107,26 +110,27 @@
 	payload := rest[frameHeaderSize:size]
 	sum := crc32.Update(chain, castagnoli, payload)
 	if sum != binary.LittleEndian.Uint32(rest[13:17]) {
-		return frame{}, tornOrDamaged(data, offset, size, found)
+		return frame{}, classifyMismatch(data, offset, size, frameSyncCount)
 	}
-	return frame{recordKind(rest[8]), found, payload, sum, size}, frameWhole
+	return frame{recordKind(rest[8]), frameSyncCount, payload, sum, size}, frameValid
 }
 
-// readHeader returns the payload length and the batch of the frame header that
-// data starts with.
-func readHeader(data []byte) (length int, batch uint32, ok bool) {
-	if crc32.Checksum(data[:headerSummed], castagnoli) != binary.LittleEndian.Uint32(data[9:13]) {
+// readHeader returns the payload length and the sync count of the frame header
+// that data starts with. ok is false if the header checksum does not match.
+func readHeader(data []byte) (length int, syncCount uint32, ok bool) {
+	if crc32.Checksum(data[:headerSummedSize], castagnoli) != binary.LittleEndian.Uint32(data[9:13]) {
 		return 0, 0, false
 	}
 	return int(binary.LittleEndian.Uint32(data[0:4])), binary.LittleEndian.Uint32(data[4:8]), true
 }
 
-// tornOrDamaged judges the mismatch of a frame of the given batch. It is torn
-// when it lacks a sector, which then reads as zeros, and no frame of a later
-// batch follows; otherwise bits were flipped in durable data.
-func tornOrDamaged(data []byte, offset, size int, batch uint32) frameStatus {
-	if laterBatchFollows(data, offset+1, batch) {
-		return frameDamaged
+// classifyMismatch decides whether a frame with a checksum mismatch is torn or
+// corrupt. It is torn if it lacks a sector, which then reads as zeros, and no
+// frame with a higher sync count follows. Otherwise bits were flipped in durable
+// data.
+func classifyMismatch(data []byte, offset, size int, syncCount uint32) frameStatus {
+	if laterSyncFollows(data, offset+1, syncCount) {
+		return frameCorrupt
 	}
 	for start := offset; start < offset+size; {
 		next := min((start/sectorSize+1)*sectorSize, len(data))
@@ -135,18 +139,18 @@
 		}
 		start = next
 	}
-	return frameDamaged
+	return frameCorrupt
 }
 
-// laterBatchFollows reports whether any offset from start on holds the header
-// of a frame that was written after batch had been synced.
-func laterBatchFollows(data []byte, start int, batch uint32) bool {
+// laterSyncFollows reports whether any offset from start on holds the header of
+// a frame whose sync count is above syncCount.
+func laterSyncFollows(data []byte, start int, syncCount uint32) bool {
 	for offset := start; offset+frameHeaderSize <= len(data); offset++ {
 		kind := recordKind(data[offset+8])
 		if kind < recordHeader || kind > recordSnapshot {
 			continue
 		}
-		if _, found, ok := readHeader(data[offset:]); ok && found > batch {
+		if _, foundSyncCount, ok := readHeader(data[offset:]); ok && foundSyncCount > syncCount {
 			return true
 		}
 	}
--- a/wal/fs.go
+++ b/wal/fs.go
@@ -10,25 +10,27 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// FS is the part of a file system that the log uses. Tests put faults behind it.
+// FS is the part of a file system that the log uses. Tests implement it to
+// inject faults.
 type FS interface {
 	// MkdirAll creates a folder and its parents.
 	MkdirAll(path string) error
-	// Lock takes the exclusive lock at path until the closer is closed.
+	// Lock acquires the exclusive lock at path, which is held until the closer is
+	// closed.
 	Lock(path string) (io.Closer, error)
-	// Create opens a new or emptied file for appending.
+	// Create opens a file for appending, which it creates or truncates.
 	Create(path string) (File, error)
-	// Append opens an existing file for appending after cutting it to size.
+	// Append truncates an existing file to size and opens it for appending.
 	Append(path string, size int64) (File, error)
 	// ReadFile returns the content of a file; fs.ErrNotExist if there is none.
 	ReadFile(path string) ([]byte, error)
 	// List returns the names in a folder, sorted.
 	List(path string) ([]string, error)
-	// Rename replaces the file at to by the one at from.
+	// Rename moves the file at from to to, replacing any file there.
 	Rename(from, to string) error
 	// Remove deletes a file.
 	Remove(path string) error
-	// SyncDir makes created, renamed and removed names of a folder durable.
+	// SyncDir makes the creations, renames and removals in a folder durable.
 	SyncDir(path string) error
 }
 
@@ -36,7 +38,7 @@
 type File interface {
 	io.Writer
 	io.Closer
-	// Sync makes all that was written durable.
+	// Sync makes everything written so far durable.
 	Sync() error
 }
 
@@ -51,8 +53,8 @@
 // MkdirAll implements FS.
 func (OS) MkdirAll(path string) error { return os.MkdirAll(path, folderMode) }
 
-// Lock implements FS with flock, which the kernel releases when the process
-// ends in any way.
+// Lock implements FS with flock, which the kernel releases however the process
+// ends.
 func (OS) Lock(path string) (io.Closer, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
@@ -62,7 +64,7 @@
 		file.Close()
 		return nil, fault.Newf(fault.Conflict,
 			"stop the other process or give this one its own data folder",
-			"another process uses the data folder %s", filepath.Dir(path)).Because(err)
+			"the data folder %s is in use by another process", filepath.Dir(path)).Because(err)
 	}
 	return file, nil
 }
--- a/wal/load.go
+++ b/wal/load.go
@@ -8,45 +8,45 @@
 	pb "github.com/lilackeel/lilackeel/api/replica/v1"
 )
 
-// load reads the folder and opens the last segment for appending.
+// load reads the stored state and opens the last segment for appending.
 func (l *Log) load() (State, error) {
-	sequences, snapshots, err := l.scan()
+	sequences, snapshots, err := l.listFiles()
 	if err != nil {
 		return State{}, err
 	}
-	blank := len(sequences) == 0
+	isNew := len(sequences) == 0
 	replayed := replay{}
-	for position, sequence := range sequences {
-		last := position == len(sequences)-1
+	for i, sequence := range sequences {
+		last := i == len(sequences)-1
 		if err := l.replaySegment(&replayed, sequence, last); err != nil {
 			return State{}, err
 		}
 	}
-	state, err := l.assemble(&replayed)
+	state, err := l.buildState(&replayed)
 	if err != nil {
 		return State{}, err
 	}
-	if state.Label, err = l.loadLabel(blank); err != nil {
+	if state.Label, err = l.loadLabel(isNew); err != nil {
 		return State{}, err
 	}
-	if err := l.openLast(blank, &replayed); err != nil {
+	if err := l.openLastSegment(isNew, &replayed); err != nil {
 		return State{}, err
 	}
-	return state, l.removeStray(snapshots)
+	return state, l.removeUnreferencedSnapshots(snapshots)
 }
 
-// scan lists the segments and the snapshots and removes what a crash left
-// under temporary names.
-func (l *Log) scan() (sequences, snapshots []uint64, err error) {
+// listFiles returns the sequence numbers of the segments and the indexes of the
+// snapshots, and removes the temporary files that a crash left behind.
+func (l *Log) listFiles() (sequences, snapshots []uint64, err error) {
 	names, err := l.options.FS.List(l.options.Dir)
 	if err != nil {
-		return nil, nil, failed("listing the folder", err)
+		return nil, nil, ioError("listing the folder", err)
 	}
 	for _, name := range names {
 		switch {
 		case strings.HasSuffix(name, temporarySuffix):
 			if err := l.options.FS.Remove(l.path(name)); err != nil {
-				return nil, nil, failed("removing "+name, err)
+				return nil, nil, ioError("removing "+name, err)
 			}
 		case strings.HasSuffix(name, segmentSuffix):
 			sequences, err = appendNumber(sequences, name, segmentSuffix)
@@ -54,65 +54,66 @@
 			snapshots, err = appendNumber(snapshots, name, snapshotSuffix)
 		}
 		if err != nil {
-			return nil, nil, corrupt(l.path(name), 0, "the name is not a number")
+			return nil, nil, corruptError(l.path(name), 0, "the file name is not a hexadecimal number")
 		}
 	}
 	return sequences, snapshots, nil
 }
 
+// appendNumber parses the hexadecimal number in a file name and appends it.
 func appendNumber(numbers []uint64, name, suffix string) ([]uint64, error) {
 	number, err := strconv.ParseUint(strings.TrimSuffix(name, suffix), 16, 64)
 	return append(numbers, number), err
 }
 
-// replay collects the records of all segments. chain, batch and size are those
-// at the end of the segment read last.
+// replay accumulates the records of all segments. chain, syncCount and size are
+// those at the end of the segment read last.
 type replay struct {
-	previous uint64 // sequence of the segment before
-	hard     *pb.HardState
-	mark     *pb.SnapshotMark
-	entries  []*pb.Entry
-	last     uint64 // index of the last entry, also when a snapshot replaced it
-	chain    uint32
-	batch    uint32
-	size     int
+	lastSequence uint64 // of the segment read last
+	hardState    *pb.HardState
+	mark         *pb.SnapshotMark
+	entries      []*pb.Entry
+	lastIndex    uint64 // index of the last entry, even if a snapshot replaced it
+	chain        uint32
+	syncCount    uint32
+	size         int
 }
 
-// replaySegment reads one segment. Only the last one may be torn.
+// replaySegment reads one segment. Only the last one may have a torn tail.
 func (l *Log) replaySegment(r *replay, sequence uint64, last bool) error {
 	path := l.path(segmentName(sequence))
-	if r.previous != 0 && sequence != r.previous+1 {
-		return corrupt(path, 0, fmt.Sprintf("segment %d is missing before it", r.previous+1))
+	if r.lastSequence != 0 && sequence != r.lastSequence+1 {
+		return corruptError(path, 0, fmt.Sprintf("the preceding segment %d is missing", r.lastSequence+1))
 	}
-	r.previous = sequence
+	r.lastSequence = sequence
 	data, err := l.options.FS.ReadFile(path)
 	if err != nil {
-		return failed("reading "+path, err)
+		return ioError("reading "+path, err)
 	}
-	r.chain, r.batch = 0, 0
+	r.chain, r.syncCount = 0, 0
 	offset := 0
 	for {
-		f, result := readFrame(data, offset, r.chain, r.batch)
-		torn := result == frameTorn && last && offset > 0
-		if result == frameEnd && offset > 0 || torn {
+		f, status := readFrame(data, offset, r.chain, r.syncCount)
+		torn := status == frameTorn && last && offset > 0
+		if status == frameEnd && offset > 0 || torn {
 			break
 		}
-		if result != frameWhole {
-			return corrupt(path, offset, "the checksum does not match or the record is cut short")
+		if status != frameValid {
+			return corruptError(path, offset, "checksum mismatch or truncated record")
 		}
-		if reason := r.add(f, offset, sequence); reason != "" {
-			return corrupt(path, offset, reason)
+		if reason := r.apply(f, offset, sequence); reason != "" {
+			return corruptError(path, offset, reason)
 		}
-		r.chain, r.batch = f.chain, f.batch
+		r.chain, r.syncCount = f.chain, f.syncCount
 		offset += f.size
 	}
 	r.size = offset
-	l.segments = append(l.segments, segment{sequence: sequence, last: r.last, size: int64(offset)})
+	l.segments = append(l.segments, segment{sequence: sequence, lastIndex: r.lastIndex, size: int64(offset)})
 	return nil
 }
 
-// add takes one record in and returns what is wrong with it, if anything.
-func (r *replay) add(f frame, offset int, sequence uint64) string {
+// apply applies one record. It returns what is wrong with the record, or "".
+func (r *replay) apply(f frame, offset int, sequence uint64) string {
 	message, err := decodeRecord(f)
 	if err != nil {
 		return err.Error()
@@ -124,30 +125,31 @@
 	switch record := message.(type) {
 	case *pb.SegmentHeader:
 		if header.GetSequence() != sequence {
-			return fmt.Sprintf("the header names segment %d", header.GetSequence())
+			return fmt.Sprintf("the header is that of segment %d", header.GetSequence())
 		}
-		if r.size > 0 && header.GetLastIndex() != r.last {
-			return fmt.Sprintf("the segment before ends with entry %d instead of %d", r.last, header.GetLastIndex())
+		if r.size > 0 && header.GetLastIndex() != r.lastIndex {
+			return fmt.Sprintf("the preceding segment ends with entry %d instead of %d", r.lastIndex, header.GetLastIndex())
 		}
-		r.last = header.GetLastIndex()
+		r.lastIndex = header.GetLastIndex()
 	case *pb.HardState:
-		r.hard = record
+		r.hardState = record
 	case *pb.SnapshotMark:
 		r.mark = record
 		if record.GetReset_() {
 			r.entries = nil
-			r.last = record.GetIndex()
+			r.lastIndex = record.GetIndex()
 		}
 	case *pb.Entry:
-		return r.addEntry(record)
+		return r.applyEntry(record)
 	}
 	return ""
 }
 
-// addEntry appends an entry, which voids those from its index on.
-func (r *replay) addEntry(entry *pb.Entry) string {
-	last := r.last
-	r.last = entry.GetIndex()
+// applyEntry appends an entry after discarding any entries from its index on. It
+// returns what is wrong with the entry, or "".
+func (r *replay) applyEntry(entry *pb.Entry) string {
+	last := r.lastIndex
+	r.lastIndex = entry.GetIndex()
 	if len(r.entries) == 0 {
 		r.entries = append(r.entries, entry)
 		return ""
@@ -165,9 +167,9 @@
 	return ""
 }
 
-// assemble joins the snapshot and the entries after it.
-func (l *Log) assemble(r *replay) (State, error) {
-	state := State{HardState: r.hard}
+// buildState returns the replayed state: the snapshot and the entries after it.
+func (l *Log) buildState(r *replay) (State, error) {
+	state := State{HardState: r.hardState}
 	base := uint64(0)
 	if r.mark != nil {
 		snapshot, err := l.readSnapshot(r.mark.GetIndex())
@@ -177,47 +179,49 @@
 		state.Snapshot = snapshot
 		base = snapshot.GetIndex()
 	}
-	for position, entry := range r.entries {
+	for i, entry := range r.entries {
 		if entry.GetIndex() > base {
-			state.Entries = r.entries[position:]
+			state.Entries = r.entries[i:]
 			break
 		}
 	}
 	if len(state.Entries) > 0 && state.Entries[0].GetIndex() != base+1 {
 		path := l.path(segmentName(l.segments[0].sequence))
-		return State{}, corrupt(path, 0, fmt.Sprintf("entries after %d are missing", base))
+		return State{}, corruptError(path, 0, fmt.Sprintf("the entries after index %d are missing", base))
 	}
 	return state, nil
 }
 
-// openLast opens the last segment for appending, without its torn tail.
-func (l *Log) openLast(blank bool, r *replay) error {
-	l.hard, l.mark, l.snapshot = r.hard, r.mark, r.mark.GetIndex()
-	l.last = r.last
-	if blank {
+// openLastSegment truncates the torn tail of the last segment, if any, and opens
+// the segment for appending. A new log starts with segment 1.
+func (l *Log) openLastSegment(isNew bool, r *replay) error {
+	l.hardState, l.mark, l.snapshotIndex = r.hardState, r.mark, r.mark.GetIndex()
+	l.lastIndex = r.lastIndex
+	if isNew {
 		return l.startSegment(segment{sequence: 1})
 	}
-	file, err := l.options.FS.Append(l.path(segmentName(r.previous)), int64(r.size))
+	file, err := l.options.FS.Append(l.path(segmentName(r.lastSequence)), int64(r.size))
 	if err != nil {
-		return failed("opening the last segment", err)
+		return ioError("opening the last segment", err)
 	}
 	l.file, l.chain = file, r.chain
-	// The frames from here on are behind a sync: the one below.
-	l.batch = r.batch + 1
+	// The frames from here on follow the sync below.
+	l.syncCount = r.syncCount + 1
 	if err := file.Sync(); err != nil {
 		return l.fail("syncing the last segment", err)
 	}
 	return nil
 }
 
-// removeStray removes snapshots that no mark in the log refers to.
-func (l *Log) removeStray(snapshots []uint64) error {
+// removeUnreferencedSnapshots removes the snapshots other than the one that the
+// log refers to.
+func (l *Log) removeUnreferencedSnapshots(snapshots []uint64) error {
 	for _, index := range snapshots {
-		if index == l.snapshot {
+		if index == l.snapshotIndex {
 			continue
 		}
 		if err := l.options.FS.Remove(l.path(snapshotName(index))); err != nil {
-			return failed("removing a snapshot", err)
+			return ioError("removing a snapshot", err)
 		}
 	}
 	return nil
--- a/wal/memfs_test.go
+++ b/wal/memfs_test.go
@@ -12,15 +12,15 @@
 
 var errInjected = errors.New("injected: no space left on device")
 
-// memFS is a file system in memory that fails at a chosen operation and forgets
-// what was not synced when it crashes.
+// memFS is an in-memory file system that fails at a chosen operation and loses
+// unsynced data when it crashes.
 type memFS struct {
-	rand    *rand.Rand
-	names   map[string]*memFile // as a process sees it
-	durable map[string]*memFile // as of the last SyncDir
-	calls   int
-	failAt  int    // operation that fails, and all after it; 0 for none
-	failed  string // kind of the operation that failed first
+	rand            *rand.Rand
+	names           map[string]*memFile // as seen by processes
+	durable         map[string]*memFile // as of the last SyncDir
+	calls           int
+	failAt          int    // number of the first operation that fails, as do all after it; 0 for none
+	failedOperation string // kind of the first operation that failed
 }
 
 type memFile struct {
@@ -33,25 +33,25 @@
 	return &memFS{rand: rand.New(rand.NewPCG(seed, 1)), names: map[string]*memFile{}, durable: map[string]*memFile{}}
 }
 
-// fault counts an operation and fails it if it is its turn.
-func (m *memFS) fault(kind string) error {
+// injectFault counts an operation and returns an error if it is to fail.
+func (m *memFS) injectFault(kind string) error {
 	m.calls++
 	if m.failAt == 0 || m.calls < m.failAt {
 		return nil
 	}
-	if m.failed == "" {
-		m.failed = kind
+	if m.failedOperation == "" {
+		m.failedOperation = kind
 	}
 	return errInjected
 }
 
-// crash keeps what was synced, and a random part of the rest.
+// crash keeps the synced data and a random part of the unsynced data.
 func (m *memFS) crash() {
 	m.failAt = 0
-	seen := m.names
+	visible := m.names
 	m.names = map[string]*memFile{}
-	for _, name := range slices.Sorted(maps.Keys(both(seen, m.durable))) {
-		file := seen[name]
+	for _, name := range slices.Sorted(maps.Keys(union(visible, m.durable))) {
+		file := visible[name]
 		if m.rand.IntN(2) == 0 {
 			file = m.durable[name]
 		}
@@ -67,7 +67,7 @@
 	}
 }
 
-func both(a, b map[string]*memFile) map[string]*memFile {
+func union(a, b map[string]*memFile) map[string]*memFile {
 	all := maps.Clone(a)
 	maps.Copy(all, b)
 	return all
@@ -78,7 +78,7 @@
 func (m *memFS) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
 func (m *memFS) Create(path string) (File, error) {
-	if err := m.fault("create"); err != nil {
+	if err := m.injectFault("create"); err != nil {
 		return nil, err
 	}
 	m.names[path] = &memFile{fs: m}
@@ -86,7 +86,7 @@
 }
 
 func (m *memFS) Append(path string, size int64) (File, error) {
-	if err := m.fault("append"); err != nil {
+	if err := m.injectFault("append"); err != nil {
 		return nil, err
 	}
 	file := m.names[path]
@@ -112,7 +112,7 @@
 }
 
 func (m *memFS) Rename(from, to string) error {
-	if err := m.fault("rename"); err != nil {
+	if err := m.injectFault("rename"); err != nil {
 		return err
 	}
 	m.names[to] = m.names[from]
@@ -121,7 +121,7 @@
 }
 
 func (m *memFS) Remove(path string) error {
-	if err := m.fault("remove"); err != nil {
+	if err := m.injectFault("remove"); err != nil {
 		return err
 	}
 	delete(m.names, path)
@@ -129,16 +129,16 @@
 }
 
 func (m *memFS) SyncDir(string) error {
-	if err := m.fault("sync folder"); err != nil {
+	if err := m.injectFault("sync folder"); err != nil {
 		return err
 	}
 	m.durable = maps.Clone(m.names)
 	return nil
 }
 
-// Write stores a part of the data when it fails, like a full disk.
+// Write stores a part of the data if it fails, as on a full disk.
 func (f *memFile) Write(data []byte) (int, error) {
-	if err := f.fs.fault("write"); err != nil {
+	if err := f.fs.injectFault("write"); err != nil {
 		count := f.fs.rand.IntN(len(data))
 		f.data = append(f.data, data[:count]...)
 		return count, err
@@ -148,7 +148,7 @@
 }
 
 func (f *memFile) Sync() error {
-	if err := f.fs.fault("sync"); err != nil {
+	if err := f.fs.injectFault("sync"); err != nil {
 		return err
 	}
 	f.synced = len(f.data)
--- a/wal/segment.go
+++ b/wal/segment.go
@@ -4,22 +4,22 @@
 	pb "github.com/lilackeel/lilackeel/api/replica/v1"
 )
 
-// roll closes the current segment and opens the next one. The new one starts
-// with the hard state and the snapshot mark, so that older ones can go.
+// roll closes the current segment and starts the next one. The new segment starts
+// with the hard state and the snapshot mark, so that older ones can be removed.
 //
-// The current segment must be synced. The new one becomes visible under its
-// name only when its head is durable, so that only the last segment can ever be
-// torn, and never in its head.
+// The current segment must be synced. The new segment is given its name only
+// after its initial records are durable, so that only the last segment can be
+// torn, and never within its initial records.
 func (l *Log) roll() error {
-	next := segment{sequence: l.current().sequence + 1, last: l.last}
+	next := segment{sequence: l.currentSegment().sequence + 1, lastIndex: l.lastIndex}
 	if err := l.file.Close(); err != nil {
 		return l.fail("closing a segment", err)
 	}
 	return l.startSegment(next)
 }
 
-// startSegment writes the head of a segment under a temporary name and renames
-// it into place.
+// startSegment writes the initial records of a segment under a temporary name and
+// renames the file into place.
 func (l *Log) startSegment(next segment) error {
 	name := segmentName(next.sequence)
 	file, err := l.options.FS.Create(l.path(name + temporarySuffix))
@@ -29,7 +29,7 @@
 	l.file = file
 	l.segments = append(l.segments, next)
 	l.chain = 0
-	l.batch = 0
+	l.syncCount = 0
 	if err := l.writeHead(next); err != nil {
 		return err
 	}
@@ -42,36 +42,39 @@
 	return nil
 }
 
+// writeHead writes and syncs the initial records of a segment: its header, the
+// hard state and the snapshot mark.
 func (l *Log) writeHead(next segment) error {
 	l.buffer = l.buffer[:0]
-	header := &pb.SegmentHeader{Sequence: next.sequence, LastIndex: next.last}
-	if err := l.frame(recordHeader, header); err != nil {
+	header := &pb.SegmentHeader{Sequence: next.sequence, LastIndex: next.lastIndex}
+	if err := l.appendRecord(recordHeader, header); err != nil {
 		return err
 	}
-	if l.hard != nil {
-		if err := l.frame(recordState, l.hard); err != nil {
+	if l.hardState != nil {
+		if err := l.appendRecord(recordState, l.hardState); err != nil {
 			return err
 		}
 	}
 	if l.mark != nil {
-		// The entries that the mark voids are gone from the reader's view
-		// already; a repeated reset would void those that came after it.
+		// The mark is repeated without its reset flag: replay has already
+		// discarded the entries before the reset, and repeating it would discard
+		// those written since.
 		mark := &pb.SnapshotMark{Index: l.mark.GetIndex(), Term: l.mark.GetTerm()}
-		if err := l.frame(recordSnapshot, mark); err != nil {
+		if err := l.appendRecord(recordSnapshot, mark); err != nil {
 			return err
 		}
 	}
-	if err := l.write(); err != nil {
+	if err := l.flush(); err != nil {
 		return err
 	}
 	return l.sync()
 }
 
-// dropOld gives up the segments and the snapshot that the current snapshot
-// replaces. RemoveObsolete removes their files.
-func (l *Log) dropOld(previous uint64, reset bool) {
+// markObsolete marks the segments and the snapshot that the current snapshot
+// replaces as obsolete. RemoveObsolete removes their files.
+func (l *Log) markObsolete(previousSnapshot uint64, reset bool) {
 	dropped := 0
-	for dropped < len(l.segments)-1 && (reset || l.segments[dropped].last <= l.snapshot) {
+	for dropped < len(l.segments)-1 && (reset || l.segments[dropped].lastIndex <= l.snapshotIndex) {
 		dropped++
 	}
 	l.mu.Lock()
@@ -79,18 +82,19 @@
 	for _, old := range l.segments[:dropped] {
 		l.obsolete = append(l.obsolete, segmentName(old.sequence))
 	}
-	if previous != 0 && previous != l.snapshot {
-		l.obsolete = append(l.obsolete, snapshotName(previous))
+	if previousSnapshot != 0 && previousSnapshot != l.snapshotIndex {
+		l.obsolete = append(l.obsolete, snapshotName(previousSnapshot))
 	}
 	l.segments = append([]segment(nil), l.segments[dropped:]...)
 }
 
-// RemoveObsolete removes the files that installed snapshots have replaced. It may
-// run beside the other methods; files of any size take their time. A crash before
-// or in between leaves files that the next start or snapshot takes.
+// RemoveObsolete removes the files that installed snapshots have replaced. Since
+// removing large files takes long, it may run concurrently with the other methods.
+// Files that remain after a crash are removed at the next start or with the next
+// snapshot.
 func (l *Log) RemoveObsolete() error {
-	l.removing.Lock()
-	defer l.removing.Unlock()
+	l.removeMu.Lock()
+	defer l.removeMu.Unlock()
 	for {
 		if err := l.Err(); err != nil {
 			return err
@@ -102,14 +106,15 @@
 		if err := l.options.FS.Remove(l.path(name)); err != nil {
 			return l.fail("removing "+name, err)
 		}
-		// In order, also across a crash: the segments left must have no gap.
+		// Syncing after each removal keeps the order of removals across a crash:
+		// there must be no gap in the remaining segments.
 		if err := l.options.FS.SyncDir(l.options.Dir); err != nil {
 			return l.fail("syncing the folder", err)
 		}
 	}
 }
 
-// nextObsolete takes the oldest name, or "" if there is none.
+// nextObsolete dequeues the next file to remove; "" if there is none.
 func (l *Log) nextObsolete() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/wal/snapshot.go
+++ b/wal/snapshot.go
@@ -9,11 +9,12 @@
 	pb "github.com/lilackeel/lilackeel/api/replica/v1"
 )
 
-// syncEvery is how many bytes of a file are written between two syncs, so that
-// the sync of the log beside it never waits for more of them.
-const syncEvery = 4 << 20
+// syncChunkSize is the number of bytes of a file that are written between two
+// syncs. It limits how much unsynced data a concurrent sync of the log may have to
+// wait for.
+const syncChunkSize = 4 << 20
 
-// SnapshotFile is a snapshot that is durable. The log refers to it only once it
+// SnapshotFile is a durable snapshot file. The log does not refer to it until it
 // is installed.
 type SnapshotFile struct {
 	index, term uint64
@@ -23,9 +24,9 @@
 // Size returns the size of the file in bytes.
 func (f *SnapshotFile) Size() int { return f.size }
 
-// SaveSnapshot writes a snapshot, installs it and removes what is obsolete. With
-// reset, all entries stored so far are void: the snapshot came from the leader.
-// Without, the entries after the snapshot stay.
+// SaveSnapshot writes a snapshot, installs it and removes obsolete files. With
+// reset, for a snapshot received from the leader, all entries stored so far are
+// discarded. Without reset, the entries after the snapshot are kept.
 func (l *Log) SaveSnapshot(snapshot *pb.Snapshot, reset bool) error {
 	file, err := l.WriteSnapshot(snapshot)
 	if err != nil {
@@ -37,10 +38,10 @@
 	return l.RemoveObsolete()
 }
 
-// WriteSnapshot makes the file of a snapshot durable and leaves the log as it is:
-// until the file is installed, a restart finds the snapshot and the entries of
-// before. One call at a time may run beside the other methods. A failure closes
-// the log for good.
+// WriteSnapshot writes a durable snapshot file and does not change the log: until
+// the file is installed, a restart uses the previous snapshot and its entries. One
+// call at a time may run concurrently with the other methods. A failure closes
+// the log permanently.
 func (l *Log) WriteSnapshot(snapshot *pb.Snapshot) (*SnapshotFile, error) {
 	if err := l.Err(); err != nil {
 		return nil, err
@@ -53,14 +54,14 @@
 }
 
 // InstallSnapshot makes the log start at a written snapshot. The entries after it
-// stay; segments that hold none but older ones become obsolete. If the leader has
-// sent a newer snapshot meanwhile, the written one becomes obsolete instead.
-// RemoveObsolete is to follow.
+// are kept; segments that contain only older entries become obsolete. If a newer
+// snapshot from the leader has been installed meanwhile, the written one becomes
+// obsolete instead. The caller should call RemoveObsolete afterwards.
 func (l *Log) InstallSnapshot(file *SnapshotFile) error {
 	switch {
-	case file.index > l.snapshot:
+	case file.index > l.snapshotIndex:
 		return l.install(file, false)
-	case file.index < l.snapshot:
+	case file.index < l.snapshotIndex:
 		l.mu.Lock()
 		l.obsolete = append(l.obsolete, snapshotName(file.index))
 		l.mu.Unlock()
@@ -68,37 +69,38 @@
 	return l.Err()
 }
 
-// install makes the mark of a written snapshot durable, and only then gives up
-// what the snapshot replaces.
+// install syncs a mark that refers to a written snapshot, and only then marks the
+// files that the snapshot replaces as obsolete.
 func (l *Log) install(file *SnapshotFile, reset bool) error {
 	if err := l.Err(); err != nil {
 		return err
 	}
-	previous := l.snapshot
+	previousSnapshot := l.snapshotIndex
 	l.mark = &pb.SnapshotMark{Index: file.index, Term: file.term, Reset_: reset}
 	l.buffer = l.buffer[:0]
-	if err := l.frame(recordSnapshot, l.mark); err != nil {
+	if err := l.appendRecord(recordSnapshot, l.mark); err != nil {
 		return err
 	}
-	if err := l.write(); err != nil {
+	if err := l.flush(); err != nil {
 		return err
 	}
 	if err := l.sync(); err != nil {
 		return err
 	}
 	if reset {
-		l.last = file.index
+		l.lastIndex = file.index
 	}
-	l.snapshot = file.index
+	l.snapshotIndex = file.index
 	if err := l.roll(); err != nil {
 		return err
 	}
-	l.dropOld(previous, reset)
+	l.markObsolete(previousSnapshot, reset)
 	return nil
 }
 
-// replaceFile writes a file that holds one frame: to a temporary name, synced,
-// renamed, and the folder synced, so that a crash leaves the old or the new one.
+// replaceFile atomically replaces a file that holds one frame: it writes and syncs
+// a temporary file, renames it and syncs the folder. A crash leaves either the old
+// or the new file.
 func (l *Log) replaceFile(name string, kind recordKind, message proto.Message) (size int, err error) {
 	data, _, err := appendFrame(nil, 0, 0, kind, message)
 	if err != nil {
@@ -118,11 +120,11 @@
 	return len(data), l.options.FS.SyncDir(l.options.Dir)
 }
 
-// writeSynced writes data in parts, syncs each of them and closes the file.
+// writeSynced writes data in chunks, syncs after each and closes the file.
 func writeSynced(file File, data []byte) error {
 	var err error
-	for start := 0; err == nil && start < len(data); start += syncEvery {
-		_, err = file.Write(data[start:min(start+syncEvery, len(data))])
+	for start := 0; err == nil && start < len(data); start += syncChunkSize {
+		_, err = file.Write(data[start:min(start+syncChunkSize, len(data))])
 		if err == nil {
 			err = file.Sync()
 		}
@@ -138,13 +140,13 @@
 	snapshot := &pb.Snapshot{}
 	err := l.readSingle(snapshotName(index), snapshot)
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, corrupt(l.path(snapshotName(index)), 0, "the snapshot that the log refers to is missing")
+		return nil, corruptError(l.path(snapshotName(index)), 0, "the snapshot that the log refers to is missing")
 	}
 	if err != nil {
 		return nil, err
 	}
 	if snapshot.GetIndex() != index {
-		return nil, corrupt(l.path(snapshotName(index)), 0, "the snapshot is of another index")
+		return nil, corruptError(l.path(snapshotName(index)), 0, "the snapshot in the file has another index")
 	}
 	return snapshot, nil
 }
@@ -155,34 +157,34 @@
 	if err != nil {
 		return err
 	}
-	f, result := readFrame(data, 0, 0, 0)
-	if result != frameWhole {
-		return corrupt(l.path(name), 0, "the checksum does not match")
+	f, status := readFrame(data, 0, 0, 0)
+	if status != frameValid {
+		return corruptError(l.path(name), 0, "checksum mismatch")
 	}
 	if f.size != len(data) {
-		return corrupt(l.path(name), f.size, "unexpected bytes after the end")
+		return corruptError(l.path(name), f.size, "unexpected data after the record")
 	}
 	if err := proto.Unmarshal(f.payload, message); err != nil {
-		return corrupt(l.path(name), frameHeaderSize, err.Error())
+		return corruptError(l.path(name), frameHeaderSize, err.Error())
 	}
 	return nil
 }
 
-// loadLabel makes the label of this start durable.
+// loadLabel raises the incarnation of the label and writes it durably.
 //
-// A folder without a log gets a new identity even when it still has a label:
-// either nothing was ever acknowledged under the old one, or the log was lost
-// and must not count as intact.
-func (l *Log) loadLabel(blank bool) (*pb.DiskLabel, error) {
+// A folder without a log gets a new identity even if it has a label: either
+// nothing was ever acknowledged under the old identity, or the log was lost and
+// the disk must not count as intact.
+func (l *Log) loadLabel(isNew bool) (*pb.DiskLabel, error) {
 	label := &pb.DiskLabel{}
-	if blank {
+	if isNew {
 		label.Identity = l.options.NewIdentity()
 	} else if err := l.readLabel(label); err != nil {
 		return nil, err
 	}
 	label.Incarnation++
 	if _, err := l.replaceFile(labelName, recordHeader, label); err != nil {
-		return nil, failed("writing the label", err)
+		return nil, ioError("writing the label", err)
 	}
 	return label, nil
 }
@@ -190,7 +192,7 @@
 func (l *Log) readLabel(label *pb.DiskLabel) error {
 	err := l.readSingle(labelName, label)
 	if errors.Is(err, fs.ErrNotExist) {
-		return corrupt(l.path(labelName), 0, "the label of the disk is missing beside its log")
+		return corruptError(l.path(labelName), 0, "the log exists but the label of the disk is missing")
 	}
 	return err
 }
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -26,60 +26,60 @@
 	Dir string
 	// FS is the file system; OS if nil.
 	FS FS
-	// SegmentMax is the size in bytes after which a segment is closed; 64 MiB
-	// if zero.
+	// SegmentMax is the size in bytes above which a segment is closed and the
+	// next one started; 64 MiB if zero.
 	SegmentMax int64
-	// NewIdentity returns a random number other than zero for a blank disk.
+	// NewIdentity returns a random non-zero number that identifies a new disk.
 	NewIdentity func() uint64
 }
 
-// State is what Open found.
+// State is the stored state that Open has read.
 type State struct {
-	// Label identifies the disk. Its incarnation is already that of this start.
+	// Label identifies the disk. Its incarnation is that of the current start.
 	Label *pb.DiskLabel
-	// HardState is the last one saved; nil if there is none.
+	// HardState is the last saved hard state; nil if there is none.
 	HardState *pb.HardState
-	// Snapshot is the last one saved; nil if there is none.
+	// Snapshot is the last installed snapshot; nil if there is none.
 	Snapshot *pb.Snapshot
-	// Entries follow the snapshot without a gap.
+	// Entries are those after the snapshot, without a gap.
 	Entries []*pb.Entry
 }
 
 // Log is an open write-ahead log. Its methods must be called by one goroutine
-// at a time, except that WriteSnapshot and RemoveObsolete may run beside the
-// others but Close.
+// at a time, except that WriteSnapshot and RemoveObsolete may run concurrently
+// with all others but Close.
 //
-// Lock order: removing, then mu.
+// Lock order: removeMu, then mu.
 type Log struct {
-	options  Options
-	lock     io.Closer
-	file     File      // the current segment
-	segments []segment // oldest first; the last one is the current one
-	chain    uint32    // checksum of the last frame, which the next one continues
-	batch    uint32    // syncs in the segment before the next frame
-	unsynced bool
-	last     uint64           // index of the last entry written
-	hard     *pb.HardState    // the last one saved
-	mark     *pb.SnapshotMark // of the installed snapshot; nil for none
-	snapshot uint64           // index of the installed snapshot; zero for none
-	buffer   []byte           // frames of the write under way; reused
-
-	removing sync.Mutex // held while files are removed, so that it happens in order
-	mu       sync.Mutex // guards what follows
+	options       Options
+	lock          io.Closer
+	file          File      // the current segment
+	segments      []segment // oldest first; the last one is current
+	chain         uint32    // payload checksum of the last frame, which the next one continues
+	syncCount     uint32    // syncs in the segment before the next frame
+	unsynced      bool
+	lastIndex     uint64           // index of the last entry written
+	hardState     *pb.HardState    // the last saved hard state
+	mark          *pb.SnapshotMark // refers to the installed snapshot; nil if there is none
+	snapshotIndex uint64           // index of the installed snapshot; zero if there is none
+	buffer        []byte           // frames to be written; reused
+
+	removeMu sync.Mutex // held while files are removed, so that they are removed in order
+	mu       sync.Mutex // guards the fields below
 	failure  error
-	obsolete []string // files to be removed, in this order
+	obsolete []string // names of files to be removed, in this order
 }
 
 // segment is one file of the log.
 type segment struct {
 	sequence uint64
 	// last is the index of the last entry in or before the file.
-	last uint64
-	size int64
+	lastIndex uint64
+	size      int64
 }
 
-// Open locks the data folder, raises the incarnation of its label and reads
-// what is stored. The label is durable when Open returns.
+// Open locks the data folder, reads the stored state and raises the incarnation
+// of the label. The label is durable when Open returns.
 func Open(options Options) (*Log, State, error) {
 	if options.FS == nil {
 		options.FS = OS{}
@@ -89,7 +89,7 @@
 	}
 	log := &Log{options: options}
 	if err := options.FS.MkdirAll(options.Dir); err != nil {
-		return nil, State{}, failed("making "+options.Dir, err)
+		return nil, State{}, ioError("creating "+options.Dir, err)
 	}
 	lock, err := options.FS.Lock(log.path(lockName))
 	if err != nil {
@@ -104,36 +104,36 @@
 	return log, state, nil
 }
 
-// Batch is what one Save writes.
+// Batch is the data that one Save writes.
 type Batch struct {
-	// HardState replaces the one before; nil to keep it.
+	// HardState replaces the previous hard state; nil keeps it.
 	HardState *pb.HardState
-	// Entries are appended. The first may overwrite the log from its index on.
+	// Entries are appended. The first one overwrites the log from its index on.
 	Entries []*pb.Entry
-	// Sync makes this and everything before it durable before Save returns.
+	// Sync makes this batch and everything before it durable before Save returns.
 	Sync bool
 }
 
-// Save writes a batch. When it returns an error nothing of the batch may be
-// acknowledged, and the log takes no more writes.
+// Save writes a batch. If it returns an error, no part of the batch may be
+// acknowledged, and the log accepts no more writes.
 func (l *Log) Save(batch Batch) error {
 	if err := l.Err(); err != nil {
 		return err
 	}
 	l.buffer = l.buffer[:0]
 	if batch.HardState != nil {
-		l.hard = batch.HardState
-		if err := l.frame(recordState, batch.HardState); err != nil {
+		l.hardState = batch.HardState
+		if err := l.appendRecord(recordState, batch.HardState); err != nil {
 			return err
 		}
 	}
 	for _, entry := range batch.Entries {
-		if err := l.frame(recordEntry, entry); err != nil {
+		if err := l.appendRecord(recordEntry, entry); err != nil {
 			return err
 		}
-		l.last = entry.GetIndex()
+		l.lastIndex = entry.GetIndex()
 	}
-	if err := l.write(); err != nil {
+	if err := l.flush(); err != nil {
 		return err
 	}
 	if !batch.Sync {
@@ -142,14 +142,14 @@
 	if err := l.sync(); err != nil {
 		return err
 	}
-	if l.current().size >= l.options.SegmentMax {
+	if l.currentSegment().size >= l.options.SegmentMax {
 		return l.roll()
 	}
 	return nil
 }
 
-// Close closes the files and releases the folder. It does not sync. WriteSnapshot
-// and RemoveObsolete must have returned before.
+// Close closes the files and releases the lock on the folder. It does not sync.
+// Calls of WriteSnapshot and RemoveObsolete must have returned before.
 func (l *Log) Close() error {
 	_ = l.fail("using a closed log", io.ErrClosedPipe)
 	err := l.file.Close()
@@ -168,21 +168,21 @@
 
 func (l *Log) path(name string) string { return filepath.Join(l.options.Dir, name) }
 
-func (l *Log) current() *segment { return &l.segments[len(l.segments)-1] }
+func (l *Log) currentSegment() *segment { return &l.segments[len(l.segments)-1] }
 
-// fail closes the log for good and returns the first failure.
+// fail closes the log permanently and returns the first failure.
 func (l *Log) fail(operation string, cause error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.failure == nil {
-		l.failure = failed(operation, cause)
+		l.failure = ioError(operation, cause)
 	}
 	return l.failure
 }
 
-// frame adds one record to the buffer.
-func (l *Log) frame(kind recordKind, message proto.Message) error {
-	buffer, chain, err := appendFrame(l.buffer, l.chain, l.batch, kind, message)
+// appendRecord appends one record to the buffer.
+func (l *Log) appendRecord(kind recordKind, message proto.Message) error {
+	buffer, chain, err := appendFrame(l.buffer, l.chain, l.syncCount, kind, message)
 	if err != nil {
 		return l.fail("encoding a record", err)
 	}
@@ -190,8 +190,8 @@
 	return nil
 }
 
-// write hands the buffer to the file.
-func (l *Log) write() error {
+// flush writes the buffer to the file without syncing it.
+func (l *Log) flush() error {
 	if len(l.buffer) == 0 {
 		return nil
 	}
@@ -203,8 +203,8 @@
 	if err != nil {
 		return l.fail("writing the log", err)
 	}
-	l.current().size += int64(count)
-	l.current().last = l.last
+	l.currentSegment().size += int64(count)
+	l.currentSegment().lastIndex = l.lastIndex
 	return nil
 }
 
@@ -217,7 +217,7 @@
 		return l.fail("syncing the log", err)
 	}
 	l.unsynced = false
-	l.batch++
+	l.syncCount++
 	return nil
 }
 
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -25,14 +25,15 @@
 	return Open(Options{Dir: dir, FS: m, SegmentMax: 600, NewIdentity: m.rand.Uint64})
 }
 
-// model is what a log should hold.
+// model is the expected state of a log.
 type model struct {
-	hard     *pb.HardState
-	snapshot *pb.Snapshot
-	entries  []*pb.Entry
-	// made and file are a snapshot that is written and not installed yet.
-	made *pb.Snapshot
-	file *SnapshotFile
+	hardState *pb.HardState
+	snapshot  *pb.Snapshot
+	entries   []*pb.Entry
+	// written is a snapshot that is written but not yet installed, and
+	// writtenFile its file.
+	written     *pb.Snapshot
+	writtenFile *SnapshotFile
 }
 
 func (m model) last() uint64 {
@@ -42,15 +43,15 @@
 	return m.snapshot.GetIndex()
 }
 
-// steps are a life of a log: appends, overwrites, snapshots, also such that the
-// log goes on between writing and installing them, and resets.
+// steps exercise a log: appends, overwrites, snapshots, some of them with further
+// appends between writing and installing the snapshot, and resets.
 var steps = func() []func(l *Log, m model) (model, error) {
 	save := func(back uint64, count int, term uint64) func(l *Log, m model) (model, error) {
 		return func(l *Log, m model) (model, error) {
 			from := m.last() + 1 - back
 			m.entries = m.entries[: len(m.entries)-int(back) : len(m.entries)-int(back)]
-			m.hard = &pb.HardState{Term: term, Vote: 1, Commit: from - 1}
-			batch := Batch{HardState: m.hard, Sync: true}
+			m.hardState = &pb.HardState{Term: term, Vote: 1, Commit: from - 1}
+			batch := Batch{HardState: m.hardState, Sync: true}
 			for i := range uint64(count) {
 				batch.Entries = append(batch.Entries, &pb.Entry{Index: from + i, Term: term, Kind: pb.EntryKind_ENTRY_KIND_DATA, Data: make([]byte, 10+10*i)})
 			}
@@ -70,33 +71,34 @@
 		return m, l.SaveSnapshot(m.snapshot, true)
 	}
 	write := func(l *Log, m model) (model, error) {
-		m.made = &pb.Snapshot{Index: m.last() - 2, Term: 1, Data: []byte("written beside the log")}
+		m.written = &pb.Snapshot{Index: m.last() - 2, Term: 1, Data: []byte("written concurrently")}
 		var err error
-		m.file, err = l.WriteSnapshot(m.made)
+		m.writtenFile, err = l.WriteSnapshot(m.written)
 		return m, err
 	}
 	install := func(l *Log, m model) (model, error) {
-		if base := m.snapshot.GetIndex(); m.made.Index > base {
-			m.entries = m.entries[m.made.Index-base:]
-			m.snapshot = m.made
+		if base := m.snapshot.GetIndex(); m.written.Index > base {
+			m.entries = m.entries[m.written.Index-base:]
+			m.snapshot = m.written
 		}
-		return m, l.InstallSnapshot(m.file)
+		return m, l.InstallSnapshot(m.writtenFile)
 	}
 	remove := func(l *Log, m model) (model, error) { return m, l.RemoveObsolete() }
 	return []func(l *Log, m model) (model, error){
 		save(0, 3, 1), save(0, 4, 1), save(2, 3, 2), save(0, 9, 3), save(0, 9, 3), snapshot,
 		save(0, 5, 3), write, save(1, 9, 4), save(0, 9, 4), install, save(0, 3, 4), remove,
-		write, save(0, 9, 4), reset, save(0, 1, 9), install, remove, // the one from the leader wins
-		save(0, 9, 9), save(0, 9, 9), write, install, save(0, 9, 9), reset, // removes what the one before has replaced first
+		write, save(0, 9, 4), reset, save(0, 1, 9), install, remove, // the leader's newer snapshot takes precedence
+		save(0, 9, 9), save(0, 9, 9), write, install, save(0, 9, 9), reset, // removes the files that the previous snapshot replaced first
 		save(0, 5, 9), save(1, 9, 9), snapshot, save(0, 2, 9), reset, save(0, 3, 9), save(0, 9, 9), snapshot, save(0, 1, 9),
 	}
 }()
 
-// same reports what differs between a state read and a model.
-func same(state State, m model) string {
+// stateDiff describes the first difference between a recovered state and a model,
+// or returns "".
+func stateDiff(state State, m model) string {
 	switch {
-	case !proto.Equal(state.HardState, m.hard):
-		return fmt.Sprint("hard state ", state.HardState, ", want ", m.hard)
+	case !proto.Equal(state.HardState, m.hardState):
+		return fmt.Sprint("hard state ", state.HardState, ", want ", m.hardState)
 	case !proto.Equal(state.Snapshot, m.snapshot):
 		return fmt.Sprint("snapshot ", state.Snapshot, ", want ", m.snapshot)
 	case !slices.EqualFunc(state.Entries, m.entries, func(a, b *pb.Entry) bool { return proto.Equal(a, b) }):
@@ -105,117 +107,119 @@
 	return ""
 }
 
-// live runs the steps until one fails and returns the state before it and the
-// state that it aimed at.
-func live(l *Log) (before, aim model, err error) {
+// runSteps runs the steps until one fails. It returns the expected states before
+// that step and after its success.
+func runSteps(l *Log) (before, target model, err error) {
 	for _, step := range steps {
-		before = aim
-		if aim, err = step(l, before); err != nil {
-			return before, aim, err
+		before = target
+		if target, err = step(l, before); err != nil {
+			return before, target, err
 		}
 	}
-	return aim, aim, nil
+	return target, target, nil
 }
 
-// Every write, sync, rename, create and removal fails once, in each place where
-// it happens. The log must report it, refuse everything after it, and after a
-// crash hold all that was acknowledged.
-func TestEveryOperationFails(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.FullDisk}, Step: "every write, sync, rename, create and removal of the log, then a crash", Together: true,
-		Guard: "each alone: sync of a record, an error of a sync, sync of the file of a snapshot"}.Log(t)
+// Injects a failure into each single write, sync, rename, create and remove
+// operation. The log must report the failure, refuse all further writes, and
+// contain all acknowledged data after a crash.
+func TestFailureOfEachFileOperation(t *testing.T) {
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.FullDisk}, Step: "a failure of each write, sync, rename, create and removal of the log, followed by a crash", Together: true,
+		Guard: "each alone: syncing a record, reporting a failed sync, syncing a snapshot file"}.Log(t)
 	kinds := map[string]int{}
-	const crashes = 8 // of each operation, with other parts lost
+	const crashes = 8 // per operation; each loses other unsynced data
 	for run := crashes; ; run++ {
 		failAt := run / crashes
 		m := newMemFS(uint64(run))
 		m.failAt = failAt
-		var before, aim model
+		var before, target model
 		l, _, err := openMem(m)
 		if err == nil {
-			before, aim, err = live(l)
+			before, target, err = runSteps(l)
 		}
-		if m.failed == "" {
+		if m.failedOperation == "" {
 			break
 		}
-		kinds[m.failed]++
+		kinds[m.failedOperation]++
 		if err == nil {
-			t.Fatalf("operation %d (%s) failed and nobody heard of it", failAt, m.failed)
+			t.Fatalf("operation %d (%s) failed and no error was reported", failAt, m.failedOperation)
 		}
-		m.failAt = 0 // the disk works again, as after a failed fsync
+		m.failAt = 0 // further operations succeed, as they may after a failed fsync
 		if l != nil {
-			if again := l.Save(Batch{Entries: []*pb.Entry{{Index: aim.last() + 1}}, Sync: true}); again != err && fault.KindOf(again) != fault.Internal {
-				t.Fatalf("operation %d (%s): the log went on after its failure", failAt, m.failed)
+			if again := l.Save(Batch{Entries: []*pb.Entry{{Index: target.last() + 1}}, Sync: true}); again != err && fault.KindOf(again) != fault.Internal {
+				t.Fatalf("operation %d (%s): the log accepted a write after its failure", failAt, m.failedOperation)
 			}
 		}
 		m.crash()
 		l, state, err := openMem(m)
 		if err != nil {
-			t.Fatalf("operation %d (%s): %v", failAt, m.failed, err)
+			t.Fatalf("operation %d (%s): %v", failAt, m.failedOperation, err)
 		}
-		if !holds(state, before, aim) {
-			t.Fatalf("operation %d (%s): acknowledged state is lost: %s", failAt, m.failed, same(state, before))
+		if !isAcceptable(state, before, target) {
+			t.Fatalf("operation %d (%s): acknowledged state was lost: %s", failAt, m.failedOperation, stateDiff(state, before))
 		}
 		if err := l.Save(Batch{HardState: &pb.HardState{Term: 99}, Sync: true}); err != nil {
 			t.Fatal(err)
 		}
 		m.crash()
 		if _, state, err = openMem(m); err != nil || state.HardState.GetTerm() != 99 {
-			t.Fatalf("operation %d (%s): not usable after repair: %v", failAt, m.failed, err)
+			t.Fatalf("operation %d (%s): log not usable after the restart: %v", failAt, m.failedOperation, err)
 		}
 	}
 	t.Log(kinds)
 }
 
-// holds reports whether a state is the one before an unacknowledged step, the one
-// it aimed at, or, for a save, between: the hard state comes first, then entries.
-func holds(state State, before, aim model) bool {
-	if same(state, before) == "" || same(state, aim) == "" {
+// isAcceptable reports whether a recovered state is the one before an
+// unacknowledged step, the one after it or, for a save, one in between: the hard
+// state is written first, then the entries.
+func isAcceptable(state State, before, target model) bool {
+	if stateDiff(state, before) == "" || stateDiff(state, target) == "" {
 		return true
 	}
-	if before.snapshot != aim.snapshot || !proto.Equal(state.HardState, aim.hard) {
+	if before.snapshot != target.snapshot || !proto.Equal(state.HardState, target.hardState) {
 		return false
 	}
-	part := model{hard: aim.hard, snapshot: aim.snapshot, entries: before.entries}
-	if same(state, part) == "" {
+	partial := model{hardState: target.hardState, snapshot: target.snapshot, entries: before.entries}
+	if stateDiff(state, partial) == "" {
 		return true
 	}
-	kept := len(state.Entries)
-	part.entries = aim.entries[:min(kept, len(aim.entries))]
-	return aim.hard.GetCommit() <= part.last() && same(state, part) == ""
+	entryCount := len(state.Entries)
+	partial.entries = target.entries[:min(entryCount, len(target.entries))]
+	return target.hardState.GetCommit() <= partial.last() && stateDiff(state, partial) == ""
 }
 
-// Any single flipped bit in any file stops the start, naming file and remedy.
-func TestFlippedByteStopsTheStart(t *testing.T) {
+// Flips one bit in each byte of each file. Open must fail and name the file and
+// the offset.
+func TestOpenDetectsFlippedBits(t *testing.T) {
 	m := newMemFS(1)
 	l, _, err := openMem(m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err = live(l); err != nil {
+	if _, _, err = runSteps(l); err != nil {
 		t.Fatal(err)
 	}
 	flips := 0
 	for _, name := range slices.Sorted(maps.Keys(m.names)) {
 		original := m.names[name].data
 		for offset := range original {
-			damaged := slices.Clone(original)
-			damaged[offset] ^= 1 << (offset % 8)
+			corrupted := slices.Clone(original)
+			corrupted[offset] ^= 1 << (offset % 8)
 			trial := newMemFS(1)
 			trial.names = maps.Clone(m.names)
-			trial.names[name] = &memFile{fs: trial, data: damaged}
+			trial.names[name] = &memFile{fs: trial, data: corrupted}
 			_, _, err := openMem(trial)
 			if !fault.Is(err, fault.Corrupt) || !strings.Contains(err.Error(), name) || !strings.Contains(err.Error(), "offset") {
-				t.Fatalf("byte %d of %s flipped: %v", offset, name, err)
+				t.Fatalf("bit flipped in byte %d of %s: %v", offset, name, err)
 			}
 			flips++
 		}
 	}
-	t.Log(flips, "flipped bytes found")
+	t.Log(flips, "flipped bits detected")
 }
 
-// A tail that was never acknowledged is cut off wherever it tears, also when the
-// file has grown and its last sectors were never written.
-func TestTornTailIsCutOff(t *testing.T) {
+// An unacknowledged tail is truncated wherever it is torn, also if the file was
+// extended but its last sectors were never written.
+func TestOpenTruncatesTornTail(t *testing.T) {
 	for _, grown := range []bool{false, true} {
 		m := newMemFS(1)
 		l, _, err := openMem(m)
@@ -262,9 +266,9 @@
 	}
 }
 
-// Damage that is not at the very end is not a torn tail: a shortened, missing or
-// zeroed part that later syncs have followed stops the start.
-func TestLostPartStopsTheStart(t *testing.T) {
+// A truncated, missing or zeroed part that is followed by data of later syncs is
+// corruption and not a torn tail: Open must fail.
+func TestOpenDetectsMissingData(t *testing.T) {
 	build := func() (*memFS, string) {
 		m := newMemFS(1)
 		l, _, err := Open(Options{Dir: dir, FS: m, SegmentMax: 2000, NewIdentity: m.rand.Uint64})
@@ -276,8 +280,8 @@
 		}
 		return m, l.path(segmentName(2))
 	}
-	damages := map[string]func(m *memFS, name string){ // by the reason that the error gives
-		"cut short": func(m *memFS, name string) { m.names[name].data = m.names[name].data[:700] },
+	corruptions := map[string]func(m *memFS, name string){ // by the reason in the error
+		"truncated record": func(m *memFS, name string) { m.names[name].data = m.names[name].data[:700] },
 		"ends with entry 13 instead of 14": func(m *memFS, name string) {
 			data := m.names[name].data
 			offset, last := 0, 0
@@ -289,20 +293,20 @@
 		},
 		"segment 2 is missing":         func(m *memFS, name string) { delete(m.names, name) },
 		"label of the disk is missing": func(m *memFS, _ string) { delete(m.names, dir+"/"+labelName) },
-		"the checksum does not match": func(m *memFS, _ string) {
+		"checksum mismatch": func(m *memFS, _ string) {
 			clear(m.names[dir+"/"+segmentName(3)].data[sectorSize : 2*sectorSize])
 		},
 	}
-	for reason, damage := range damages {
+	for reason, corrupt := range corruptions {
 		m, name := build()
-		damage(m, name)
+		corrupt(m, name)
 		if _, _, err := openMem(m); !fault.Is(err, fault.Corrupt) || !strings.Contains(err.Error(), reason) {
 			t.Fatalf("%s: %v", reason, err)
 		}
 	}
 }
 
-func TestFolderIsLockedAndIncarnationGrows(t *testing.T) {
+func TestOpenLocksFolderAndRaisesIncarnation(t *testing.T) {
 	is := is.New(t)
 	options := Options{Dir: filepath.Join(t.TempDir(), "replica"), NewIdentity: func() uint64 { return 7 }}
 	first, state, err := Open(options)
@@ -315,23 +319,23 @@
 	is.Equal(again.Label.Identity, state.Label.Identity)
 	is.Equal(again.Label.Incarnation, state.Label.Incarnation+1)
 	is.NoErr(second.Close())
-	is.NoErr(os.Remove(filepath.Join(options.Dir, segmentName(1)))) // the log is lost, the label is not
+	is.NoErr(os.Remove(filepath.Join(options.Dir, segmentName(1)))) // the log is lost but not the label
 	options.NewIdentity = func() uint64 { return 8 }
-	third, blank, err := Open(options)
+	third, fresh, err := Open(options)
 	is.NoErr(err)
-	is.Equal(blank.Label.Identity, uint64(8))
+	is.Equal(fresh.Label.Identity, uint64(8))
 	is.NoErr(third.Close())
 }
 
-// FuzzSegment opens a log with an arbitrary last segment. It must not panic, and
-// what it accepts it must accept again.
+// FuzzSegment opens a log with arbitrary data as its only segment. Open must not
+// panic, and a log that it accepts must yield the same state when opened again.
 func FuzzSegment(f *testing.F) {
 	m := newMemFS(1)
 	l, _, err := openMem(m)
 	if err != nil {
 		f.Fatal(err)
 	}
-	if _, _, err := live(l); err != nil {
+	if _, _, err := runSteps(l); err != nil {
 		f.Fatal(err)
 	}
 	for name, file := range m.names {
@@ -357,7 +361,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if difference := same(second, model{hard: first.HardState, snapshot: first.Snapshot, entries: first.Entries}); difference != "" {
+		if difference := stateDiff(second, model{hardState: first.HardState, snapshot: first.Snapshot, entries: first.Entries}); difference != "" {
 			t.Fatal(difference)
 		}
 	})
