--- a/feed/client.go
+++ b/feed/client.go
@@ -19,55 +19,57 @@
 // DefaultPingInterval is the time between two pings of a client.
 const DefaultPingInterval = 250 * time.Millisecond
 
-// blankPingInterval is the time between two pings of a client that has no
-// configuration yet: it is shown one as soon as a quorum has confirmed it.
-const blankPingInterval = 50 * time.Millisecond
+// initialPingInterval is the time between two pings of a client that has no
+// configuration yet. It is short because the first configuration is applied only
+// once a pong has shown that a quorum confirms it.
+const initialPingInterval = 50 * time.Millisecond
 
-// maxSnapshotBytes bounds one received message: a whole configuration.
-const maxSnapshotBytes = 256 << 20
+// maxMessageBytes bounds one received message. The largest messages are snapshots
+// of the complete configuration.
+const maxMessageBytes = 256 << 20
 
 // Config sets up a Client.
 type Config struct {
 	// Sources are relays or control replicas, host:port, in order of preference.
 	Sources []string
-	// Daemon names this process uniquely in the fleet.
+	// Daemon is the name of this process, unique in the fleet.
 	Daemon string
 	// Role is entry, agent or relay.
 	Role string
 	// Zone is the availability zone of this process.
 	Zone string
-	// Incarnation is new at every start of this process.
+	// Incarnation is different at every start of this process.
 	Incarnation uint64
 	// PingInterval defaults to DefaultPingInterval.
 	PingInterval time.Duration
-	// Limits say when a source is left; zero fields take their defaults.
+	// Limits determine when a source is left; zero fields take their defaults.
 	Limits Limits
-	// DialOptions reach the sources.
+	// DialOptions are used for the connections to the sources.
 	DialOptions []grpc.DialOption
 	// Logger defaults to slog.Default().
 	Logger *slog.Logger
 }
 
-// Client keeps a daemon's copy of the accepted configuration. It never goes
-// back to a lower revision than it has shown. Its methods may be called from
-// any goroutine.
+// Client keeps a daemon's copy of the accepted configuration. It never goes back
+// to a lower revision than it has delivered. Its methods are safe for concurrent
+// use.
 type Client struct {
 	cfg Config
-	// below, if set, returns the daemons that a relay reports with a ping.
-	below func(now time.Time) []*controlv1.DaemonStatus
-
-	// mu guards all below. The lock is not held while callbacks run.
-	mu       sync.Mutex
-	follower *Follower
-	view     *View
-	changed  chan struct{}
-	applied  []func(*Transition)
-	source   string
-	// sources are those to watch, in order of preference.
+	// downstream, if set, returns the daemons that a relay reports with a ping.
+	downstream func(now time.Time) []*controlv1.DaemonStatus
+
+	// mu guards the fields below. It is not held while callbacks run.
+	mu                  sync.Mutex
+	follower            *Follower
+	view                *View
+	changed             chan struct{}
+	transitionCallbacks []func(*Transition)
+	source              string
+	// sources are the sources to try, in order of preference.
 	sources []string
 }
 
-// NewClient returns a client, which does nothing before Run.
+// NewClient returns a client, which does nothing until Run is called.
 func NewClient(cfg Config) *Client {
 	cfg.PingInterval = orDefault(cfg.PingInterval, DefaultPingInterval)
 	cfg.Limits.PongTimeout = orDefault(cfg.Limits.PongTimeout, DefaultPongTimeout)
@@ -85,7 +87,8 @@
 	}
 }
 
-// SetSources replaces the sources. The one that is watched stays until it fails.
+// SetSources replaces the configured sources. The current source is kept until it
+// fails. An empty list is ignored.
 func (c *Client) SetSources(sources []string) {
 	if len(sources) == 0 {
 		return
@@ -95,15 +98,15 @@
 	c.cfg.Sources, c.sources = sources, sources
 }
 
-// learn puts the control replicas that a source has named before the sources of
-// the settings: those may be of long ago.
-func (c *Client) learn(replicas []string) {
+// setDiscoveredReplicas gives the control replicas that a source has reported
+// precedence over the configured sources, which may be out of date.
+func (c *Client) setDiscoveredReplicas(replicas []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sources := slices.Clone(replicas)
-	for _, set := range c.cfg.Sources {
-		if !slices.Contains(sources, set) {
-			sources = append(sources, set)
+	for _, configured := range c.cfg.Sources {
+		if !slices.Contains(sources, configured) {
+			sources = append(sources, configured)
 		}
 	}
 	if !slices.Equal(sources, c.sources) {
@@ -118,29 +121,29 @@
 	return c.sources
 }
 
-// orDefault returns the value if it is set.
-func orDefault(value, standard time.Duration) time.Duration {
+// orDefault returns the value if it is positive, otherwise the fallback.
+func orDefault(value, fallback time.Duration) time.Duration {
 	if value > 0 {
 		return value
 	}
-	return standard
+	return fallback
 }
 
-// OnApply adds a callback for each new configuration. Callbacks run one after
-// another and in the order of the revisions, before Configuration shows the
-// revision and before it is acknowledged. The first call has a nil old view and
-// a delta from the empty configuration. OnApply must be called before Run.
+// OnApply adds a callback for each new configuration. Callbacks run sequentially
+// and in the order of the revisions, before Configuration returns the revision
+// and before it is acknowledged. The first call has a nil old view and a delta
+// from the empty configuration. OnApply must be called before Run.
 func (c *Client) OnApply(callback func(old, new *View, delta *fleetv1.Delta)) {
-	c.onStep(func(step *Transition) { callback(step.Old, step.New, step.Delta) })
+	c.onTransition(func(transition *Transition) { callback(transition.Old, transition.New, transition.Delta) })
 }
 
-func (c *Client) onStep(callback func(*Transition)) {
+func (c *Client) onTransition(callback func(*Transition)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.applied = append(c.applied, callback)
+	c.transitionCallbacks = append(c.transitionCallbacks, callback)
 }
 
-// Configuration returns the configuration that the daemon acts on; nil before
+// Configuration returns the configuration that the daemon has applied; nil before
 // the first one.
 func (c *Client) Configuration() *View {
 	c.mu.Lock()
@@ -148,7 +151,7 @@
 	return c.view
 }
 
-// Changed returns a channel that is closed at the next new revision.
+// Changed returns a channel that is closed when the next revision is applied.
 func (c *Client) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,63 +159,65 @@
 }
 
 // Freshness returns a revision and a local monotonic time such that a quorum
-// had confirmed, at that time or later, that no revision above the one returned
-// had been accepted. The daemon acts on that revision or on a later one.
+// confirmed, at that time or later, that no revision above the one returned had
+// been accepted. The daemon has applied that revision or a later one.
 func (c *Client) Freshness() (revision uint64, at time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.follower.Freshness()
 }
 
-// Ready reports whether the client has shown a configuration.
+// Ready reports whether the client has applied a configuration.
 func (c *Client) Ready() bool { return c.Configuration() != nil }
 
-// Source returns the source that the client watches; empty for none.
+// Source returns the address of the current or last watched source; empty before
+// the first.
 func (c *Client) Source() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.source
 }
 
-// Counts returns what the client has refused to believe so far.
+// Counts returns how many messages the client has rejected so far.
 func (c *Client) Counts() FollowerCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.follower.Counts()
 }
 
-// Run watches one source after another until ctx ends, whose error it returns.
-// A client without sources is refused at once.
+// Run watches one source after another until ctx ends and returns the error of
+// ctx. It fails immediately if no source is configured.
 func (c *Client) Run(ctx context.Context) error {
 	if len(c.cfg.Sources) == 0 {
 		return trace.BadParameter("a feed client needs at least one source; set the addresses of relays or control replicas")
 	}
 	connections := newConnections(c.cfg.DialOptions)
 	defer connections.close()
-	order := newRotation(len(c.cfg.Sources))
+	sourceOrder := newRotation(len(c.cfg.Sources))
 	for ctx.Err() == nil {
 		sources := c.currentSources()
-		order.resize(len(sources))
-		source := sources[order.index]
-		begun := time.Now()
-		worked, err := c.watch(ctx, connections, source, order.stay())
+		sourceOrder.resize(len(sources))
+		source := sources[sourceOrder.index]
+		started := time.Now()
+		wasFresh, err := c.watch(ctx, connections, source, sourceOrder.watchLimit())
 		if ctx.Err() != nil {
 			break
 		}
 		if err == nil {
-			order.stayed()
+			sourceOrder.returnToFirst()
 			continue
 		}
-		c.logLeft(source, begun, err)
-		wait.For(ctx, order.failed(worked))
+		c.logSourceLeft(source, started, err)
+		wait.For(ctx, sourceOrder.advance(wasFresh))
 	}
 	return ctx.Err()
 }
 
-// logLeft says why a source was left, how long it was watched, and how old the
-// knowledge is that the daemon acts on: a caller may have been answered by it.
-func (c *Client) logLeft(source string, begun time.Time, reason error) {
-	attributes := []any{"source", source, "watched", time.Since(begun), "error", reason}
+// logSourceLeft logs why a source was left, how long it was watched, and when the
+// applied configuration was last confirmed: requests may have been answered
+// according to an outdated one.
+func (c *Client) logSourceLeft(source string, started time.Time, reason error) {
+	attributes := []any{"source", source, "watched", time.Since(started), "error", reason}
 	if revision, confirmed, ok := c.Freshness(); ok {
 		attributes = append(attributes, "revision", revision, "confirmed_ago", time.Since(confirmed))
 	}
--- a/feed/dark_test.go
+++ b/feed/connect_test.go
@@ -12,11 +12,12 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// TestADarkSourceIsLeftBeforeAFirstAnswerIsDue connects to a host that takes connections
-// and says nothing, as a frozen one does, and to one that takes none.
-func TestADarkSourceIsLeftBeforeAFirstAnswerIsDue(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Freeze, proof.Kill}, Step: "going on to a source that is dark as well", Together: true,
-		Guard: "connected: a source has half a second to take a connection"}.Log(t)
+// TestWatchFailsFastOnUnresponsiveSource connects to a host that accepts connections but sends
+// nothing, as a frozen one does, and to one that refuses connections. Without connectTimeout
+// the client would wait for DefaultFirstPongTimeout.
+func TestWatchFailsFastOnUnresponsiveSource(t *testing.T) {
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Freeze, proof.Kill}, Step: "switching to a source that is unresponsive as well", Together: true,
+		Guard: "waitReady: a source has half a second to accept a connection"}.Log(t)
 	is := is.New(t)
 	frozen, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -27,10 +28,10 @@
 	for _, addr := range []string{frozen.Addr().String(), down.Addr().String()} {
 		connections := newConnections([]grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())})
 		client := NewClient(Config{Sources: []string{addr}, Daemon: "d", Role: "entry"})
-		began := time.Now()
-		worked, err := client.watch(t.Context(), connections, addr, 0)
-		is.True(err != nil && !worked)
-		is.True(time.Since(began) < 2*connectLimit) // DefaultFirstAnswer is three seconds
+		started := time.Now()
+		wasFresh, err := client.watch(t.Context(), connections, addr, 0)
+		is.True(err != nil && !wasFresh)
+		is.True(time.Since(started) < 2*connectTimeout) // DefaultFirstPongTimeout is three seconds
 		connections.close()
 	}
 }
--- a/feed/daemons.go
+++ b/feed/daemons.go
@@ -8,12 +8,11 @@
 	controlv1 "github.com/lilackeel/lilackeel/api/control/v1"
 )
 
-// forgetDaemonAfter is how long a daemon that does not report any more stays
-// listed.
-const forgetDaemonAfter = 10 * time.Minute
+// daemonRetention is how long a daemon that no longer reports remains listed.
+const daemonRetention = 10 * time.Minute
 
-// Daemons knows which daemons have reported, when, and the revision that each acts
-// on. Its methods may be called from any goroutine.
+// Daemons records which daemons have reported, when, and the revision that each
+// has applied. Its methods are safe for concurrent use.
 type Daemons struct {
 	mu     sync.Mutex
 	byName map[string]*daemonRecord
@@ -23,9 +22,9 @@
 	role, zone  string
 	incarnation uint64
 	revision    uint64
-	heard       time.Time
-	// moved is when revision or incarnation last changed.
-	moved time.Time
+	lastHeard   time.Time
+	// lastChange is when the revision or the incarnation last changed.
+	lastChange time.Time
 }
 
 // NewDaemons returns an empty list.
@@ -33,34 +32,34 @@
 	return &Daemons{byName: map[string]*daemonRecord{}}
 }
 
-// Hear records the report of a daemon that came at the given time. A report
-// that is older than what is known is dropped.
-func (d *Daemons) Update(heard time.Time, status *controlv1.DaemonStatus) {
+// Update records the status that a daemon reported at the given time. A status
+// that is older than the recorded one is dropped.
+func (d *Daemons) Update(reportedAt time.Time, status *controlv1.DaemonStatus) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.record(heard, status)
+	d.updateLocked(reportedAt, status)
 }
 
-func (d *Daemons) record(heard time.Time, status *controlv1.DaemonStatus) {
-	known, ok := d.byName[status.GetName()]
+func (d *Daemons) updateLocked(reportedAt time.Time, status *controlv1.DaemonStatus) {
+	record, ok := d.byName[status.GetName()]
 	if !ok {
-		known = &daemonRecord{}
-		d.byName[status.GetName()] = known
+		record = &daemonRecord{}
+		d.byName[status.GetName()] = record
 	}
-	if heard.Before(known.heard) {
+	if reportedAt.Before(record.lastHeard) {
 		return
 	}
-	if !ok || known.revision != status.GetRevision() || known.incarnation != status.GetIncarnation() {
-		known.moved = heard
+	if !ok || record.revision != status.GetRevision() || record.incarnation != status.GetIncarnation() {
+		record.lastChange = reportedAt
 	}
-	known.role = status.GetRole()
-	known.zone = status.GetZone()
-	known.incarnation = status.GetIncarnation()
-	known.revision = status.GetRevision()
-	known.heard = heard
+	record.role = status.GetRole()
+	record.zone = status.GetZone()
+	record.incarnation = status.GetIncarnation()
+	record.revision = status.GetRevision()
+	record.lastHeard = reportedAt
 }
 
-func (d *Daemons) hear(now time.Time, hello *controlv1.Hello, revision uint64) {
+func (d *Daemons) updateFromHello(now time.Time, hello *controlv1.Hello, revision uint64) {
 	d.Update(now, &controlv1.DaemonStatus{
 		Name:        hello.GetDaemon(),
 		Role:        hello.GetRole(),
@@ -70,44 +69,45 @@
 	})
 }
 
-// hearBelow takes in a relay's report of the daemons that watch it.
-func (d *Daemons) hearBelow(now time.Time, below []*controlv1.DaemonStatus) {
-	if len(below) == 0 {
+// updateDownstream records a relay's report of the daemons that watch it.
+func (d *Daemons) updateDownstream(now time.Time, statuses []*controlv1.DaemonStatus) {
+	if len(statuses) == 0 {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, status := range below {
-		heard := now.Add(-time.Duration(status.GetHeardMs()) * time.Millisecond)
-		d.record(heard, status)
+	for _, status := range statuses {
+		reportedAt := now.Add(-time.Duration(status.GetHeardMs()) * time.Millisecond)
+		d.updateLocked(reportedAt, status)
 	}
 }
 
-// List returns the daemons by name, and forgets those that have long gone.
+// List returns the daemons in the order of their names. It removes those whose
+// last report is older than daemonRetention.
 func (d *Daemons) List(now time.Time) []*controlv1.DaemonStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	list := make([]*controlv1.DaemonStatus, 0, len(d.byName))
-	for name, known := range d.byName {
-		if now.Sub(known.heard) > forgetDaemonAfter {
+	for name, record := range d.byName {
+		if now.Sub(record.lastHeard) > daemonRetention {
 			delete(d.byName, name)
 			continue
 		}
-		list = append(list, known.status(name, now))
+		list = append(list, record.status(name, now))
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].GetName() < list[j].GetName() })
 	return list
 }
 
-// movedSince returns the daemons whose revision or incarnation has changed at
-// the given time or later.
-func (d *Daemons) movedSince(since, now time.Time) []*controlv1.DaemonStatus {
+// changedSince returns the daemons whose revision or incarnation changed at the
+// given time or later.
+func (d *Daemons) changedSince(since, now time.Time) []*controlv1.DaemonStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var list []*controlv1.DaemonStatus
-	for name, known := range d.byName {
-		if !known.moved.Before(since) {
-			list = append(list, known.status(name, now))
+	for name, record := range d.byName {
+		if !record.lastChange.Before(since) {
+			list = append(list, record.status(name, now))
 		}
 	}
 	return list
@@ -119,7 +119,7 @@
 		Role:        r.role,
 		Zone:        r.zone,
 		Revision:    r.revision,
-		HeardMs:     now.Sub(r.heard).Milliseconds(),
+		HeardMs:     now.Sub(r.lastHeard).Milliseconds(),
 		Incarnation: r.incarnation,
 	}
 }
--- a/feed/encoder.go
+++ b/feed/encoder.go
@@ -9,25 +9,25 @@
 	fleetv1 "github.com/lilackeel/lilackeel/api/fleet/v1"
 )
 
-// maxUpdates bounds the updates that are kept encoded.
-const maxUpdates = 64
+// maxCachedUpdates bounds the number of encoded updates in the cache.
+const maxCachedUpdates = 64
 
-// update is an encoded snapshot or delta that brings a daemon to a revision.
+// update is an encoded snapshot or delta that updates a daemon to a revision.
 type update struct {
 	prepared *grpc.PreparedMsg
 	revision uint64
 }
 
 // encoder encodes each update once for all watchers that need the same one. It
-// keeps only the updates to the latest revision.
+// caches only updates to the latest revision.
 type encoder struct {
 	mu       sync.Mutex
 	revision uint64
-	updates  map[uint64]*update
+	cache    map[uint64]*update
 }
 
-// update returns what brings a daemon from the given revision to the latest
-// one; nil when there is nothing.
+// update returns the update that takes a daemon from the given revision to the
+// latest one; nil if there is none.
 func (e *encoder) update(stream watchStream, source Source, from uint64) (*update, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -37,10 +37,10 @@
 	}
 	if e.revision != latest {
 		e.revision = latest
-		e.updates = map[uint64]*update{}
+		e.cache = map[uint64]*update{}
 	}
-	if ready, ok := e.updates[from]; ok {
-		return ready, nil
+	if cached, ok := e.cache[from]; ok {
+		return cached, nil
 	}
 	delta := deltaSince(source, from)
 	if delta == nil {
@@ -50,10 +50,10 @@
 	return e.encode(stream, response, from, delta.GetToRevision())
 }
 
-// snapshot returns the whole latest configuration.
+// snapshot returns an update with the complete latest configuration.
 func (e *encoder) snapshot(stream watchStream, source Source) (*update, error) {
-	if ready, ok := e.updates[0]; ok {
-		return ready, nil
+	if cached, ok := e.cache[0]; ok {
+		return cached, nil
 	}
 	configuration := source.Configuration()
 	if configuration == nil {
@@ -64,17 +64,17 @@
 }
 
 func (e *encoder) encode(stream watchStream, response *controlv1.WatchResponse, from, to uint64) (*update, error) {
-	made := &update{prepared: &grpc.PreparedMsg{}, revision: to}
-	if err := made.prepared.Encode(stream, response); err != nil {
+	encoded := &update{prepared: &grpc.PreparedMsg{}, revision: to}
+	if err := encoded.prepared.Encode(stream, response); err != nil {
 		return nil, err
 	}
-	if len(e.updates) < maxUpdates {
-		e.updates[from] = made
+	if len(e.cache) < maxCachedUpdates {
+		e.cache[from] = encoded
 	}
-	return made, nil
+	return encoded, nil
 }
 
-// deltaSince returns nil when only a snapshot can bring a daemon further.
+// deltaSince returns nil if the daemon needs a snapshot.
 func deltaSince(source Source, from uint64) *fleetv1.Delta {
 	if from == 0 {
 		return nil
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -19,13 +19,13 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// fakeSource is a source whose revisions a test makes.
+// fakeSource is a source whose revisions are created by a test.
 type fakeSource struct {
 	mu      sync.Mutex
 	view    *View
 	journal journal
 	changed chan struct{}
-	// known is whether a quorum confirms the source at every moment.
+	// known is whether the source always has a current quorum confirmation.
 	known bool
 }
 
@@ -74,8 +74,8 @@
 	return s.view.Revision, time.Now(), s.known
 }
 
-// serve publishes the source on loopback and returns its address.
-func serve(t *testing.T, server controlv1.FeedServer) string {
+// startServer runs the feed server on loopback and returns its address.
+func startServer(t *testing.T, server controlv1.FeedServer) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
@@ -108,10 +108,10 @@
 	t.Cleanup(func() { cancel(); <-done })
 }
 
-// await waits until the client acts on at least the revision.
-func await(t *testing.T, client *Client, revision uint64) *View {
+// awaitRevision waits until the client has applied at least the revision.
+func awaitRevision(t *testing.T, client *Client, revision uint64) *View {
 	t.Helper()
-	limit := time.After(30 * time.Second)
+	timeout := time.After(30 * time.Second)
 	for {
 		changed := client.Changed()
 		if view := client.Configuration(); view != nil && view.Revision >= revision {
@@ -119,20 +119,21 @@
 		}
 		select {
 		case <-changed:
-		case <-limit:
+		case <-timeout:
 			t.Fatalf("revision %d did not arrive", revision)
 		}
 	}
 }
 
-// A daemon below a relay gets the snapshot, then deltas, and catches up after
-// more changes than anybody remembers.
-func TestRelayCarriesChanges(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart}, Step: "planned stop of the relay above a daemon",
-		Guard: "the relay sends its daemons on"}.Log(t)
+// A daemon that watches a relay receives the snapshot, then deltas, and catches up
+// after more changes than the journals retain. When the relay stops, it switches to
+// the control replica.
+func TestRelayForwardsChanges(t *testing.T) {
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart}, Step: "planned stop of the relay that a daemon watches",
+		Guard: "the relay ends the watches of its daemons"}.Log(t)
 	is := is.New(t)
 	source := newFakeSource(1)
-	root := serve(t, NewServer(source))
+	root := startServer(t, NewServer(source))
 	relayClient := newTestClient("relay-a", root)
 	relay := NewRelay(relayClient)
 	runClient(t, relayClient)
@@ -141,27 +142,28 @@
 	ctx, stopRelay := context.WithCancel(t.Context())
 	defer stopRelay()
 	go func() { _ = relay.Run(ctx, listener) }()
-	below := listener.Addr().String()
-	client := newTestClient("entry-1", below, root)
+	relayAddr := listener.Addr().String()
+	client := newTestClient("entry-1", relayAddr, root)
 	runClient(t, client)
-	await(t, client, 1)
+	awaitRevision(t, client, 1)
 	for range 500 {
 		source.put(&fleetv1.Workspace{Name: "haneul"}, &fleetv1.Workspace{Name: "nawras"})
 	}
-	view := await(t, client, 501)
+	view := awaitRevision(t, client, 501)
 	is.Equal(view.Workspaces.Len(), 2)
-	is.Equal(client.Source(), below)
-	stopRelay() // planned: the daemon goes on with the control replica
+	is.Equal(client.Source(), relayAddr)
+	stopRelay() // graceful: the daemon switches to the control replica
 	source.put(&fleetv1.Workspace{Name: "rest"})
-	await(t, client, 502)
+	awaitRevision(t, client, 502)
 	is.Equal(client.Source(), root)
 }
 
-// A daemon that reads nothing holds up nobody, and leaves no queue behind.
-func TestSlowWatcherHoldsUpNobody(t *testing.T) {
+// A daemon that does not read its stream neither delays others nor builds up a
+// queue.
+func TestSlowWatcherDoesNotDelayOthers(t *testing.T) {
 	is := is.New(t)
 	source := newFakeSource(1)
-	addr := serve(t, NewServer(source))
+	addr := startServer(t, NewServer(source))
 	conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	is.NoErr(err)
 	defer conn.Close()
@@ -171,11 +173,11 @@
 	is.NoErr(slow.Send(&controlv1.WatchRequest{Kind: &controlv1.WatchRequest_Hello{Hello: hello}}))
 	quick := newTestClient("quick", addr)
 	runClient(t, quick)
-	await(t, quick, 1)
+	awaitRevision(t, quick, 1)
 	bulk := strings.Repeat("x", 64<<10)
 	for revision := uint64(2); revision < 200; revision++ {
 		source.put(&fleetv1.Workspace{Name: "bulk", Models: []string{bulk}})
-		await(t, quick, revision)
+		awaitRevision(t, quick, revision)
 	}
 	var messages int
 	for revision := uint64(1); revision < 199; messages++ {
@@ -184,10 +186,10 @@
 		is.True(response.GetDelta().GetFromRevision() <= revision)
 		revision = max(response.GetDelta().GetToRevision(), response.GetSnapshot().GetRevision())
 	}
-	is.True(messages < 100) // joined, not queued
+	is.True(messages < 100) // merged, not queued
 }
 
-// frozenFeed takes watches and then says nothing.
+// frozenFeed accepts watches but sends nothing.
 type frozenFeed struct {
 	controlv1.UnimplementedFeedServer
 }
@@ -197,78 +199,80 @@
 	return nil
 }
 
-// A client moves on from a source that takes its watch and then says nothing, and does not act on what an older source tells it afterwards.
-func TestClientMovesOnFromFrozenSource(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Freeze}, Step: "source that takes a watch and falls silent",
-		Guard: "the limits of silence and of staleness together"}.Log(t)
+// A client leaves a source that accepts its watch but sends nothing. It does not
+// apply the lower revision of a source that it watches later.
+func TestClientLeavesFrozenSource(t *testing.T) {
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Freeze}, Step: "source that accepts a watch but sends nothing",
+		Guard: "the pong timeout and the limit of staleness together"}.Log(t)
 	is := is.New(t)
-	frozen := serve(t, frozenFeed{})
+	frozen := startServer(t, frozenFeed{})
 	newer, older := newFakeSource(7), newFakeSource(5)
 	newerServer := NewServer(newer)
-	client := newTestClient("agent-1", frozen, serve(t, newerServer), serve(t, NewServer(older)))
+	client := newTestClient("agent-1", frozen, startServer(t, newerServer), startServer(t, NewServer(older)))
 	var applied []uint64
 	client.OnApply(func(_, new *View, _ *fleetv1.Delta) {
 		client.mu.Lock()
 		defer client.mu.Unlock()
-		is.True(client.follower.acked < new.Revision) // acknowledged only afterwards
+		is.True(client.follower.ackedRevision < new.Revision) // acknowledged only afterwards
 		applied = append(applied, new.Revision)
 	})
 	runClient(t, client)
-	await(t, client, 7)
+	awaitRevision(t, client, 7)
 	newerServer.Stop()
 	for older.Revision() < 8 {
 		older.put(&fleetv1.Workspace{Name: "nawras"})
 	}
-	await(t, client, 8)
+	awaitRevision(t, client, 8)
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	is.Equal(applied, []uint64{7, 8})
 }
 
-// cutSource is cut off from its quorum: it answers, and what it knows gets
-// older and older.
-type cutSource struct {
+// partitionedSource is partitioned from its quorum: it answers, but its last
+// confirmation gets older and older.
+type partitionedSource struct {
 	*fakeSource
 	confirmed time.Time
 }
 
-func (s *cutSource) Freshness() (uint64, time.Time, bool) {
+func (s *partitionedSource) Freshness() (uint64, time.Time, bool) {
 	return s.Revision(), s.confirmed, true
 }
 
-// A client that comes to a source cut off from its quorum leaves it once the
-// answers show that, and not only when a first answer would have been overdue.
-func TestClientMovesOnFromACutOffSource(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutBothWays}, Step: "coming to a source that is cut off from the quorum",
-		Guard: "the time to leave is set anew at each answer"}.Log(t)
+// A client leaves a source that is partitioned from its quorum as soon as the pongs
+// show that, and not only after FirstPongTimeout.
+func TestClientLeavesPartitionedSource(t *testing.T) {
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutBothWays}, Step: "switching to a source that is cut off from the quorum",
+		Guard: "the deadline of the source is updated at each pong"}.Log(t)
 	is := is.New(t)
-	cut := serve(t, NewServer(&cutSource{fakeSource: newFakeSource(1), confirmed: time.Now()}))
-	working := serve(t, NewServer(newFakeSource(2)))
-	client := newTestClient("entry-1", cut, working)
+	partitioned := startServer(t, NewServer(&partitionedSource{fakeSource: newFakeSource(1), confirmed: time.Now()}))
+	working := startServer(t, NewServer(newFakeSource(2)))
+	client := newTestClient("entry-1", partitioned, working)
 	client.follower.limits.FirstPongTimeout = time.Minute
 	var lines bytes.Buffer
 	client.cfg.Logger = slog.New(slog.NewJSONHandler(&lines, nil))
-	begun := time.Now()
+	started := time.Now()
 	runClient(t, client)
-	await(t, client, 2)
+	awaitRevision(t, client, 2)
 	is.Equal(client.Source(), working)
-	is.True(time.Since(begun) < 20*time.Second) // of the minute that a first answer may take
+	is.True(time.Since(started) < 20*time.Second) // FirstPongTimeout is one minute
 	is.True(strings.Contains(lines.String(), `"left a source of configuration"`))
 	is.True(strings.Contains(lines.String(), `"watched":`))
 }
 
-// A relay that has caught up by a snapshot does not know what came and went in
-// between, so a daemon that stood there gets a snapshot too.
-func TestRelayForgetsBehindASnapshot(t *testing.T) {
+// A relay that has caught up by a snapshot does not know the intermediate changes,
+// so a daemon that holds an intermediate revision receives a snapshot too. A delta
+// would leave it with records that were removed meanwhile.
+func TestRelayDiscardsDeltasAfterSnapshot(t *testing.T) {
 	is := is.New(t)
 	relay := NewRelay(newTestClient("relay-a", "127.0.0.1:1"))
 	old := NewView(&fleetv1.Configuration{Revision: 10})
-	with := old.Apply(&fleetv1.Delta{FromRevision: 10, ToRevision: 11, Workspaces: []*fleetv1.Workspace{{Name: "gone"}}})
+	intermediate := old.Apply(&fleetv1.Delta{FromRevision: 10, ToRevision: 11, Workspaces: []*fleetv1.Workspace{{Name: "gone"}}})
 	latest := NewView(&fleetv1.Configuration{Revision: 12})
 	relay.apply(&Transition{New: old, Delta: Diff(nil, old), FromDiff: true})
 	is.True(relay.DeltaSince(5) == nil)
 	relay.apply(&Transition{Old: old, New: latest, Delta: Diff(old, latest), FromDiff: true})
-	if delta := relay.DeltaSince(with.Revision); delta != nil {
-		is.Equal(with.Apply(delta).Workspaces.Len(), 0) // the removed workspace must not stay
+	if delta := relay.DeltaSince(intermediate.Revision); delta != nil {
+		is.Equal(intermediate.Apply(delta).Workspaces.Len(), 0) // the removed workspace must not stay
 	}
 }
--- a/feed/follower.go
+++ b/feed/follower.go
@@ -8,49 +8,51 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// Limits say when a follower gives a source up.
+// Limits determine when a follower leaves a source.
 type Limits struct {
-	// Silence is how long a source may leave pings unanswered.
+	// PongTimeout is how long a source may leave pings unanswered.
 	PongTimeout time.Duration
-	// FirstAnswer is the same for the first answer of a watch, which may have to
-	// carry a whole configuration.
+	// FirstPongTimeout is the same for the first pong of a watch, which may have
+	// to wait for the transfer of a complete configuration.
 	FirstPongTimeout time.Duration
-	// Stale is how old the knowledge of an answering source may be. It bounds
-	// how long a daemon acts on the configuration of a control replica that is
-	// cut off from its quorum while the others accept a newer one.
+	// MaxStaleness bounds the age of the last quorum confirmation at a responsive
+	// source. It limits how long a daemon uses the configuration of a control
+	// replica that is partitioned from its quorum while the others accept a newer
+	// one.
 	MaxStaleness time.Duration
-	// Blank is the same for a daemon that has no configuration at all, and whose
-	// source knows of no quorum: other sources may, and there is nothing to lose.
+	// InitialConfirmTimeout is how long a daemon without any configuration stays
+	// with a responsive source that has no quorum confirmation: other sources may
+	// have one, and there is no configuration to lose.
 	InitialConfirmTimeout time.Duration
 }
 
-// Defaults of Limits. A configuration has to be in force within two seconds of
-// its acceptance: a daemon that leaves its source a second after the quorum
-// last confirmed it has the other second to open the next one. A source that
-// works is confirmed every 150 ms and asked every 250 ms, so a second is more
-// than twice what it needs.
+// Defaults of Limits. A configuration has to be applied within two seconds of its
+// acceptance: a daemon that leaves its source one second after the last quorum
+// confirmation has the other second to switch to the next one. A healthy source
+// is confirmed every 150 ms and pinged every 250 ms, so one second is more than
+// twice what it needs.
 const (
 	DefaultPongTimeout      = time.Second
 	DefaultFirstPongTimeout = 3 * time.Second
 	DefaultMaxStaleness     = time.Second
-	// DefaultBlank is some confirmation intervals of a source. After a restart of all
-	// machines a second more with a replica that is outside the quorum is a second in
-	// which an entry refuses everything.
+	// DefaultInitialConfirmTimeout is two confirmation intervals of a source. After
+	// a restart of all machines, an entry refuses all requests for as long as it
+	// stays with a replica outside the quorum.
 	DefaultInitialConfirmTimeout = 300 * time.Millisecond
 )
 
-// Step is the change from one configuration to the next that a daemon has to
-// act on. Old is nil at the first step.
+// Transition is the change from one configuration to the next that a daemon has
+// to apply. Old is nil in the first transition.
 type Transition struct {
 	Old, New *View
 	// Delta turns Old into New.
 	Delta *fleetv1.Delta
-	// Compared is set when the delta was made by comparing the two views: it
-	// then turns Old into New, but says nothing of the revisions in between.
+	// FromDiff is set if the delta was computed by comparing the two views: it
+	// then turns Old into New but does not cover the revisions in between.
 	FromDiff bool
 }
 
-// confirmation says that every revision accepted before at, in the follower's
+// confirmation states that every revision accepted before at, on the follower's
 // clock, is at most revision.
 type confirmation struct {
 	revision uint64
@@ -58,92 +60,93 @@
 	ok       bool
 }
 
-// Follower decides what a daemon may believe of the configuration that it is
-// sent. It keeps its state over changes of the source. The caller passes in the
-// time, which must carry a monotonic reading, and must call the methods one at
-// a time.
+// Follower decides which of the received messages a daemon may accept. It keeps
+// its state across changes of the source. The caller passes the time, which must
+// have a monotonic clock reading, and must serialize calls of the methods.
 type Follower struct {
 	limits  Limits
 	started time.Time
 
-	// held is the newest configuration received; acked the revision that the
-	// daemon acts on, zero before the first.
-	held  *View
-	acked uint64
+	// latest is the newest configuration received; ackedRevision is the revision
+	// that the daemon has applied, zero before the first.
+	latest        *View
+	ackedRevision uint64
 
-	// fresh counts for the daemon; waiting is about a revision that the daemon
-	// does not act on yet.
-	fresh, waiting confirmation
+	// confirmed is the latest confirmation for what the daemon has applied;
+	// pendingConfirmation is for a revision that it has not applied yet.
+	confirmed, pendingConfirmation confirmation
 
-	// pings holds when each unanswered ping of the present watch was sent.
+	// pings holds the sending time of each unanswered ping of the current watch.
 	pings   map[uint64]time.Time
 	lastSeq uint64
 
-	// opened is when the present watch began, answered when its first answer to
-	// a ping came, and heard the sending time of the latest ping that it
-	// answered.
-	opened, answered, heard time.Time
+	// watchStarted is when the current watch began, firstPong when its first pong
+	// was received, and lastAnsweredPing the sending time of the latest ping that
+	// was answered.
+	watchStarted, firstPong, lastAnsweredPing time.Time
 
-	// good is when a quorum confirmed the knowledge of the present source, by
-	// the latest answer that was not stale.
-	good time.Time
+	// lastConfirmed is when a quorum confirmed the state of the current source,
+	// according to the latest pong that was not stale.
+	lastConfirmed time.Time
 
 	counts FollowerCounts
 }
 
-// FollowerCounts counts what a follower refused to believe.
+// FollowerCounts counts the messages that a follower has rejected.
 type FollowerCounts struct {
-	// OldRevisions counts snapshots and deltas below what the daemon was shown.
+	// OldRevisions counts snapshots and deltas that are not newer than the
+	// configuration held.
 	OldRevisions uint64
-	// StrayPongs counts answers to pings that are not outstanding: doubled ones
-	// and those of an earlier watch.
+	// UnmatchedPongs counts pongs without an outstanding ping: duplicates and
+	// those of an earlier watch.
 	UnmatchedPongs uint64
 	// Gaps counts deltas that start after the revision held.
 	Gaps uint64
 }
 
-// NewFollower returns a follower that holds nothing. The daemon is shown
-// nothing that was not confirmed as latest at started or later. Pings are
-// numbered from firstSeq, which should be random, so that no answer meant for an
-// earlier run of the daemon fits.
+// NewFollower returns a follower without a configuration. The first configuration
+// that it delivers has been confirmed as the latest at started or later. Pings are
+// numbered from firstSeq, which should be random, so that pongs for an earlier run
+// of the daemon do not match.
 func NewFollower(limits Limits, started time.Time, firstSeq uint64) *Follower {
 	return &Follower{limits: limits, started: started, lastSeq: firstSeq, pings: map[uint64]time.Time{}}
 }
 
-// Open begins a watch on another source. Answers to pings of the watch before
-// no longer count.
+// StartWatch starts a watch on another source. Pongs of the previous watch are no
+// longer accepted.
 func (f *Follower) StartWatch(now time.Time) {
 	f.pings = map[uint64]time.Time{}
-	f.opened = now
-	f.answered = time.Time{}
-	f.heard = time.Time{}
-	f.good = time.Time{}
+	f.watchStarted = now
+	f.firstPong = time.Time{}
+	f.lastAnsweredPing = time.Time{}
+	f.lastConfirmed = time.Time{}
 }
 
-// Held returns the newest revision received, from which a watch goes on.
+// HeldRevision returns the newest revision received, from which a new watch
+// continues; zero for none.
 func (f *Follower) HeldRevision() uint64 {
-	if f.held == nil {
+	if f.latest == nil {
 		return 0
 	}
-	return f.held.Revision
+	return f.latest.Revision
 }
 
-// Good reports whether the watch opened at the given time has given an answer
-// that was not stale.
-func (f *Follower) HadFreshPong(opened time.Time) bool {
-	return f.opened.Equal(opened) && !f.good.IsZero()
+// HadFreshPong reports whether the watch started at the given time is the current
+// one and has received a pong that was not stale.
+func (f *Follower) HadFreshPong(watchStarted time.Time) bool {
+	return f.watchStarted.Equal(watchStarted) && !f.lastConfirmed.IsZero()
 }
 
 // Ping returns the next ping to send, at now.
 func (f *Follower) Ping(now time.Time) *controlv1.Ping {
 	f.lastSeq++
 	f.pings[f.lastSeq] = now
-	return &controlv1.Ping{Seq: f.lastSeq, Revision: f.acked}
+	return &controlv1.Ping{Seq: f.lastSeq, Revision: f.ackedRevision}
 }
 
-// Receive takes a message of the present watch. It returns the step that the
-// daemon has to take, or nil. After taking it the caller calls Acknowledge. An
-// error means that the source has to be left.
+// Receive processes a message of the current watch. It returns the transition
+// that the daemon has to apply, or nil. After applying it the caller must call
+// Acknowledge. An error means that the source has to be left.
 func (f *Follower) Receive(now time.Time, message *controlv1.WatchResponse) (*Transition, error) {
 	switch kind := message.GetKind().(type) {
 	case *controlv1.WatchResponse_Snapshot:
@@ -157,33 +160,33 @@
 }
 
 func (f *Follower) receiveSnapshot(configuration *fleetv1.Configuration) *Transition {
-	if f.held != nil && configuration.GetRevision() <= f.held.Revision {
+	if f.latest != nil && configuration.GetRevision() <= f.latest.Revision {
 		f.counts.OldRevisions++
 		return nil
 	}
-	old := f.held
-	f.held = NewView(configuration)
-	if f.acked == 0 {
-		return f.firstStep()
+	old := f.latest
+	f.latest = NewView(configuration)
+	if f.ackedRevision == 0 {
+		return f.initialTransition()
 	}
-	return &Transition{Old: old, New: f.held, Delta: Diff(old, f.held), FromDiff: true}
+	return &Transition{Old: old, New: f.latest, Delta: Diff(old, f.latest), FromDiff: true}
 }
 
 func (f *Follower) receiveDelta(delta *fleetv1.Delta) (*Transition, error) {
-	if f.held == nil || delta.GetFromRevision() > f.held.Revision {
+	if f.latest == nil || delta.GetFromRevision() > f.latest.Revision {
 		f.counts.Gaps++
-		return nil, fault.New(fault.Conflict, "the feed left revisions out", "the client watches again from the revision it holds")
+		return nil, fault.New(fault.Conflict, "the configuration feed skipped revisions", "the client restarts the watch from the revision it holds")
 	}
-	if delta.GetToRevision() <= f.held.Revision {
+	if delta.GetToRevision() <= f.latest.Revision {
 		f.counts.OldRevisions++
 		return nil, nil
 	}
-	old := f.held
-	f.held = old.Apply(delta)
-	if f.acked == 0 {
-		return f.firstStep(), nil
+	old := f.latest
+	f.latest = old.Apply(delta)
+	if f.ackedRevision == 0 {
+		return f.initialTransition(), nil
 	}
-	return &Transition{Old: old, New: f.held, Delta: delta}, nil
+	return &Transition{Old: old, New: f.latest, Delta: delta}, nil
 }
 
 func (f *Follower) receivePong(now time.Time, pong *controlv1.Pong) *Transition {
@@ -192,126 +195,129 @@
 		f.counts.UnmatchedPongs++
 		return nil
 	}
-	f.forgetPings(pong.GetSeq())
-	if f.answered.IsZero() {
-		f.answered = now
+	f.dropPings(pong.GetSeq())
+	if f.firstPong.IsZero() {
+		f.firstPong = now
 	}
-	if sent.After(f.heard) {
-		f.heard = sent
+	if sent.After(f.lastAnsweredPing) {
+		f.lastAnsweredPing = sent
 	}
 	age := time.Duration(pong.GetAgeMs()) * time.Millisecond
 	if !pong.GetKnown() || age < 0 {
 		return nil
 	}
 	at := sent.Add(-age)
-	if now.Sub(at) <= f.limits.MaxStaleness && at.After(f.good) {
-		f.good = at
+	if now.Sub(at) <= f.limits.MaxStaleness && at.After(f.lastConfirmed) {
+		f.lastConfirmed = at
 	}
-	f.believe(confirmation{revision: pong.GetRevision(), at: at, ok: true})
-	if f.acked == 0 {
-		return f.firstStep()
+	f.recordConfirmation(confirmation{revision: pong.GetRevision(), at: at, ok: true})
+	if f.ackedRevision == 0 {
+		return f.initialTransition()
 	}
 	return nil
 }
 
-// forgetPings drops the answered ping and all before it, which a stream that
-// keeps order will not answer any more.
-func (f *Follower) forgetPings(answered uint64) {
+// dropPings removes the answered ping and all earlier ones, which an ordered
+// stream will no longer answer.
+func (f *Follower) dropPings(upTo uint64) {
 	for seq := range f.pings {
-		if seq <= answered {
+		if seq <= upTo {
 			delete(f.pings, seq)
 		}
 	}
 }
 
-// believe takes in a true statement. One about a revision that the daemon does
-// not act on yet must not count as freshness of what it acts on.
-func (f *Follower) believe(c confirmation) {
-	if c.revision > f.acked {
-		if !f.waiting.ok || c.at.After(f.waiting.at) {
-			f.waiting = c
+// recordConfirmation records a confirmation. One for a revision that the daemon
+// has not applied yet must not count as freshness of what it has applied.
+func (f *Follower) recordConfirmation(c confirmation) {
+	if c.revision > f.ackedRevision {
+		if !f.pendingConfirmation.ok || c.at.After(f.pendingConfirmation.at) {
+			f.pendingConfirmation = c
 		}
 		return
 	}
-	if !f.fresh.ok || c.at.After(f.fresh.at) {
-		f.fresh = c
+	if !f.confirmed.ok || c.at.After(f.confirmed.at) {
+		f.confirmed = c
 	}
 }
 
-// firstStep shows the first configuration once it is known to be at least as
-// new as anything that an earlier run of this daemon can have been shown.
-func (f *Follower) firstStep() *Transition {
-	confirmed := f.waiting.ok && !f.waiting.at.Before(f.started)
-	if f.held == nil || !confirmed || f.waiting.revision > f.held.Revision {
+// initialTransition returns the transition to the first configuration once that
+// is known to be at least as new as any that an earlier run of this daemon can
+// have applied, and nil until then.
+func (f *Follower) initialTransition() *Transition {
+	isConfirmed := f.pendingConfirmation.ok && !f.pendingConfirmation.at.Before(f.started)
+	if f.latest == nil || !isConfirmed || f.pendingConfirmation.revision > f.latest.Revision {
 		return nil
 	}
-	return &Transition{New: f.held, Delta: Diff(nil, f.held), FromDiff: true}
+	return &Transition{New: f.latest, Delta: Diff(nil, f.latest), FromDiff: true}
 }
 
-// Acknowledge records that the daemon acts on the revision from now on.
+// Acknowledge records that the daemon has applied the revision.
 func (f *Follower) Acknowledge(revision uint64) {
-	if revision <= f.acked {
+	if revision <= f.ackedRevision {
 		return
 	}
-	f.acked = revision
-	if f.waiting.ok && f.waiting.revision <= f.acked {
-		promoted := f.waiting
-		f.waiting = confirmation{}
-		f.believe(promoted)
+	f.ackedRevision = revision
+	if f.pendingConfirmation.ok && f.pendingConfirmation.revision <= f.ackedRevision {
+		promoted := f.pendingConfirmation
+		f.pendingConfirmation = confirmation{}
+		f.recordConfirmation(promoted)
 	}
 }
 
 // Freshness returns a revision and a time such that every revision accepted
-// before that time is at most the one returned, on which the daemon acts or
-// which it has passed. It is not ok before the first confirmation.
+// before that time is at most the one returned. The daemon has applied that
+// revision or a later one. ok is false before the first confirmation.
 func (f *Follower) Freshness() (revision uint64, at time.Time, ok bool) {
-	return f.fresh.revision, f.fresh.at, f.fresh.ok
+	return f.confirmed.revision, f.confirmed.at, f.confirmed.ok
 }
 
-// Counts returns what the follower has refused to believe so far.
+// Counts returns how many messages the follower has rejected so far.
 func (f *Follower) Counts() FollowerCounts { return f.counts }
 
-// Keep returns an error when the present source must be left for another:
-// frozen, unreachable, or itself cut off from the quorum.
+// CheckSource returns an error if the current source must be left for another: it
+// is frozen, unreachable or partitioned from the quorum.
 func (f *Follower) CheckSource(now time.Time) error {
-	if now.Sub(f.heardUntil()) > f.silenceLimit() {
-		return fault.New(fault.Unavailable, "the feed has gone silent", "the client watches the next source")
+	if now.Sub(f.lastContact()) > f.pongTimeout() {
+		return fault.New(fault.Unavailable, "the configuration source does not answer pings", "the client watches the next source")
 	}
-	if now.After(f.staleAt()) {
-		return fault.New(fault.Stale, "the feed has lost the quorum", "the client watches the next source")
+	if now.After(f.staleDeadline()) {
+		return fault.New(fault.Stale, "the configuration source has lost the quorum", "the client watches the next source")
 	}
 	return nil
 }
 
-// GiveUp returns when Keep will refuse the present source unless it answers.
+// SourceDeadline returns the time after which CheckSource will fail unless the
+// current source sends a pong.
 func (f *Follower) SourceDeadline() time.Time {
-	silent := f.heardUntil().Add(f.silenceLimit())
-	stale := f.staleAt()
-	if stale.Before(silent) {
-		return stale
+	pongDeadline := f.lastContact().Add(f.pongTimeout())
+	stalenessDeadline := f.staleDeadline()
+	if stalenessDeadline.Before(pongDeadline) {
+		return stalenessDeadline
 	}
-	return silent
+	return pongDeadline
 }
 
-// staleAt returns when the present source counts as cut off from its quorum.
-// It counts from the confirmation and not from the answer that told of it: an
-// answer may be as old as the limit already. A source that has just begun to
-// answer has the whole limit to show a confirmation, and one that has not
-// answered yet, with a whole configuration under way, is only silent.
-func (f *Follower) staleAt() time.Time {
-	if f.answered.IsZero() {
-		return f.opened.Add(f.limits.FirstPongTimeout + f.limits.MaxStaleness)
+// staleDeadline returns when the current source counts as partitioned from its
+// quorum. It is measured from the confirmation and not from the pong that reported
+// it: that confirmation may already be as old as the limit. A source that has just
+// started to answer has the full limit to report a confirmation, and one that has
+// not answered yet, possibly while it sends a complete configuration, is subject to
+// FirstPongTimeout only.
+func (f *Follower) staleDeadline() time.Time {
+	if f.firstPong.IsZero() {
+		return f.watchStarted.Add(f.limits.FirstPongTimeout + f.limits.MaxStaleness)
 	}
-	if f.acked == 0 && f.good.IsZero() {
-		return f.answered.Add(f.limits.InitialConfirmTimeout)
+	if f.ackedRevision == 0 && f.lastConfirmed.IsZero() {
+		return f.firstPong.Add(f.limits.InitialConfirmTimeout)
 	}
-	return later(f.answered, f.good).Add(f.limits.MaxStaleness)
+	return later(f.firstPong, f.lastConfirmed).Add(f.limits.MaxStaleness)
 }
 
-func (f *Follower) heardUntil() time.Time { return later(f.opened, f.heard) }
+func (f *Follower) lastContact() time.Time { return later(f.watchStarted, f.lastAnsweredPing) }
 
-func (f *Follower) silenceLimit() time.Duration {
-	if f.heard.IsZero() {
+func (f *Follower) pongTimeout() time.Duration {
+	if f.lastAnsweredPing.IsZero() {
 		return f.limits.FirstPongTimeout
 	}
 	return f.limits.PongTimeout
--- a/feed/follower_test.go
+++ b/feed/follower_test.go
@@ -12,19 +12,19 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// quorum is the true history: accepted[r] is when revision r+1 was accepted.
+// quorum is the actual history: accepted[r] is when revision r+1 was accepted.
 type quorum struct {
 	accepted []time.Time
 }
 
 func (q *quorum) latest() uint64 { return uint64(len(q.accepted)) }
 
-// replicaModel is a source: what it holds, and when a quorum last confirmed it.
-// A cut-off one keeps both and goes on answering.
+// replicaModel is a source: the revision it holds, and when a quorum last confirmed
+// it. While partitioned, it keeps both and continues to answer.
 type replicaModel struct {
-	held      uint64
-	confirmed time.Time
-	cut       bool
+	held        uint64
+	confirmed   time.Time
+	partitioned bool
 }
 
 func (r *replicaModel) pong(now time.Time, seq uint64) *controlv1.WatchResponse {
@@ -42,16 +42,16 @@
 		Delta: &fleetv1.Delta{FromRevision: from, ToRevision: r.held}}}
 }
 
-// flight is a message under way.
-type flight struct {
+// delivery is a message in transit.
+type delivery struct {
 	due     time.Time
 	message *controlv1.WatchResponse
 }
 
-// network delivers messages late, twice, out of order and across watches.
+// network delays, duplicates and reorders messages, also across watches.
 type network struct {
-	rng     *rand.Rand
-	flights []flight
+	rng        *rand.Rand
+	deliveries []delivery
 }
 
 func (n *network) send(now time.Time, message *controlv1.WatchResponse) {
@@ -61,40 +61,41 @@
 		if n.rng.IntN(5) == 0 {
 			delay = time.Duration(n.rng.IntN(4000)) * time.Millisecond
 		}
-		n.flights = append(n.flights, flight{due: now.Add(delay), message: message})
+		n.deliveries = append(n.deliveries, delivery{due: now.Add(delay), message: message})
 	}
 }
 
-func (n *network) due(now time.Time) []*controlv1.WatchResponse {
+func (n *network) deliver(now time.Time) []*controlv1.WatchResponse {
 	var arrived []*controlv1.WatchResponse
-	var rest []flight
-	for _, f := range n.flights {
-		if f.due.After(now) {
-			rest = append(rest, f)
+	var rest []delivery
+	for _, d := range n.deliveries {
+		if d.due.After(now) {
+			rest = append(rest, d)
 		} else {
-			arrived = append(arrived, f.message)
+			arrived = append(arrived, d.message)
 		}
 	}
-	n.flights = rest
+	n.deliveries = rest
 	n.rng.Shuffle(len(arrived), func(i, j int) { arrived[i], arrived[j] = arrived[j], arrived[i] })
 	return arrived
 }
 
-// Under late, doubled and crossed messages, sources that are behind or cut off,
-// and restarts, a daemon never goes back and never overstates its freshness.
-func TestFollowerNeverGoesBackNorOverstates(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.CutOneWay, proof.CutBothWays, proof.Late, proof.Doubled, proof.Crossed, proof.Lost}, Step: "what a daemon is shown", Together: true,
-		Guard: "each alone: older snapshots and deltas refused, nothing shown before it is confirmed after the start"}.Log(t)
-	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Restart, proof.CutOneWay, proof.CutBothWays, proof.Late, proof.Doubled, proof.Crossed, proof.Lost}, Step: "how fresh a daemon calls its knowledge", Together: true,
-		Guard: "each alone: freshness counts from the ping, stray pongs, confirmation of what is not in force"}.Log(t)
+// With delayed, duplicated and reordered messages, sources that lag or are
+// partitioned, and restarts, a daemon never goes back to a lower revision and never
+// overstates its freshness.
+func TestFollowerNeverRegressesOrOverstatesFreshness(t *testing.T) {
+	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.CutOneWay, proof.CutBothWays, proof.Late, proof.Doubled, proof.Crossed, proof.Lost}, Step: "the configuration that a daemon applies", Together: true,
+		Guard: "each alone: older snapshots and deltas are rejected, nothing is applied before it is confirmed after the start"}.Log(t)
+	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Restart, proof.CutOneWay, proof.CutBothWays, proof.Late, proof.Doubled, proof.Crossed, proof.Lost}, Step: "the freshness that a daemon states for its configuration", Together: true,
+		Guard: "each alone: freshness is measured from the ping, unmatched pongs are rejected, a confirmation of a revision that is not applied does not count"}.Log(t)
 	for seed := uint64(1); seed <= 200; seed++ {
-		if !runFollowerTrial(t, seed) {
+		if !simulateFollower(t, seed) {
 			t.Fatalf("seed %d", seed)
 		}
 	}
 }
 
-func runFollowerTrial(t *testing.T, seed uint64) bool {
+func simulateFollower(t *testing.T, seed uint64) bool {
 	is := is.NewRelaxed(t)
 	rng := rand.New(rand.NewPCG(seed, 1))
 	start := time.Now()
@@ -102,27 +103,27 @@
 	truth := &quorum{accepted: []time.Time{start}}
 	sources := []*replicaModel{{held: 1, confirmed: now}, {held: 1, confirmed: now}, {held: 1, confirmed: now}}
 	source := sources[0]
-	links := &network{rng: rng}
+	net := &network{rng: rng}
 	limits := Limits{PongTimeout: time.Second, FirstPongTimeout: time.Second, MaxStaleness: time.Second}
 	follower := NewFollower(limits, now, rng.Uint64()>>1)
 	follower.StartWatch(now)
-	shown := uint64(0)
-	muted := now // until when pings are lost and changes still come
+	appliedRevision := uint64(0)
+	mutedUntil := now // until then pings are lost but changes arrive
 	for range 1500 {
 		now = now.Add(time.Duration(500+rng.IntN(20000)) * time.Microsecond)
 		if rng.IntN(10) == 0 {
 			truth.accepted = append(truth.accepted, now)
 		}
-		for _, each := range sources {
+		for _, replica := range sources {
 			if rng.IntN(100) == 0 {
-				each.cut = !each.cut
+				replica.partitioned = !replica.partitioned
 			}
-			if !each.cut && rng.IntN(4) == 0 {
-				each.held, each.confirmed = truth.latest(), now
+			if !replica.partitioned && rng.IntN(4) == 0 {
+				replica.held, replica.confirmed = truth.latest(), now
 			}
 		}
 		if rng.IntN(150) == 0 {
-			// The daemon restarts; what it showed before still binds it.
+			// The daemon restarts; it must still not go back to a lower revision.
 			follower = NewFollower(limits, now, rng.Uint64()>>1)
 			follower.StartWatch(now)
 		}
@@ -132,45 +133,45 @@
 		}
 		ping := follower.Ping(now)
 		if held := follower.HeldRevision(); source.held > held {
-			links.send(now, source.update(held))
+			net.send(now, source.update(held))
 		}
 		if rng.IntN(100) == 0 {
-			muted = now.Add(time.Duration(rng.IntN(2000)) * time.Millisecond)
+			mutedUntil = now.Add(time.Duration(rng.IntN(2000)) * time.Millisecond)
 		}
-		if rng.IntN(4) > 0 && !now.Before(muted) {
-			links.send(now, source.pong(now, ping.GetSeq()))
+		if rng.IntN(4) > 0 && !now.Before(mutedUntil) {
+			net.send(now, source.pong(now, ping.GetSeq()))
 		}
-		for _, message := range links.due(now) {
-			step, err := follower.Receive(now, message)
+		for _, message := range net.deliver(now) {
+			transition, err := follower.Receive(now, message)
 			if err != nil {
 				follower.StartWatch(now)
 			}
-			if step == nil {
+			if transition == nil {
 				continue
 			}
-			is.True(step.New.Revision > shown || step.Old == nil)
-			is.True(step.New.Revision >= shown) // never back, also across restarts
-			shown = step.New.Revision
-			follower.Acknowledge(shown)
+			is.True(transition.New.Revision > appliedRevision || transition.Old == nil)
+			is.True(transition.New.Revision >= appliedRevision) // never lower, also across restarts
+			appliedRevision = transition.New.Revision
+			follower.Acknowledge(appliedRevision)
 		}
 		revision, at, ok := follower.Freshness()
 		if !ok {
 			continue
 		}
-		is.True(revision <= shown)
+		is.True(revision <= appliedRevision)
 		if next := int(revision); next < len(truth.accepted) {
-			is.True(!truth.accepted[next].Before(at)) // accepted before at, and not known
+			is.True(!truth.accepted[next].Before(at)) // a newer revision must not have been accepted before at
 		}
 	}
-	is.True(shown > 1)
+	is.True(appliedRevision > 1)
 	return !t.Failed()
 }
 
-// A source that is frozen or has lost the quorum is left, one that works is
-// kept, and one whose first answer is a large snapshot gets more time.
-func TestFollowerLeavesFrozenAndStaleSources(t *testing.T) {
+// A source that is frozen or has lost the quorum is left, a healthy one is kept,
+// and one whose first pong follows a large snapshot is given more time.
+func TestFollowerLeavesUnresponsiveAndStaleSources(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Freeze, proof.CutBothWays}, Step: "source that is frozen, or cut off from the quorum",
-		Guard: "the limit of silence, and of staleness, each alone"}.Log(t)
+		Guard: "the pong timeout and the limit of staleness, each alone"}.Log(t)
 	is := is.New(t)
 	start := time.Now()
 	limits := Limits{PongTimeout: time.Second, FirstPongTimeout: 3 * time.Second, MaxStaleness: 2 * time.Second}
@@ -187,21 +188,21 @@
 		is.NoErr(follower.CheckSource(now))
 	}
 	is.True(follower.CheckSource(now.Add(1100*time.Millisecond)) != nil) // frozen
-	var left error
+	var leaveErr error
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
 		_, _ = follower.Receive(now, source.pong(now, follower.Ping(now).GetSeq()))
-		if left = follower.CheckSource(now); left != nil {
+		if leaveErr = follower.CheckSource(now); leaveErr != nil {
 			break
 		}
 	}
-	is.True(left != nil) // answers, but no quorum confirms it any more
+	is.True(leaveErr != nil) // it answers, but no quorum confirms it any longer
 	is.True(!follower.SourceDeadline().After(now))
 }
 
-// A daemon without any configuration leaves a source that knows of no quorum well before
-// one that has a configuration to act on: it refuses everything meanwhile.
-func TestABlankFollowerMovesOnSooner(t *testing.T) {
+// A daemon without any configuration leaves a source that has no quorum confirmation well
+// before a daemon that has a configuration does: it refuses all requests meanwhile.
+func TestUnconfiguredFollowerLeavesUnconfirmedSourceSooner(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
 	limits := Limits{PongTimeout: time.Second, FirstPongTimeout: 3 * time.Second, MaxStaleness: time.Second, InitialConfirmTimeout: 300 * time.Millisecond}
@@ -217,7 +218,7 @@
 	unknown(start.Add(300 * time.Millisecond))
 	is.NoErr(follower.CheckSource(start.Add(300 * time.Millisecond)))
 	is.True(follower.CheckSource(start.Add(320*time.Millisecond)) != nil)
-	follower.StartWatch(start.Add(time.Second)) // another source, which works
+	follower.StartWatch(start.Add(time.Second)) // another source, which is healthy
 	source := &replicaModel{held: 1, confirmed: start.Add(time.Second)}
 	now := start.Add(1010 * time.Millisecond)
 	_, err := follower.Receive(now, source.pong(now, follower.Ping(now).GetSeq()))
@@ -225,12 +226,12 @@
 	is.NoErr(follower.CheckSource(now.Add(900 * time.Millisecond)))
 }
 
-// A source that loses the quorum is left as soon as what it knows is older than
-// the limit, whatever it answers in the meantime: a daemon that stays longer
-// acts on a configuration that the others have long replaced.
-func TestFollowerLeavesASourceOneLimitAfterItsLastConfirmation(t *testing.T) {
+// A source that loses the quorum is left as soon as its last confirmation is older
+// than the limit, whatever it answers in the meantime: a daemon that stays longer
+// uses a configuration that the others may have replaced.
+func TestFollowerMeasuresStalenessFromLastConfirmation(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutBothWays}, Step: "how long a daemon stays with a source cut off from the quorum",
-		Guard: "the limit counts from the confirmation"}.Log(t)
+		Guard: "the limit is measured from the confirmation"}.Log(t)
 	const tick = 50 * time.Millisecond
 	for seed := uint64(1); seed <= 100; seed++ {
 		is := is.New(t)
@@ -260,9 +261,9 @@
 	}
 }
 
-// A source whose first answer follows a large snapshot is kept although the
-// answer took longer than the limit of staleness.
-func TestFollowerKeepsASlowFirstAnswer(t *testing.T) {
+// A source whose first pong follows a large snapshot is kept although the pong took
+// longer than MaxStaleness.
+func TestFollowerToleratesSlowFirstPong(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
 	limits := Limits{PongTimeout: DefaultPongTimeout, FirstPongTimeout: DefaultFirstPongTimeout, MaxStaleness: DefaultMaxStaleness}
--- a/feed/journal.go
+++ b/feed/journal.go
@@ -5,15 +5,15 @@
 )
 
 // journal keeps the latest deltas in order and merges those that a watcher has
-// not seen. It is bounded by the number of records that it holds.
+// not received. It is bounded by the number of records in the deltas.
 type journal struct {
 	deltas  []*fleetv1.Delta
 	records int
 	limit   int
 }
 
-// add appends a delta that names everything that changed since the last one, or
-// since a revision before it. A gap voids what the journal holds.
+// add appends a delta that covers all changes since the last one or since an
+// earlier revision. If there is a gap, the previous deltas are discarded.
 func (j *journal) add(delta *fleetv1.Delta) {
 	if n := len(j.deltas); n > 0 && j.deltas[n-1].GetToRevision() < delta.GetFromRevision() {
 		j.clear()
@@ -26,11 +26,11 @@
 	}
 }
 
-// clear forgets all deltas.
+// clear discards all deltas.
 func (j *journal) clear() { j.deltas, j.records = nil, 0 }
 
-// since merges all that came after the revision. It returns nil when the
-// journal does not reach back that far, and when there is nothing.
+// since merges all deltas after the revision. It returns nil if the journal does
+// not reach back that far or there are none.
 func (j *journal) since(revision uint64) *fleetv1.Delta {
 	if len(j.deltas) == 0 || j.deltas[0].GetFromRevision() > revision {
 		return nil
@@ -86,31 +86,31 @@
 	return merged
 }
 
-// merger keeps the last word on each name.
+// merger keeps the latest state of each name.
 type merger[V any] struct {
 	name    func(V) string
-	latest  map[string]V
+	changed map[string]V
 	removed map[string]struct{}
 }
 
 func newMerger[V any](name func(V) string) *merger[V] {
-	return &merger[V]{name: name, latest: map[string]V{}, removed: map[string]struct{}{}}
+	return &merger[V]{name: name, changed: map[string]V{}, removed: map[string]struct{}{}}
 }
 
 func (m *merger[V]) add(records []V, removed []string) {
 	for _, name := range removed {
-		delete(m.latest, name)
+		delete(m.changed, name)
 		m.removed[name] = struct{}{}
 	}
 	for _, record := range records {
 		name := m.name(record)
 		delete(m.removed, name)
-		m.latest[name] = record
+		m.changed[name] = record
 	}
 }
 
 func (m *merger[V]) result() (records []V, removed []string) {
-	for _, record := range m.latest {
+	for _, record := range m.changed {
 		records = append(records, record)
 	}
 	for name := range m.removed {
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// relayJournalRecords bounds the changes that a relay remembers for daemons
-	// that come back.
+	// relayJournalRecords bounds the changes that a relay keeps for daemons that
+	// reconnect.
 	relayJournalRecords = 20_000
-	// reportAllInterval is the time between two full reports of the daemons
-	// below a relay; in between it reports those that moved.
-	reportAllInterval = 3 * time.Second
-	// relayStopLimit bounds the planned stop of a relay.
-	relayStopLimit = time.Second
+	// fullReportInterval is the time between two full reports of the daemons
+	// that watch a relay; in between it reports those that changed.
+	fullReportInterval = 3 * time.Second
+	// relayStopTimeout bounds the graceful stop of a relay.
+	relayStopTimeout = time.Second
 )
 
-// Relay publishes again what its client is shown, so that the cost of the
-// control replicas grows with the availability zones and not with the daemons.
-// Any daemon can run one over its own client.
+// Relay republishes the configuration of its client, so that the load on the
+// control replicas grows with the number of availability zones and not with the
+// number of daemons. Any daemon can run one on top of its own client.
 type Relay struct {
 	client *Client
 	server *Server
@@ -37,24 +37,25 @@
 	snapshot *fleetv1.Configuration
 	changed  chan struct{}
 
-	reportedAll time.Time
-	reported    time.Time
+	lastFullReport time.Time
+	lastReport     time.Time
 }
 
-// NewRelay returns a relay over the client, which must not run yet.
+// NewRelay returns a relay on top of the client, which must not be running yet.
 func NewRelay(client *Client) *Relay {
 	r := &Relay{client: client, journal: journal{limit: relayJournalRecords}, changed: make(chan struct{})}
 	r.server = NewServer(r)
-	client.onStep(r.apply)
-	client.below = r.report
+	client.onTransition(r.apply)
+	client.downstream = r.report
 	return r
 }
 
-// Server returns the publisher, to be registered with a gRPC server.
+// Server returns the feed server, to be registered with a gRPC server.
 func (r *Relay) Server() *Server { return r.server }
 
-// Run serves the relay on the listener until ctx ends. It then sends the daemons
-// on to their other sources and returns when they have gone, or after a second.
+// Run serves the relay on the listener until ctx ends. It then ends the watches of
+// the daemons, so that they switch to their other sources, and returns when they
+// have disconnected, or after one second.
 func (r *Relay) Run(ctx context.Context, listener net.Listener, options ...grpc.ServerOption) error {
 	g := grpc.NewServer(options...)
 	r.server.Register(g)
@@ -66,22 +67,23 @@
 	case <-ctx.Done():
 	}
 	r.server.Stop()
-	cut := time.AfterFunc(relayStopLimit, g.Stop)
-	defer cut.Stop()
+	forceStop := time.AfterFunc(relayStopTimeout, g.Stop)
+	defer forceStop.Stop()
 	g.GracefulStop()
 	return nil
 }
 
-func (r *Relay) apply(step *Transition) {
+func (r *Relay) apply(transition *Transition) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.view = step.New
+	r.view = transition.New
 	r.snapshot = nil
-	if step.FromDiff {
-		// A daemon between the two revisions could not use this delta.
+	if transition.FromDiff {
+		// The delta does not cover changes that came and went between the two
+		// revisions, so a daemon that holds one in between cannot use it.
 		r.journal.clear()
 	} else {
-		r.journal.add(step.Delta)
+		r.journal.add(transition.Delta)
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
@@ -129,14 +131,14 @@
 	return r.client.Freshness()
 }
 
-// report returns the daemons below that the relay has to report with a ping.
+// report returns the statuses of the downstream daemons for the next ping.
 func (r *Relay) report(now time.Time) []*controlv1.DaemonStatus {
-	if now.Sub(r.reportedAll) >= reportAllInterval {
-		r.reportedAll = now
-		r.reported = now
+	if now.Sub(r.lastFullReport) >= fullReportInterval {
+		r.lastFullReport = now
+		r.lastReport = now
 		return r.server.Daemons().List(now)
 	}
-	since := r.reported
-	r.reported = now
-	return r.server.Daemons().movedSince(since, now)
+	since := r.lastReport
+	r.lastReport = now
+	return r.server.Daemons().changedSince(since, now)
 }
--- a/feed/rotation.go
+++ b/feed/rotation.go
@@ -6,76 +6,78 @@
 )
 
 const (
-	// firstRetry and lastRetry bound the pause after all sources have failed.
-	firstRetry = 100 * time.Millisecond
-	lastRetry  = time.Second
-	// returnAfter is how long a client stays with a source that is not its
-	// first before it tries the first one again, and returnAfterMax the longest
-	// such time.
-	returnAfter    = 30 * time.Second
-	returnAfterMax = 10 * time.Minute
+	// minRetryDelay and maxRetryDelay bound the delay after all sources have
+	// failed.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = time.Second
+	// minReturnDelay is how long a client stays with a source other than its
+	// first before it tries the first one again. The delay doubles each time, up
+	// to maxReturnDelay.
+	minReturnDelay = 30 * time.Second
+	maxReturnDelay = 10 * time.Minute
 )
 
-// rotation is the order in which a client tries its sources: the preferred one
-// first, and from any other it comes back to that one after a while.
+// rotation determines the order in which a client tries its sources: the first,
+// preferred one, then the others in turn. From any other source the client returns
+// to the first one after a delay.
 type rotation struct {
-	// sources is the number of sources, index the present one.
+	// sources is the number of sources, index that of the current one.
 	sources, index int
-	// failures counts the sources left since one last worked.
+	// failures counts the sources left since one last had a fresh configuration.
 	failures int
-	// back is the longest stay with a source that is not the first.
-	back time.Duration
+	// returnDelay is the longest time to stay with a source other than the first.
+	returnDelay time.Duration
 }
 
 func newRotation(sources int) *rotation {
-	return &rotation{sources: sources, back: returnAfter}
+	return &rotation{sources: sources, returnDelay: minReturnDelay}
 }
 
-// resize fits the rotation to another number of sources.
+// resize adapts the rotation to a changed number of sources.
 func (r *rotation) resize(sources int) {
 	r.sources = sources
 	r.index %= sources
 }
 
-// stay returns how long to watch the present source; zero for no limit.
-func (r *rotation) stay() time.Duration {
+// watchLimit returns how long to watch the current source; zero for no limit.
+func (r *rotation) watchLimit() time.Duration {
 	if r.index == 0 {
 		return 0
 	}
-	return jitter(r.back)
+	return jitter(r.returnDelay)
 }
 
-// stayed goes back to the first source after a stay that reached its limit.
-func (r *rotation) stayed() {
+// returnToFirst switches back to the first source after watchLimit has passed.
+func (r *rotation) returnToFirst() {
 	r.index = 0
-	r.back = min(2*r.back, returnAfterMax)
+	r.returnDelay = min(2*r.returnDelay, maxReturnDelay)
 }
 
-// failed goes on to the next source and returns the pause before it. worked
-// reports whether the source that failed had fresh knowledge.
-func (r *rotation) failed(worked bool) time.Duration {
-	if worked {
+// advance moves on to the next source after a failure and returns the delay before
+// trying it. wasFresh reports whether the failed source had a fresh configuration.
+func (r *rotation) advance(wasFresh bool) time.Duration {
+	if wasFresh {
 		r.failures = 0
 	}
-	if worked && r.index == 0 {
-		r.back = returnAfter
+	if wasFresh && r.index == 0 {
+		r.returnDelay = minReturnDelay
 	}
 	r.failures++
 	r.index = (r.index + 1) % r.sources
-	return retryPause(r.failures, r.sources)
+	return retryDelay(r.failures, r.sources)
 }
 
-// retryPause is zero while there are sources that were not tried since the last
-// one that worked, then grows.
-func retryPause(failures, sources int) time.Duration {
+// retryDelay returns zero until every source has been tried since one last had a
+// fresh configuration; then the delay grows exponentially with each round.
+func retryDelay(failures, sources int) time.Duration {
 	rounds := failures / sources
 	if rounds == 0 {
 		return 0
 	}
-	return jitter(min(firstRetry<<min(rounds-1, 10), lastRetry))
+	return jitter(min(minRetryDelay<<min(rounds-1, 10), maxRetryDelay))
 }
 
-// jitter returns between half of d and d.
+// jitter returns a random duration between d/2 and d.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d/2+1)
 }
--- a/feed/server.go
+++ b/feed/server.go
@@ -14,18 +14,19 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// Source is what a Server publishes: the state of a control replica or the copy
-// that a relay keeps. Its methods may be called from any goroutine, and what
-// they return must not be modified by either side.
+// Source provides the configuration that a Server publishes: the state of a
+// control replica or the copy of a relay. Its methods must be safe for concurrent
+// use, and the values that they return must not be modified by either side.
 type Source interface {
-	// Revision is the latest revision held.
+	// Revision returns the latest revision held.
 	Revision() uint64
-	// Configuration returns the whole latest configuration; nil for none yet.
+	// Configuration returns the complete latest configuration; nil if there is
+	// none yet.
 	Configuration() *fleetv1.Configuration
 	// DeltaSince returns the changes after the revision up to the latest one; nil
-	// when the source does not have them any more.
+	// if the source no longer has them.
 	DeltaSince(revision uint64) *fleetv1.Delta
-	// Changed returns a channel that is closed at the next new revision.
+	// Changed returns a channel that is closed when there is a new revision.
 	Changed() <-chan struct{}
 	// Freshness returns a revision and a local monotonic time such that every
 	// revision accepted before that time is at most the one returned. The source
@@ -33,16 +34,17 @@
 	Freshness() (revision uint64, at time.Time, ok bool)
 }
 
-// ReplicaSource is a Source that knows where the control replicas are.
+// ReplicaSource is implemented by a Source that knows the control replicas.
 type ReplicaSource interface {
-	// Replicas returns their addresses, host:port, in a stable order.
+	// Replicas returns the addresses of the control replicas, host:port, in a
+	// stable order.
 	Replicas() []string
 }
 
-// Server publishes a source to any number of watchers. A watcher has no queue:
-// what it has not been sent yet is joined into one delta, or one snapshot, at
-// the moment at which it can take more. A slow one therefore costs a constant
-// amount of memory and holds up nobody else.
+// Server publishes a source to any number of watchers. A watcher has no queue: the
+// changes that it has not received yet are merged into one delta, or replaced by
+// one snapshot, once its stream can accept more. A slow watcher therefore costs a
+// constant amount of memory and does not delay others.
 type Server struct {
 	controlv1.UnimplementedFeedServer
 	source  Source
@@ -53,7 +55,7 @@
 	stopOnce sync.Once
 }
 
-// NewServer returns a server of the source.
+// NewServer returns a server that publishes the source.
 func NewServer(source Source) *Server {
 	return &Server{source: source, daemons: NewDaemons(), stopping: make(chan struct{})}
 }
@@ -63,11 +65,11 @@
 	controlv1.RegisterFeedServer(registrar, s)
 }
 
-// Daemons returns the daemons that watch here or below.
+// Daemons returns the daemons that watch this server, directly or through relays.
 func (s *Server) Daemons() *Daemons { return s.daemons }
 
-// Stop ends all watches, so that the daemons move to another source. It is part
-// of a planned stop.
+// Stop ends all watches, so that the daemons switch to another source. It is part
+// of a graceful stop.
 func (s *Server) Stop() { s.stopOnce.Do(func() { close(s.stopping) }) }
 
 type watchStream = grpc.BidiStreamingServer[controlv1.WatchRequest, controlv1.WatchResponse]
@@ -80,10 +82,10 @@
 	}
 	hello := first.GetHello()
 	if hello == nil {
-		return fault.New(fault.Invalid, "a watch starts with hello", "update the client")
+		return fault.New(fault.Invalid, "the first message of a watch must be hello", "update the client")
 	}
-	w := &watcher{server: s, stream: stream, hello: hello, sent: hello.GetRevision(), pings: make(chan uint64, 1)}
-	s.daemons.hear(time.Now(), hello, hello.GetRevision())
+	w := &watcher{server: s, stream: stream, hello: hello, sentRevision: hello.GetRevision(), pendingPing: make(chan uint64, 1)}
+	s.daemons.updateFromHello(time.Now(), hello, hello.GetRevision())
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
 	go func() {
@@ -93,36 +95,36 @@
 	return w.send(ctx)
 }
 
-// watcher is one daemon's stream.
+// watcher serves the stream of one daemon.
 type watcher struct {
 	server *Server
 	stream watchStream
 	hello  *controlv1.Hello
-	// sent is the revision that the daemon has been brought to.
-	sent uint64
-	// replicas are the control replicas that were sent to the daemon.
-	replicas []string
-	// pings holds the latest ping that waits for its answer. A newer ping
-	// replaces it: an answer to the newer one says more.
-	pings chan uint64
+	// sentRevision is the revision that was last sent to the daemon.
+	sentRevision uint64
+	// sentReplicas are the control replicas that were last sent to the daemon.
+	sentReplicas []string
+	// pendingPing holds the latest unanswered ping. A newer ping replaces it,
+	// since the pong to the newer one is evidence of later freshness.
+	pendingPing chan uint64
 }
 
-// newReplicas returns the control replicas if they have not been sent to the daemon on
-// this stream; a source that does not know them has none.
-func (w *watcher) newReplicas() []string {
-	known, ok := w.server.source.(ReplicaSource)
+// unsentReplicas returns the control replicas if the daemon has not been sent them on
+// this stream, and nil otherwise or if the source does not know them.
+func (w *watcher) unsentReplicas() []string {
+	provider, ok := w.server.source.(ReplicaSource)
 	if !ok {
 		return nil
 	}
-	replicas := known.Replicas()
-	if slices.Equal(replicas, w.replicas) {
+	replicas := provider.Replicas()
+	if slices.Equal(replicas, w.sentReplicas) {
 		return nil
 	}
-	w.replicas = replicas
+	w.sentReplicas = replicas
 	return replicas
 }
 
-// receivePings takes pings in until the stream ends.
+// receivePings processes pings until the stream ends.
 func (w *watcher) receivePings() {
 	for {
 		request, err := w.stream.Recv()
@@ -134,17 +136,17 @@
 			continue
 		}
 		now := time.Now()
-		w.server.daemons.hear(now, w.hello, ping.GetRevision())
-		w.server.daemons.hearBelow(now, ping.GetBelow())
+		w.server.daemons.updateFromHello(now, w.hello, ping.GetRevision())
+		w.server.daemons.updateDownstream(now, ping.GetBelow())
 		select {
-		case <-w.pings:
+		case <-w.pendingPing:
 		default:
 		}
-		w.pings <- ping.GetSeq()
+		w.pendingPing <- ping.GetSeq()
 	}
 }
 
-// send sends changes and answers pings. It is the only sender on the stream.
+// send sends changes and pongs. It is the only sender on the stream.
 func (w *watcher) send(ctx context.Context) error {
 	source := w.server.source
 	for {
@@ -156,47 +158,48 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-w.server.stopping:
-			return fault.New(fault.Leaving, "this feed is stopping", "watch the next source")
+			return fault.New(fault.Leaving, "the configuration feed is stopping", "watch the next source")
 		case <-changed:
-		case seq := <-w.pings:
-			if err := w.answer(seq); err != nil {
+		case seq := <-w.pendingPing:
+			if err := w.sendPong(seq); err != nil {
 				return trace.Wrap(err)
 			}
 		}
 	}
 }
 
-// sendChanges brings the daemon to the latest revision.
+// sendChanges updates the daemon to the latest revision.
 func (w *watcher) sendChanges() error {
-	if w.server.source.Revision() <= w.sent {
+	if w.server.source.Revision() <= w.sentRevision {
 		return nil
 	}
-	update, err := w.server.encoder.update(w.stream, w.server.source, w.sent)
+	update, err := w.server.encoder.update(w.stream, w.server.source, w.sentRevision)
 	if err != nil || update == nil {
 		return err
 	}
 	if err := w.stream.SendMsg(update.prepared); err != nil {
 		return err
 	}
-	w.sent = update.revision
+	w.sentRevision = update.revision
 	return nil
 }
 
-// answer sends a pong. The changes go first, so that a daemon holds a revision
-// when it learns that a quorum confirmed it.
-func (w *watcher) answer(seq uint64) error {
+// sendPong answers a ping. Changes are sent first, so that the daemon holds a
+// revision by the time it learns that a quorum confirmed it.
+func (w *watcher) sendPong(seq uint64) error {
 	revision, at, known := w.server.source.Freshness()
 	if err := w.sendChanges(); err != nil {
 		return err
 	}
-	pong := &controlv1.Pong{Seq: seq, Revision: revision, Known: known, Replicas: w.newReplicas()}
+	pong := &controlv1.Pong{Seq: seq, Revision: revision, Known: known, Replicas: w.unsentReplicas()}
 	if known {
 		pong.AgeMs = ageMillis(time.Since(at))
 	}
 	return w.stream.Send(&controlv1.WatchResponse{Kind: &controlv1.WatchResponse_Pong{Pong: pong}})
 }
 
-// ageMillis rounds up, so that an age is never understated.
+// ageMillis converts an age to milliseconds. It rounds up, so that the age is
+// never understated.
 func ageMillis(age time.Duration) int64 {
 	return int64((age + time.Millisecond - 1) / time.Millisecond)
 }
--- a/feed/table.go
+++ b/feed/table.go
@@ -6,12 +6,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// tableShards bounds what one change copies: a table of n records copies about
-// n/tableShards of them for each record that changes.
+// tableShards limits how much one change copies: about n/tableShards of the n
+// records of a table for each changed record.
 const tableShards = 256
 
-// Table is an immutable map from a name to a record. A changed table shares all
-// untouched shards with the table that it was made from. The zero Table is
+// Table is an immutable map from names to records. A modified table shares all
+// unmodified shards with the table that it was derived from. The zero Table is
 // empty and ready for use. The records must not be modified.
 type Table[V any] struct {
 	shards *[tableShards]map[string]V
@@ -31,7 +31,7 @@
 // Len returns the number of records.
 func (t Table[V]) Len() int { return t.size }
 
-// All iterates over the records, in no particular order.
+// All iterates over the names and records in no particular order.
 func (t Table[V]) All() iter.Seq2[string, V] {
 	return func(yield func(string, V) bool) {
 		if t.shards == nil {
@@ -49,12 +49,12 @@
 
 func shardOf(name string) uint64 { return xxhash.Sum64String(name) % tableShards }
 
-// tableBuilder collects changes to a table. It copies a shard when it first
-// touches it, so that the table it started from stays as it is.
+// tableBuilder builds a modified copy of a table. It copies a shard on the first
+// write to it and leaves the original table unchanged.
 type tableBuilder[V any] struct {
 	base   Table[V]
 	shards *[tableShards]map[string]V
-	owned  [tableShards]bool
+	copied [tableShards]bool
 	size   int
 }
 
@@ -70,18 +70,18 @@
 		}
 	}
 	index := shardOf(name)
-	if !b.owned[index] {
-		copied := make(map[string]V, len(b.shards[index])+1)
+	if !b.copied[index] {
+		clone := make(map[string]V, len(b.shards[index])+1)
 		for key, record := range b.shards[index] {
-			copied[key] = record
+			clone[key] = record
 		}
-		b.shards[index] = copied
-		b.owned[index] = true
+		b.shards[index] = clone
+		b.copied[index] = true
 	}
 	return b.shards[index]
 }
 
-// get returns a record as it stands with the changes so far.
+// get returns a record with the changes made so far.
 func (b *tableBuilder[V]) get(name string) (V, bool) {
 	if b.shards == nil {
 		return b.base.Get(name)
--- a/feed/view.go
+++ b/feed/view.go
@@ -9,7 +9,7 @@
 // View is one accepted configuration, indexed by name. It is immutable: neither
 // the view nor the records that it holds may be modified.
 type View struct {
-	// Revision grows by one with every accepted change.
+	// Revision is incremented with every accepted change.
 	Revision uint64
 	// Workspaces by name.
 	Workspaces Table[*fleetv1.Workspace]
@@ -23,7 +23,7 @@
 	Policies Table[*fleetv1.BalancePolicy]
 	// Maps holds the expert map records by group of ranks.
 	Maps Table[*fleetv1.MapRecord]
-	// Site is what the site serves to callers; nil where none was published.
+	// Site describes what the site serves to callers; nil if none was published.
 	Site *fleetv1.Site
 
 	// byDigest finds a workspace by the digest of one of its keys.
@@ -51,48 +51,49 @@
 	})
 }
 
-// Apply returns the view that the delta turns v into. A delta holds the final
-// state of everything that changed in it, so it may start before v's revision,
-// but not after it.
+// Apply returns the result of applying the delta to v. A delta holds the final
+// state of everything that it changes, so it may start before v's revision, but
+// not after it.
 func (v *View) Apply(delta *fleetv1.Delta) *View {
 	return &View{
 		Revision:   delta.GetToRevision(),
-		Workspaces: change(v.Workspaces, delta.GetWorkspaces(), (*fleetv1.Workspace).GetName, delta.GetRemovedWorkspaces()),
-		Models:     change(v.Models, delta.GetModels(), (*fleetv1.Model).GetName, delta.GetRemovedModels()),
-		Services:   change(v.Services, delta.GetServices(), (*fleetv1.Service).GetName, delta.GetRemovedServices()),
-		Endpoints:  change(v.Endpoints, delta.GetEndpoints(), (*fleetv1.Endpoint).GetId, delta.GetRemovedEndpoints()),
-		Policies:   change(v.Policies, delta.GetPolicies(), (*fleetv1.BalancePolicy).GetGroup, nil),
-		Maps:       change(v.Maps, delta.GetMaps(), (*fleetv1.MapRecord).GetGroup, nil),
-		Site:       changeSite(v.Site, delta.GetSite()),
-		byDigest:   v.changeDigests(delta),
+		Workspaces: applyChanges(v.Workspaces, delta.GetWorkspaces(), (*fleetv1.Workspace).GetName, delta.GetRemovedWorkspaces()),
+		Models:     applyChanges(v.Models, delta.GetModels(), (*fleetv1.Model).GetName, delta.GetRemovedModels()),
+		Services:   applyChanges(v.Services, delta.GetServices(), (*fleetv1.Service).GetName, delta.GetRemovedServices()),
+		Endpoints:  applyChanges(v.Endpoints, delta.GetEndpoints(), (*fleetv1.Endpoint).GetId, delta.GetRemovedEndpoints()),
+		Policies:   applyChanges(v.Policies, delta.GetPolicies(), (*fleetv1.BalancePolicy).GetGroup, nil),
+		Maps:       applyChanges(v.Maps, delta.GetMaps(), (*fleetv1.MapRecord).GetGroup, nil),
+		Site:       applySite(v.Site, delta.GetSite()),
+		byDigest:   v.applyDigests(delta),
 	}
 }
 
-// changeSite returns the site after a delta, which has none if it is unchanged.
-func changeSite(before, changed *fleetv1.Site) *fleetv1.Site {
+// applySite returns the site after a delta. A delta without a site leaves it
+// unchanged.
+func applySite(before, changed *fleetv1.Site) *fleetv1.Site {
 	if changed == nil {
 		return before
 	}
 	return changed
 }
 
-// changeDigests returns the index of key digests after the delta. A digest that
-// has gone over to another workspace stays with that one.
-func (v *View) changeDigests(delta *fleetv1.Delta) Table[*fleetv1.Workspace] {
+// applyDigests returns the index of key digests after the delta. A digest that has
+// moved to another workspace remains assigned to that workspace.
+func (v *View) applyDigests(delta *fleetv1.Delta) Table[*fleetv1.Workspace] {
 	builder := v.byDigest.edit()
-	drop := func(name string) {
+	removeDigests := func(name string) {
 		before, _ := v.Workspaces.Get(name)
 		for _, digest := range before.GetKeyDigests() {
-			if holder, ok := builder.get(digest); ok && holder.GetName() == name {
+			if owner, ok := builder.get(digest); ok && owner.GetName() == name {
 				builder.remove(digest)
 			}
 		}
 	}
-	for _, gone := range delta.GetRemovedWorkspaces() {
-		drop(gone)
+	for _, removedName := range delta.GetRemovedWorkspaces() {
+		removeDigests(removedName)
 	}
 	for _, changed := range delta.GetWorkspaces() {
-		drop(changed.GetName())
+		removeDigests(changed.GetName())
 		for _, digest := range changed.GetKeyDigests() {
 			builder.put(digest, changed)
 		}
@@ -100,10 +101,10 @@
 	return builder.table()
 }
 
-func change[V any](table Table[V], records []V, name func(V) string, removed []string) Table[V] {
+func applyChanges[V any](table Table[V], records []V, name func(V) string, removed []string) Table[V] {
 	builder := table.edit()
-	for _, gone := range removed {
-		builder.remove(gone)
+	for _, removedName := range removed {
+		builder.remove(removedName)
 	}
 	for _, record := range records {
 		builder.put(name(record), record)
@@ -111,7 +112,8 @@
 	return builder.table()
 }
 
-// Configuration returns the view as a message, which must not be modified.
+// Configuration returns the view as a protobuf message, which must not be
+// modified.
 func (v *View) Configuration() *fleetv1.Configuration {
 	return &fleetv1.Configuration{
 		Revision:   v.Revision,
@@ -136,8 +138,8 @@
 	return list
 }
 
-// Diff returns the delta that turns the old view into the new one. An old view
-// of nil stands for the empty configuration.
+// Diff returns the delta from the old view to the new one. A nil old view stands
+// for the empty configuration.
 func Diff(old, new *View) *fleetv1.Delta {
 	if old == nil {
 		old = &View{}
--- a/feed/watch.go
+++ b/feed/watch.go
@@ -12,8 +12,8 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// connections keeps one connection per source, so that a client that comes back
-// to a source need not dial again.
+// connections caches one connection per source, so that a client that returns to
+// a source need not dial again.
 type connections struct {
 	options []grpc.DialOption
 	byAddr  map[string]*grpc.ClientConn
@@ -29,14 +29,14 @@
 	}
 	conn, err := grpc.NewClient(addr, c.options...)
 	if err != nil {
-		return nil, trace.Wrap(err, "cannot watch %v; check the address of the source", addr)
+		return nil, trace.Wrap(err, "cannot connect to the configuration source %v; check its address", addr)
 	}
 	c.byAddr[addr] = conn
 	return conn, nil
 }
 
-// drop closes a connection, so that the next use of the source dials anew: a
-// frozen or cut-off peer leaves the connection looking alive.
+// drop closes a connection, so that the next use of the source dials again: the
+// connection to a frozen or partitioned peer may still appear to be open.
 func (c *connections) drop(addr string) {
 	if conn, ok := c.byAddr[addr]; ok {
 		delete(c.byAddr, addr)
@@ -50,59 +50,60 @@
 	}
 }
 
-// watch follows one source until it has to be left, which is an error, or until
-// the limit, if any, has passed. It reports whether the source ever had fresh
-// knowledge.
-func (c *Client) watch(ctx context.Context, connections *connections, source string, limit time.Duration) (worked bool, err error) {
+// watch watches one source until it has to be left, which is an error, or until
+// the limit, if any, has passed. wasFresh reports whether the source ever sent a
+// fresh pong.
+func (c *Client) watch(ctx context.Context, connections *connections, source string, limit time.Duration) (wasFresh bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	conn, err := connections.get(source)
 	if err != nil {
 		return false, err
 	}
-	if err := connected(ctx, conn); err != nil {
+	if err := waitReady(ctx, conn); err != nil {
 		connections.drop(source)
 		return false, err
 	}
-	opened := time.Now()
-	c.begin(source, opened)
-	w := &watch{client: c, cancel: cancel, opened: opened}
-	// The watchdog ends the stream also while a call on it blocks.
-	w.watchdog = time.AfterFunc(time.Until(c.giveUp()), w.check)
+	watchStarted := time.Now()
+	c.startWatch(source, watchStarted)
+	w := &watch{client: c, cancel: cancel, watchStarted: watchStarted}
+	// The watchdog also ends the stream while a call on it blocks.
+	w.watchdog = time.AfterFunc(time.Until(c.sourceDeadline()), w.checkDeadline)
 	defer w.watchdog.Stop()
 	if limit > 0 {
-		expiry := time.AfterFunc(limit, cancel)
-		defer expiry.Stop()
+		limitTimer := time.AfterFunc(limit, cancel)
+		defer limitTimer.Stop()
 	}
 	err = w.run(ctx, conn)
-	worked = c.worked(opened)
-	if limit > 0 && time.Since(opened) >= limit && c.keep() == nil {
-		return worked, nil
+	wasFresh = c.hadFreshPong(watchStarted)
+	if limit > 0 && time.Since(watchStarted) >= limit && c.checkSource() == nil {
+		return wasFresh, nil
 	}
 	connections.drop(source)
-	if reason := c.keep(); reason != nil {
+	if reason := c.checkSource(); reason != nil {
 		err = reason
 	}
-	return worked, trace.Wrap(err)
+	return wasFresh, trace.Wrap(err)
 }
 
-// connectLimit bounds the time to connect to a source, several round trips between regions.
-// A source that is down or frozen is left after it, and not after the time that a first
-// answer may take: with two of five control hosts down, a daemon that followed one and went
-// on to the other learned of a change 4 s later, and 2 to 2.5 s are allowed.
-const connectLimit = 500 * time.Millisecond
+// connectTimeout bounds the time to connect to a source. It allows for several round trips
+// between regions. A source that is down or frozen is left after this time rather than after
+// FirstPongTimeout: with two of five control hosts down, a daemon that switched from one of
+// them to the other received a change 4 s late, and 2 to 2.5 s are allowed.
+const connectTimeout = 500 * time.Millisecond
 
-// connected waits until a connection is ready for calls.
-func connected(ctx context.Context, conn *grpc.ClientConn) error {
-	ctx, cancel := context.WithTimeout(ctx, connectLimit)
+// waitReady waits until a connection is ready for calls, for at most
+// connectTimeout.
+func waitReady(ctx context.Context, conn *grpc.ClientConn) error {
+	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	for state := conn.GetState(); state != connectivity.Ready; state = conn.GetState() {
 		conn.Connect()
 		if !conn.WaitForStateChange(ctx, state) {
-			return fault.New(fault.Unavailable, "the source did not take a connection in time", "the client watches the next source")
+			return fault.New(fault.Unavailable, "connecting to the configuration source timed out", "the client watches the next source")
 		}
 		if state == connectivity.Connecting && conn.GetState() == connectivity.TransientFailure {
-			return fault.New(fault.Unavailable, "the source takes no connection", "the client watches the next source")
+			return fault.New(fault.Unavailable, "the configuration source does not accept connections", "the client watches the next source")
 		}
 	}
 	return nil
@@ -110,57 +111,58 @@
 
 // watch is one stream to one source.
 type watch struct {
-	client   *Client
-	cancel   context.CancelFunc
-	opened   time.Time
-	watchdog *time.Timer
+	client       *Client
+	cancel       context.CancelFunc
+	watchStarted time.Time
+	watchdog     *time.Timer
 }
 
-// check ends the stream if the source has to be left, and looks again when it
-// next may have to be. It may be called from any goroutine.
-func (w *watch) check() {
-	if w.client.keep() != nil {
+// checkDeadline ends the stream if the source has to be left. Otherwise it schedules
+// the next check for the earliest time at which the source may have to be left. It
+// may be called from any goroutine.
+func (w *watch) checkDeadline() {
+	if w.client.checkSource() != nil {
 		w.cancel()
 		return
 	}
-	w.watchdog.Reset(max(time.Until(w.client.giveUp()), time.Millisecond))
+	w.watchdog.Reset(max(time.Until(w.client.sourceDeadline()), time.Millisecond))
 }
 
 func (w *watch) run(ctx context.Context, conn *grpc.ClientConn) error {
 	stream, err := controlv1.NewFeedClient(conn).Watch(ctx,
-		grpc.MaxCallRecvMsgSize(maxSnapshotBytes))
+		grpc.MaxCallRecvMsgSize(maxMessageBytes))
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if err := stream.Send(w.client.hello()); err != nil {
+	if err := stream.Send(w.client.helloRequest()); err != nil {
 		return trace.Wrap(err)
 	}
-	failed := make(chan error, 1)
-	go func() { failed <- w.ping(ctx, stream) }()
+	pingErr := make(chan error, 1)
+	go func() { pingErr <- w.sendPings(ctx, stream) }()
 	for {
 		message, err := stream.Recv()
 		if err != nil {
 			w.cancel()
-			<-failed
+			<-pingErr
 			return trace.Wrap(err)
 		}
 		if err := w.client.receive(message); err != nil {
 			w.cancel()
-			<-failed
+			<-pingErr
 			return err
 		}
-		// An answer brings the time to leave closer as well as further away: the
-		// first one ends the long wait for a whole configuration.
-		w.check()
+		// A pong can make the deadline earlier as well as later: after the first
+		// one the shorter PongTimeout applies instead of FirstPongTimeout.
+		w.checkDeadline()
 	}
 }
 
-// ping sends pings in a regular rhythm, and at once when there is a new
+// sendPings sends pings at regular intervals, and immediately when there is a new
 // revision to acknowledge.
-func (w *watch) ping(ctx context.Context, stream grpc.BidiStreamingClient[controlv1.WatchRequest, controlv1.WatchResponse]) error {
+func (w *watch) sendPings(ctx context.Context, stream grpc.BidiStreamingClient[controlv1.WatchRequest, controlv1.WatchResponse]) error {
 	for {
 		changed := w.client.Changed()
-		ping := w.client.nextPing()
+		ping := w.client.pingRequest()
 		if err := stream.Send(ping); err != nil {
 			return trace.Wrap(err)
 		}
@@ -181,19 +183,19 @@
 	if c.Ready() {
 		return c.cfg.PingInterval
 	}
-	return min(blankPingInterval, c.cfg.PingInterval)
+	return min(initialPingInterval, c.cfg.PingInterval)
 }
 
-// begin notes the source that is watched from now on.
-func (c *Client) begin(source string, now time.Time) {
+// startWatch records the source that is watched from now on.
+func (c *Client) startWatch(source string, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.source = source
 	c.follower.StartWatch(now)
 }
 
-// hello returns the first message of a watch.
-func (c *Client) hello() *controlv1.WatchRequest {
+// helloRequest returns the first message of a watch.
+func (c *Client) helloRequest() *controlv1.WatchRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return &controlv1.WatchRequest{Kind: &controlv1.WatchRequest_Hello{Hello: &controlv1.Hello{
@@ -205,62 +207,65 @@
 	}}}
 }
 
-// nextPing returns a ping with the acknowledged revision and, at a relay, the
-// daemons below it.
-func (c *Client) nextPing() *controlv1.WatchRequest {
+// pingRequest returns a ping with the acknowledged revision and, on a relay, the
+// statuses of the downstream daemons.
+func (c *Client) pingRequest() *controlv1.WatchRequest {
 	now := time.Now()
 	c.mu.Lock()
 	ping := c.follower.Ping(now)
 	c.mu.Unlock()
-	if c.below != nil {
-		ping.Below = c.below(now)
+	if c.downstream != nil {
+		ping.Below = c.downstream(now)
 	}
 	return &controlv1.WatchRequest{Kind: &controlv1.WatchRequest_Ping{Ping: ping}}
 }
 
-// receive takes one message in: the callbacks run first, then the revision is
-// shown, and only then it is acknowledged and its confirmation counts.
+// receive processes one message. For a new revision the callbacks run first, then
+// Configuration returns it, and only then is it acknowledged and counted as
+// confirmed.
 func (c *Client) receive(message *controlv1.WatchResponse) error {
 	if replicas := message.GetPong().GetReplicas(); len(replicas) > 0 {
-		c.learn(replicas)
+		c.setDiscoveredReplicas(replicas)
 	}
 	now := time.Now()
 	c.mu.Lock()
-	step, err := c.follower.Receive(now, message)
-	callbacks := c.applied
+	transition, err := c.follower.Receive(now, message)
+	callbacks := c.transitionCallbacks
 	c.mu.Unlock()
-	if err != nil || step == nil {
+	if err != nil || transition == nil {
 		return err
 	}
 	for _, callback := range callbacks {
-		callback(step)
+		callback(transition)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.view = step.New
-	c.follower.Acknowledge(step.New.Revision)
+	c.view = transition.New
+	c.follower.Acknowledge(transition.New.Revision)
 	close(c.changed)
 	c.changed = make(chan struct{})
 	return nil
 }
 
-// keep returns why the present source has to be left, or nil.
-func (c *Client) keep() error {
+// checkSource returns why the current source has to be left, or nil.
+func (c *Client) checkSource() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.follower.CheckSource(time.Now())
 }
 
-// giveUp returns when the present source has to be left at the earliest.
-func (c *Client) giveUp() time.Time {
+// sourceDeadline returns the earliest time at which the current source may have to
+// be left.
+func (c *Client) sourceDeadline() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.follower.SourceDeadline()
 }
 
-// worked reports whether the watch opened at that time ever had fresh knowledge.
-func (c *Client) worked(opened time.Time) bool {
+// hadFreshPong reports whether the watch started at the given time has received a
+// fresh pong.
+func (c *Client) hadFreshPong(watchStarted time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.follower.HadFreshPong(opened)
+	return c.follower.HadFreshPong(watchStarted)
 }
