--- a/link/config.go
+++ b/link/config.go
@@ -7,23 +7,25 @@
 	"github.com/lilackeel/lilackeel/setting"
 )
 
-// Config is how a process proves itself to its peers and checks them. Either
-// all three files are set, or none.
+// Config configures how a process authenticates itself to its peers and verifies
+// them. Either all three files are set, or none.
 type Config struct {
-	// Cert is the file of this process's certificate chain, PEM.
+	// Cert is the PEM file with the certificate chain of this process.
 	Cert string
-	// Key is the file of the certificate's private key, PEM.
+	// Key is the PEM file with the private key of the certificate.
 	Key string
-	// CA is the file of the authorities whose certificates peers must show, PEM.
+	// CA is the PEM file with the authorities that must have issued the
+	// certificates of peers.
 	CA string
-	// ServerName is the name that every peer's certificate carries. If empty,
-	// the certificate must carry the host or IP address that was dialled.
+	// ServerName is the name that every server certificate must contain. If empty,
+	// it must contain the host name or IP address that was dialled.
 	ServerName string
-	// Insecure allows connections without TLS beyond the loopback addresses.
+	// Insecure allows connections without TLS to and from other addresses than
+	// loopback.
 	Insecure bool
 }
 
-// Settings registers the settings of cfg.
+// Settings registers the settings for the fields of cfg.
 func Settings(s *setting.Set, cfg *Config) {
 	s.String(&cfg.Cert, "tls-cert", "", "PEM file with the certificate chain of this process")
 	s.String(&cfg.Key, "tls-key", "", "PEM file with the private key of -tls-cert")
@@ -33,10 +35,10 @@
 	s.Check(func() error { return cfg.check() })
 }
 
-// Secure reports whether TLS is configured.
+// TLSEnabled reports whether all TLS files are set.
 func (cfg Config) TLSEnabled() bool { return cfg.Cert != "" && cfg.Key != "" && cfg.CA != "" }
 
-// check finds contradictions and files that cannot be used.
+// check returns an error for contradictory settings and unusable files.
 func (cfg Config) check() error {
 	anyFile := cfg.Cert != "" || cfg.Key != "" || cfg.CA != ""
 	switch {
@@ -53,8 +55,9 @@
 	return nil
 }
 
-// CheckListen refuses an address that would accept connections without TLS from
-// other hosts. Daemons call it from a setting check.
+// CheckListen returns an error if a listener on the address would accept
+// connections without TLS from other hosts. Daemons call it when they check their
+// settings.
 func (cfg Config) CheckListen(address string) error {
 	if cfg.TLSEnabled() || cfg.Insecure {
 		return nil
@@ -68,5 +71,5 @@
 	}
 	return fault.Newf(fault.Invalid,
 		"set -tls-cert, -tls-key and -tls-ca, listen on a loopback address, or set -insecure",
-		"%s would accept connections without TLS from other hosts", address)
+		"a listener on %s would accept connections without TLS from other hosts", address)
 }
--- a/link/credential.go
+++ b/link/credential.go
@@ -10,7 +10,7 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// newCredentials returns the transport credentials that cfg asks for.
+// newCredentials returns the transport credentials configured by cfg.
 func newCredentials(cfg Config) (credentials.TransportCredentials, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -22,35 +22,35 @@
 	if err != nil {
 		return nil, err
 	}
-	return &mutualCredentials{credentials.NewTLS(store.client()), store}, nil
+	return &mutualTLSCredentials{credentials.NewTLS(store.clientConfig()), store}, nil
 }
 
-// mutualCredentials makes each handshake with the keys of that moment.
-type mutualCredentials struct {
+// mutualTLSCredentials performs each handshake with the current keys.
+type mutualTLSCredentials struct {
 	credentials.TransportCredentials
 	store *keyStore
 }
 
 // ClientHandshake implements credentials.TransportCredentials.
-func (c *mutualCredentials) ClientHandshake(ctx context.Context, authority string, conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
-	return credentials.NewTLS(c.store.client()).ClientHandshake(ctx, authority, conn)
+func (c *mutualTLSCredentials) ClientHandshake(ctx context.Context, authority string, conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
+	return credentials.NewTLS(c.store.clientConfig()).ClientHandshake(ctx, authority, conn)
 }
 
 // ServerHandshake implements credentials.TransportCredentials.
-func (c *mutualCredentials) ServerHandshake(conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
-	return credentials.NewTLS(c.store.server()).ServerHandshake(conn)
+func (c *mutualTLSCredentials) ServerHandshake(conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
+	return credentials.NewTLS(c.store.serverConfig()).ServerHandshake(conn)
 }
 
 // Clone implements credentials.TransportCredentials.
-func (c *mutualCredentials) Clone() credentials.TransportCredentials {
-	return &mutualCredentials{c.TransportCredentials.Clone(), c.store}
+func (c *mutualTLSCredentials) Clone() credentials.TransportCredentials {
+	return &mutualTLSCredentials{c.TransportCredentials.Clone(), c.store}
 }
 
 // plainCredentials connects without TLS, between loopback addresses only unless
-// anywhere is set.
+// allowRemote is set.
 type plainCredentials struct {
 	credentials.TransportCredentials
-	anywhere bool
+	allowRemote bool
 }
 
 // ClientHandshake implements credentials.TransportCredentials.
@@ -71,19 +71,19 @@
 
 // Clone implements credentials.TransportCredentials.
 func (c *plainCredentials) Clone() credentials.TransportCredentials {
-	return &plainCredentials{c.TransportCredentials.Clone(), c.anywhere}
+	return &plainCredentials{c.TransportCredentials.Clone(), c.allowRemote}
 }
 
 func (c *plainCredentials) allow(conn net.Conn) error {
-	if c.anywhere || isLoopback(conn.RemoteAddr()) {
+	if c.allowRemote || isLoopback(conn.RemoteAddr()) {
 		return nil
 	}
 	return fault.Newf(fault.Unauthenticated, "set -tls-cert, -tls-key and -tls-ca on both sides, or -insecure",
 		"a connection without TLS to or from %s is not allowed", conn.RemoteAddr())
 }
 
-// isLoopback reports whether the peer is on this host. Sockets and pipes without
-// an IP address are.
+// isLoopback reports whether an address is on this host. Addresses other than TCP,
+// such as those of Unix sockets and pipes, are.
 func isLoopback(addr net.Addr) bool {
 	tcp, ok := addr.(*net.TCPAddr)
 	return !ok || tcp.IP.IsLoopback()
--- a/link/dial.go
+++ b/link/dial.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// firstAnswer is how long the first attempt to connect waits for the peer. It is
-// above the round trip between any two regions. A peer that was down when the
-// attempt began, or a lost packet, costs this much; without it the attempt would
-// wait for the kernel, which sends its packet again only after a second. Each
-// further attempt waits twice as long.
-const firstAnswer = 300 * time.Millisecond
+// firstAttemptTimeout bounds the first attempt to connect; each further attempt may
+// take twice as long. It is longer than the round trip between any two regions. It
+// is the delay caused by a lost packet or a peer that was down when the attempt
+// started; without it the delay would be that of the kernel, which retransmits the
+// SYN only after one second.
+const firstAttemptTimeout = 300 * time.Millisecond
 
 // dialFunc connects to an address.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// dialAgain connects, and begins anew when an attempt gets no answer, until ctx
-// ends. Only an attempt that has waited for its whole time is begun anew: any other
-// failure, begun anew at once, could fail at once again and again.
-func dialAgain(ctx context.Context, address string, dial dialFunc) (net.Conn, error) {
-	for limit := firstAnswer; ; limit *= 2 {
-		began := time.Now()
-		attempt, cancel := context.WithTimeout(ctx, limit)
+// dialWithRetry connects to the address and retries attempts that time out until
+// ctx ends. Other failures are not retried: without a delay between attempts they
+// could fail in a busy loop.
+func dialWithRetry(ctx context.Context, address string, dial dialFunc) (net.Conn, error) {
+	for timeout := firstAttemptTimeout; ; timeout *= 2 {
+		started := time.Now()
+		attempt, cancel := context.WithTimeout(ctx, timeout)
 		conn, err := dial(attempt, "tcp", address)
 		cancel()
-		unanswered := err != nil && time.Since(began) >= limit
-		if !unanswered || ctx.Err() != nil {
+		timedOut := err != nil && time.Since(started) >= timeout
+		if !timedOut || ctx.Err() != nil {
 			return conn, err
 		}
 	}
--- a/link/dial_test.go
+++ b/link/dial_test.go
@@ -14,48 +14,48 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// TestAPeerThatComesUpIsReachedSoon dials a peer that hears nothing at first, as a
-// host does that is still down: what is sent to it then is lost.
-func TestAPeerThatComesUpIsReachedSoon(t *testing.T) {
+// TestDialRetriesWhenPeerComesUp dials a peer that does not receive the first packets,
+// as a host that is still down.
+func TestDialRetriesWhenPeerComesUp(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.Lost}, Step: "connecting to a host that is still down",
-		Guard: "dialAgain: an attempt without an answer is begun anew"}.Log(t)
+		Guard: "dialWithRetry: an attempt that times out is retried"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		began := time.Now()
+		started := time.Now()
 		peer := func(ctx context.Context, _, _ string) (net.Conn, error) {
-			if time.Since(began) >= 50*time.Millisecond {
+			if time.Since(started) >= 50*time.Millisecond {
 				end, _ := net.Pipe()
 				return end, nil
 			}
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		conn, err := dialAgain(t.Context(), "10.0.0.1:1", peer)
+		conn, err := dialWithRetry(t.Context(), "10.0.0.1:1", peer)
 		is.NoErr(err)
 		is.True(conn != nil)
-		is.True(time.Since(began) <= firstAnswer)
+		is.True(time.Since(started) <= firstAttemptTimeout)
 	})
 }
 
-func TestDialingEndsWithItsContextAndWithARefusal(t *testing.T) {
+func TestDialStopsOnContextEndAndRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		attempts := 0
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
-		began := time.Now()
-		_, err := dialAgain(ctx, "10.0.0.1:1", func(ctx context.Context, _, _ string) (net.Conn, error) {
+		started := time.Now()
+		_, err := dialWithRetry(ctx, "10.0.0.1:1", func(ctx context.Context, _, _ string) (net.Conn, error) {
 			attempts++
 			<-ctx.Done()
 			return nil, ctx.Err()
 		})
 		is.True(errors.Is(err, context.DeadlineExceeded))
-		is.Equal(time.Since(began), 2*time.Second)
-		is.Equal(attempts, 3) // 0.3, 0.6 and what was left
+		is.Equal(time.Since(started), 2*time.Second)
+		is.Equal(attempts, 3) // 0.3 s, 0.6 s and the remaining time
 
 		refused := errors.New("connection refused")
 		attempts = 0
-		_, err = dialAgain(t.Context(), "10.0.0.1:1", func(context.Context, string, string) (net.Conn, error) {
+		_, err = dialWithRetry(t.Context(), "10.0.0.1:1", func(context.Context, string, string) (net.Conn, error) {
 			attempts++
 			return nil, refused
 		})
@@ -63,9 +63,9 @@
 		is.Equal(attempts, 1)
 
 		attempts = 0
-		_, err = dialAgain(t.Context(), "10.0.0.1:1", func(context.Context, string, string) (net.Conn, error) {
+		_, err = dialWithRetry(t.Context(), "10.0.0.1:1", func(context.Context, string, string) (net.Conn, error) {
 			attempts++
-			return nil, os.ErrDeadlineExceeded // at once, as when the deadline of ctx has just passed
+			return nil, os.ErrDeadlineExceeded // immediately, as if the deadline of ctx had just passed
 		})
 		is.Equal(err, os.ErrDeadlineExceeded)
 		is.Equal(attempts, 1)
--- a/link/doc.go
+++ b/link/doc.go
@@ -1,13 +1,14 @@
-// Package link is how the processes of lilackeel connect to each other: mutual
-// TLS with keys that are read again when they change, keepalive that finds a
-// silent cut, faults that keep their kind, message, remedy and retry-after
-// across gRPC, and a pool of client connections.
+// Package link provides the connections between the processes of lilackeel:
+// mutual TLS whose keys are reloaded when their files change, keepalives that
+// detect silent network partitions, faults that keep their kind, message, remedy
+// and retry-after across gRPC, and a pool of client connections.
 //
 // Without TLS a connection is allowed between loopback addresses only, unless
-// -insecure is set. With TLS both sides must show a certificate of the common
-// authority.
+// -insecure is set. With TLS both sides must present a certificate issued by a
+// common authority.
 //
-// A client call that fails without a fault from its peer is judged by whether
-// its request was ever written to a connection: if not, the kind is Unavailable
-// (the peer ran nothing); otherwise it is Unknown.
+// If a client call fails and its peer has not returned a fault, the kind of the
+// fault depends on whether the request was ever written to a connection: if not,
+// it is usually Unavailable (the peer has not run the call); otherwise it is
+// Unknown.
 package link
--- a/link/interceptor.go
+++ b/link/interceptor.go
@@ -8,17 +8,17 @@
 	"google.golang.org/grpc/stats"
 )
 
-// sentKey is the context key of a call's sent mark.
+// sentKey is the context key of a call's sent flag.
 type sentKey struct{}
 
-// withSentMark binds a mark that is set once the call's header is handed to a
-// connection. From then on the peer may run the call.
-func withSentMark(ctx context.Context) (context.Context, *atomic.Bool) {
+// withSentFlag adds a flag to the context that is set once the headers of the call
+// are handed to a connection. From then on the peer may run the call.
+func withSentFlag(ctx context.Context) (context.Context, *atomic.Bool) {
 	sent := new(atomic.Bool)
 	return context.WithValue(ctx, sentKey{}, sent), sent
 }
 
-// sentRecorder sets the sent mark of calls. It implements stats.Handler.
+// sentRecorder sets the sent flag of calls. It implements stats.Handler.
 type sentRecorder struct{}
 
 // TagRPC implements stats.Handler.
@@ -40,16 +40,16 @@
 // HandleConn implements stats.Handler.
 func (sentRecorder) HandleConn(context.Context, stats.ConnStats) {}
 
-// unaryClient turns the status of a call into a fault.
+// unaryClient converts the status of a call to a fault.
 func unaryClient(ctx context.Context, method string, request, reply any, conn *grpc.ClientConn, invoke grpc.UnaryInvoker, opts ...grpc.CallOption) error {
-	ctx, sent := withSentMark(ctx)
+	ctx, sent := withSentFlag(ctx)
 	err := invoke(ctx, method, request, reply, conn, opts...)
 	return fromStatus(ctx, err, sent.Load())
 }
 
-// streamClient turns the statuses of a stream into faults.
+// streamClient converts the statuses of a stream to faults.
 func streamClient(ctx context.Context, desc *grpc.StreamDesc, conn *grpc.ClientConn, method string, streamer grpc.Streamer, opts ...grpc.CallOption) (grpc.ClientStream, error) {
-	ctx, sent := withSentMark(ctx)
+	ctx, sent := withSentFlag(ctx)
 	stream, err := streamer(ctx, desc, conn, method, opts...)
 	if err != nil {
 		return nil, fromStatus(ctx, err, sent.Load())
@@ -73,13 +73,13 @@
 	return fromStatus(s.Context(), s.ClientStream.RecvMsg(message), s.sent.Load())
 }
 
-// unaryServer turns the fault of a handler into a status.
+// unaryServer converts the fault of a handler to a status.
 func unaryServer(ctx context.Context, request any, _ *grpc.UnaryServerInfo, handler grpc.UnaryHandler) (any, error) {
 	reply, err := handler(ctx, request)
 	return reply, ToStatus(err)
 }
 
-// streamServer turns the fault of a stream handler into a status.
+// streamServer converts the fault of a stream handler to a status.
 func streamServer(server any, stream grpc.ServerStream, _ *grpc.StreamServerInfo, handler grpc.StreamHandler) error {
 	return ToStatus(handler(server, stream))
 }
--- a/link/silence_test.go
+++ b/link/keepalive_test.go
@@ -16,7 +16,7 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// pipeListener accepts the ends of in-memory pipes.
+// pipeListener is a listener whose connections are ends of in-memory pipes.
 type pipeListener struct {
 	ends   chan net.Conn
 	closed chan struct{}
@@ -39,20 +39,20 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "pipe"} }
 
-// silentConn is an end of a connection that, once cut is closed, loses all that
-// is written and hides that the other end closes.
-type silentConn struct {
+// blackholeConn is an end of a connection that, once cut is closed, discards all
+// writes and does not report that the other end is closed.
+type blackholeConn struct {
 	net.Conn
 	cut    chan struct{}
 	closed chan struct{}
 	once   sync.Once
 }
 
-func newSilentConn(end net.Conn, cut chan struct{}) *silentConn {
-	return &silentConn{Conn: end, cut: cut, closed: make(chan struct{})}
+func newBlackholeConn(end net.Conn, cut chan struct{}) *blackholeConn {
+	return &blackholeConn{Conn: end, cut: cut, closed: make(chan struct{})}
 }
 
-func (c *silentConn) isCut() bool {
+func (c *blackholeConn) isCut() bool {
 	select {
 	case <-c.cut:
 		return true
@@ -61,14 +61,14 @@
 	}
 }
 
-func (c *silentConn) Write(data []byte) (int, error) {
+func (c *blackholeConn) Write(data []byte) (int, error) {
 	if c.isCut() {
 		return len(data), nil
 	}
 	return c.Conn.Write(data)
 }
 
-func (c *silentConn) Read(data []byte) (int, error) {
+func (c *blackholeConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	if err != nil && c.isCut() {
 		<-c.closed
@@ -76,26 +76,26 @@
 	return n, err
 }
 
-func (c *silentConn) Close() error {
+func (c *blackholeConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-func TestASilentCutIsFoundOnBothSides(t *testing.T) {
-	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.CutBothWays}, Step: "connection cut in silence while a call runs",
-		Guard: "the mark that a call was sent"}.Log(t)
+func TestSilentPartitionIsDetectedOnBothSides(t *testing.T) {
+	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.CutBothWays}, Step: "silent network partition while a call runs",
+		Guard: "the flag that a call was sent"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		listener := &pipeListener{ends: make(chan net.Conn), closed: make(chan struct{})}
 		cut := make(chan struct{})
-		serverSaw := make(chan time.Time, 1)
+		serverDone := make(chan time.Time, 1)
 		serverOptions, err := ServerOptions(Config{})
 		is.NoErr(err)
 		server := grpc.NewServer(serverOptions...)
 		health.RegisterHealthServer(server, &peer{check: func(ctx context.Context) error {
-			close(cut) // the network goes away while the call runs
+			close(cut) // the network fails while the call runs
 			<-ctx.Done()
-			serverSaw <- time.Now()
+			serverDone <- time.Now()
 			return ctx.Err()
 		}})
 		go func() { _ = server.Serve(listener) }()
@@ -104,16 +104,16 @@
 		conn, err := grpc.NewClient("passthrough:///peer", append(dialOptions, grpc.WithContextDialer(
 			func(context.Context, string) (net.Conn, error) {
 				near, far := net.Pipe()
-				listener.ends <- newSilentConn(far, cut)
-				return newSilentConn(near, cut), nil
+				listener.ends <- newBlackholeConn(far, cut)
+				return newBlackholeConn(near, cut), nil
 			}))...)
 		is.NoErr(err)
 
-		begun := time.Now()
+		started := time.Now()
 		_, err = health.NewHealthClient(conn).Check(t.Context(), &health.HealthCheckRequest{})
 		is.Equal(fault.KindOf(err), fault.Unknown) // it may have run
-		is.True(time.Since(begun) <= clientPing+silentTimeout+time.Second)
-		is.True((<-serverSaw).Sub(begun) <= serverPing+silentTimeout+time.Second)
+		is.True(time.Since(started) <= clientPingInterval+keepaliveTimeout+time.Second)
+		is.True((<-serverDone).Sub(started) <= serverPingInterval+keepaliveTimeout+time.Second)
 		_ = conn.Close()
 		server.Stop()
 	})
--- a/link/keystore.go
+++ b/link/keystore.go
@@ -13,90 +13,91 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// reloadFailures counts reloads that kept the older keys in use.
+// reloadFailures counts failed reloads, after which the previous keys remain in use.
 var reloadFailures = metrics.NewCounter("lilackeel_link_key_reload_failures_total")
 
-// keys is one consistent reading of the three files.
+// keys is the content of the three files, read together.
 type keys struct {
 	certificate tls.Certificate
 	authorities *x509.CertPool
 }
 
-// fileState tells whether a file changed since it was read.
-type fileState struct {
+// fileVersion identifies a version of a file, to detect whether the file has
+// changed since it was read.
+type fileVersion struct {
 	modified time.Time
 	size     int64
 }
 
-// keyStore holds the keys in use and reads them again when a file changes. It is
-// safe for concurrent use.
+// keyStore holds the current keys and reloads them when a file changes. It is safe
+// for concurrent use.
 type keyStore struct {
 	cfg Config
 
-	mu     sync.Mutex
-	states [3]fileState
-	loaded keys
+	mu          sync.Mutex
+	versions    [3]fileVersion
+	currentKeys keys
 }
 
-// newKeyStore reads the files for the first time.
+// newKeyStore returns a store with the keys read from the files.
 func newKeyStore(cfg Config) (*keyStore, error) {
 	store := &keyStore{cfg: cfg}
-	states, err := store.stat()
+	versions, err := store.statFiles()
 	if err != nil {
 		return nil, err
 	}
-	loaded, err := store.read()
+	loaded, err := store.readFiles()
 	if err != nil {
 		return nil, err
 	}
-	store.states = states
-	store.loaded = loaded
+	store.versions = versions
+	store.currentKeys = loaded
 	return store, nil
 }
 
-// current returns the keys, read again if a file changed. Files that cannot be
-// used, as in the middle of a replacement, leave the older keys in use and are
-// tried again at the next handshake.
+// current returns the keys and reloads them first if a file has changed. If the
+// files cannot be used, for instance because they are being replaced, the previous
+// keys remain in use and the next handshake tries again.
 func (s *keyStore) current() keys {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	states, err := s.stat()
-	if err == nil && states == s.states {
-		return s.loaded
+	versions, err := s.statFiles()
+	if err == nil && versions == s.versions {
+		return s.currentKeys
 	}
 	var loaded keys
 	if err == nil {
-		loaded, err = s.read()
+		loaded, err = s.readFiles()
 	}
 	if err != nil {
 		reloadFailures.Inc()
-		slog.Warn("changed TLS files cannot be used; the older ones stay in use", "error", err)
-		return s.loaded
+		slog.Warn("cannot reload the changed TLS files; the previous keys remain in use", "error", err)
+		return s.currentKeys
 	}
-	s.states = states
-	s.loaded = loaded
+	s.versions = versions
+	s.currentKeys = loaded
 	return loaded
 }
 
-// stat is taken before the files are read, so that a change in between is seen
-// at the next handshake.
-func (s *keyStore) stat() (states [3]fileState, err error) {
+// statFiles returns the versions of the files. It must be called before the files
+// are read, so that a change in between is detected at the next handshake.
+func (s *keyStore) statFiles() (versions [3]fileVersion, err error) {
 	for i, path := range [3]string{s.cfg.Cert, s.cfg.Key, s.cfg.CA} {
 		info, err := os.Stat(path)
 		if err != nil {
-			return states, fault.Newf(fault.Invalid, "check the path and the permissions",
+			return versions, fault.Newf(fault.Invalid, "check the path and the permissions",
 				"TLS file %s cannot be read", path).Because(err)
 		}
-		states[i] = fileState{modified: info.ModTime(), size: info.Size()}
+		versions[i] = fileVersion{modified: info.ModTime(), size: info.Size()}
 	}
-	return states, nil
+	return versions, nil
 }
 
-func (s *keyStore) read() (keys, error) {
+func (s *keyStore) readFiles() (keys, error) {
 	certificate, err := tls.LoadX509KeyPair(s.cfg.Cert, s.cfg.Key)
 	if err != nil {
-		return keys{}, fault.New(fault.Invalid, "-tls-cert and -tls-key cannot be used together",
-			"give a PEM certificate and its own PEM key").Because(err)
+		return keys{}, fault.New(fault.Invalid, "-tls-cert and -tls-key are not a usable key pair",
+			"set a PEM certificate chain and the matching PEM key").Because(err)
 	}
 	pem, err := os.ReadFile(s.cfg.CA)
 	if err != nil {
@@ -104,31 +105,32 @@
 	}
 	authorities := x509.NewCertPool()
 	if !authorities.AppendCertsFromPEM(pem) {
-		return keys{}, fault.New(fault.Invalid, "-tls-ca holds no certificate", "give a file of PEM certificates")
+		return keys{}, fault.New(fault.Invalid, "-tls-ca contains no certificate", "set a file with PEM certificates")
 	}
 	return keys{certificate: certificate, authorities: authorities}, nil
 }
 
-// server returns the TLS configuration for one incoming handshake. Session
-// tickets are off: a resumed session would skip the check against new keys.
-func (s *keyStore) server() *tls.Config {
-	now := s.current()
+// serverConfig returns the TLS configuration for one incoming handshake. Session
+// tickets are disabled: a resumed session would not be verified against new
+// authorities.
+func (s *keyStore) serverConfig() *tls.Config {
+	loaded := s.current()
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
-		Certificates:           []tls.Certificate{now.certificate},
-		ClientCAs:              now.authorities,
+		Certificates:           []tls.Certificate{loaded.certificate},
+		ClientCAs:              loaded.authorities,
 		ClientAuth:             tls.RequireAndVerifyClientCert,
 		SessionTicketsDisabled: true,
 	}
 }
 
-// client returns the TLS configuration for one outgoing handshake.
-func (s *keyStore) client() *tls.Config {
-	now := s.current()
+// clientConfig returns the TLS configuration for one outgoing handshake.
+func (s *keyStore) clientConfig() *tls.Config {
+	loaded := s.current()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
-		Certificates: []tls.Certificate{now.certificate},
-		RootCAs:      now.authorities,
+		Certificates: []tls.Certificate{loaded.certificate},
+		RootCAs:      loaded.authorities,
 		ServerName:   s.cfg.ServerName,
 	}
 }
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -27,7 +27,7 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// peer is a gRPC service whose answers a test chooses.
+// peer is a gRPC service whose responses are chosen by a test.
 type peer struct {
 	health.UnimplementedHealthServer
 	check func(context.Context) error
@@ -60,7 +60,7 @@
 	return listener.Addr().String(), server
 }
 
-// dial returns a pool and a client of the peer at address.
+// dial returns a pool and a client for the peer at address.
 func dial(t *testing.T, cfg Config, address string) (*Pool, health.HealthClient) {
 	t.Helper()
 	options, err := DialOptions(cfg)
@@ -76,7 +76,7 @@
 	return pool, health.NewHealthClient(conn)
 }
 
-func TestFaultAndTraceCrossTheConnection(t *testing.T) {
+func TestFaultAndTracePropagate(t *testing.T) {
 	is := is.New(t)
 	sent := fault.New(fault.Overloaded, "no capacity", "ask again later").After(1500 * time.Millisecond)
 	var seen trace.TraceID
@@ -93,22 +93,22 @@
 	is.Equal(seen, span.TraceID())
 }
 
-func TestOnlyACallThatWasNeverSentIsSaidNotToHaveRun(t *testing.T) {
+func TestUnsentCallIsUnavailableAndSentCallUnknown(t *testing.T) {
 	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.Kill}, Step: "server lost while a call runs",
-		Guard: "the mark that a call was sent"}.Log(t)
+		Guard: "the flag that a call was sent"}.Log(t)
 	is := is.New(t)
 	started := make(chan struct{})
-	hold := make(chan struct{})
-	defer close(hold)
+	release := make(chan struct{})
+	defer close(release)
 	address, server := serve(t, Config{}, &peer{check: func(context.Context) error {
 		close(started)
-		<-hold
+		<-release
 		return nil
 	}})
 	_, client := dial(t, Config{}, address)
 	go func() {
 		<-started
-		go server.Stop() // cuts the connection while the call runs
+		go server.Stop() // closes the connection while the call runs
 	}()
 	_, err := client.Check(t.Context(), &health.HealthCheckRequest{})
 	is.Equal(fault.KindOf(err), fault.Unknown)
@@ -116,12 +116,12 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	is.NoErr(listener.Close())
-	_, nobody := dial(t, Config{}, listener.Addr().String())
-	_, err = nobody.Check(t.Context(), &health.HealthCheckRequest{})
+	_, unreachable := dial(t, Config{}, listener.Addr().String())
+	_, err = unreachable.Check(t.Context(), &health.HealthCheckRequest{})
 	is.Equal(fault.KindOf(err), fault.Unavailable)
 }
 
-func TestDropLetsCallsInFlightFinish(t *testing.T) {
+func TestDropAllowsCallsInFlightToFinish(t *testing.T) {
 	is := is.New(t)
 	proceed := make(chan struct{})
 	address, _ := serve(t, Config{}, &peer{watch: func(stream health.Health_WatchServer) error {
@@ -139,32 +139,32 @@
 	old, err := pool.Get(address)
 	is.NoErr(err)
 	pool.Drop(address)
-	fresh, err := pool.Get(address)
+	replacement, err := pool.Get(address)
 	is.NoErr(err)
-	is.True(fresh != old) // a dropped connection is not handed out again
+	is.True(replacement != old) // a dropped connection is not returned again
 	close(proceed)
 	answer, err := stream.Recv()
 	is.NoErr(err)
 	is.Equal(answer.GetStatus(), health.HealthCheckResponse_SERVING)
 }
 
-func TestKeysAreReadAgainWithoutRestart(t *testing.T) {
+func TestKeysAreReloadedWithoutRestart(t *testing.T) {
 	is := is.New(t)
 	serverFiles, clientFiles, oldClient := t.TempDir(), t.TempDir(), t.TempDir()
 	first, second := newAuthority(t), newAuthority(t)
 	first.write(t, serverFiles)
 	first.write(t, clientFiles)
 	first.write(t, oldClient)
-	address, _ := serve(t, configIn(serverFiles), &peer{check: func(context.Context) error { return nil }})
+	address, _ := serve(t, configFor(serverFiles), &peer{check: func(context.Context) error { return nil }})
 	call := func(folder string) error {
-		_, client := dial(t, configIn(folder), address)
+		_, client := dial(t, configFor(folder), address)
 		_, err := client.Check(t.Context(), &health.HealthCheckRequest{})
 		return err
 	}
 	is.NoErr(call(clientFiles))
 
 	is.NoErr(os.WriteFile(filepath.Join(serverFiles, "key.pem"), []byte("half written"), 0o600))
-	is.NoErr(call(clientFiles)) // unusable files leave the older keys in use
+	is.NoErr(call(clientFiles)) // with unusable files the previous keys remain in use
 
 	second.write(t, serverFiles)
 	second.write(t, clientFiles)
@@ -172,11 +172,11 @@
 	is.Equal(fault.KindOf(call(oldClient)), fault.Unavailable) // the old authority is no longer trusted
 
 	anonymous := credentials.NewTLS(&tls.Config{InsecureSkipVerify: true})
-	bare, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(anonymous))
+	insecureConn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(anonymous))
 	is.NoErr(err)
-	defer bare.Close()
-	_, err = health.NewHealthClient(bare).Check(t.Context(), &health.HealthCheckRequest{})
-	is.True(err != nil) // no certificate, no call
+	defer insecureConn.Close()
+	_, err = health.NewHealthClient(insecureConn).Check(t.Context(), &health.HealthCheckRequest{})
+	is.True(err != nil) // a client without a certificate is rejected
 }
 
 // remoteConn is a connection whose peer has the given address.
@@ -187,14 +187,14 @@
 
 func (c remoteConn) RemoteAddr() net.Addr { return c.remote }
 
-func TestConnectionsWithoutTLSStayOnLoopback(t *testing.T) {
+func TestConnectionsWithoutTLSRequireLoopback(t *testing.T) {
 	is := is.New(t)
-	elsewhere := remoteConn{remote: &net.TCPAddr{IP: net.IPv4(10, 0, 0, 7), Port: 7000}}
+	remoteEnd := remoteConn{remote: &net.TCPAddr{IP: net.IPv4(10, 0, 0, 7), Port: 7000}}
 	creds, err := newCredentials(Config{})
 	is.NoErr(err)
-	_, _, err = creds.ServerHandshake(elsewhere)
+	_, _, err = creds.ServerHandshake(remoteEnd)
 	is.Equal(fault.KindOf(err), fault.Unauthenticated)
-	_, _, err = creds.Clone().ClientHandshake(t.Context(), "10.0.0.7:7000", elsewhere)
+	_, _, err = creds.Clone().ClientHandshake(t.Context(), "10.0.0.7:7000", remoteEnd)
 	is.Equal(fault.KindOf(err), fault.Unauthenticated)
 	is.True(Config{}.CheckListen(":7000") != nil)
 	is.NoErr(Config{}.CheckListen("[::1]:7000"))
@@ -202,13 +202,13 @@
 	is.True(err != nil && strings.Contains(err.Error(), "set all three, or none"))
 }
 
-// authority signs the certificates of a test.
+// authority issues the certificates of a test.
 type authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-func configIn(folder string) Config {
+func configFor(folder string) Config {
 	return Config{
 		Cert: filepath.Join(folder, "cert.pem"),
 		Key:  filepath.Join(folder, "key.pem"),
@@ -239,8 +239,8 @@
 	return authority{template, key}
 }
 
-// write puts a fresh certificate for 127.0.0.1, its key and the authority in
-// folder.
+// write stores a new certificate for 127.0.0.1, its key and the certificate of the
+// authority in folder.
 func (a authority) write(t *testing.T, folder string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/link/option.go
+++ b/link/option.go
@@ -12,29 +12,30 @@
 	"github.com/lilackeel/lilackeel/telemetry"
 )
 
-// The times that find a silent cut. A peer that stops answering on the network
-// is found by TCP within probeIdle + probeCount*probeInterval on an idle
-// connection, and within silentTimeout after unacknowledged data. A peer whose
-// process is frozen still acknowledges on TCP: a server finds it after
-// serverPing + silentTimeout, a client after clientPing + silentTimeout.
+// Keepalive parameters that detect a silently broken connection. A peer that stops
+// answering on the network is detected by TCP within probeIdle +
+// probeCount*probeInterval on an idle connection, and within keepaliveTimeout after
+// data that stays unacknowledged. The kernel of a peer whose process is frozen
+// still acknowledges on TCP: a server detects it after serverPingInterval +
+// keepaliveTimeout, a client after clientPingInterval + keepaliveTimeout.
 const (
-	// silentTimeout is how long sent data or a ping may stay unacknowledged.
-	silentTimeout = 3 * time.Second
-	// serverPing is how long a connection is quiet before the server pings.
-	serverPing = 2 * time.Second
-	// clientPing is the same for the client; gRPC allows no less.
-	clientPing = 10 * time.Second
-	// leastClientPing is the shortest ping interval that a server tolerates.
-	leastClientPing = time.Second
-	// probeIdle is how long a connection is quiet before TCP probes it.
+	// keepaliveTimeout is how long sent data or a ping may stay unacknowledged.
+	keepaliveTimeout = 3 * time.Second
+	// serverPingInterval is how long a connection is idle before the server pings.
+	serverPingInterval = 2 * time.Second
+	// clientPingInterval is the same for the client; 10 s is the minimum in gRPC.
+	clientPingInterval = 10 * time.Second
+	// minClientPingInterval is the shortest ping interval that a server tolerates.
+	minClientPingInterval = time.Second
+	// probeIdle is how long a connection is idle before TCP probes it.
 	probeIdle = time.Second
 	// probeInterval is the time between two TCP probes.
 	probeInterval = time.Second
-	// probeCount is how many lost probes end a connection.
+	// probeCount is the number of lost probes after which a connection is closed.
 	probeCount = 3
 )
 
-// Reconnecting after a lost connection.
+// Parameters of reconnecting after a lost connection.
 const (
 	reconnectBase   = 100 * time.Millisecond
 	reconnectMax    = 2 * time.Second
@@ -45,13 +46,13 @@
 
 var probes = net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount}
 
-// Listen opens a TCP listener whose connections are probed when quiet.
+// Listen opens a TCP listener whose connections use TCP keepalive.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: probes}
 	return config.Listen(ctx, "tcp", address)
 }
 
-// ServerOptions returns the options of a gRPC server for our processes.
+// ServerOptions returns the options of a gRPC server for lilackeel processes.
 func ServerOptions(cfg Config) ([]grpc.ServerOption, error) {
 	creds, err := newCredentials(cfg)
 	if err != nil {
@@ -59,16 +60,16 @@
 	}
 	return []grpc.ServerOption{
 		grpc.Creds(creds),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: serverPing, Timeout: silentTimeout}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: leastClientPing, PermitWithoutStream: true}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: serverPingInterval, Timeout: keepaliveTimeout}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minClientPingInterval, PermitWithoutStream: true}),
 		grpc.ChainUnaryInterceptor(telemetry.UnaryServer, unaryServer),
 		grpc.ChainStreamInterceptor(telemetry.StreamServer, streamServer),
 	}, nil
 }
 
-// DialOptions returns the options of a gRPC client for our processes. Calls are
-// never retried by gRPC, proxies of the environment are not used, and errors of
-// calls are faults.
+// DialOptions returns the options of a gRPC client of lilackeel processes. gRPC
+// never retries calls, proxy settings of the environment are ignored, and the
+// errors of calls are faults.
 func DialOptions(cfg Config) ([]grpc.DialOption, error) {
 	creds, err := newCredentials(cfg)
 	if err != nil {
@@ -78,13 +79,13 @@
 	return []grpc.DialOption{
 		grpc.WithTransportCredentials(creds),
 		grpc.WithContextDialer(func(ctx context.Context, address string) (net.Conn, error) {
-			return dialAgain(ctx, address, dialer.DialContext)
+			return dialWithRetry(ctx, address, dialer.DialContext)
 		}),
 		grpc.WithNoProxy(),
 		grpc.WithDisableRetry(),
 		grpc.WithDisableServiceConfig(),
 		grpc.WithIdleTimeout(0),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: clientPing, Timeout: silentTimeout, PermitWithoutStream: true}),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: clientPingInterval, Timeout: keepaliveTimeout, PermitWithoutStream: true}),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff: backoff.Config{
 				BaseDelay:  reconnectBase,
--- a/link/pool.go
+++ b/link/pool.go
@@ -20,8 +20,8 @@
 	closed bool
 }
 
-// pooledConn is a connection and the calls in flight on it. Its fields are
-// guarded by the mutex of the pool.
+// pooledConn is a connection and the number of calls in flight on it. Its fields
+// are guarded by the mutex of the pool.
 type pooledConn struct {
 	conn     *grpc.ClientConn
 	inFlight int
@@ -34,13 +34,13 @@
 	return &Pool{options: options, conns: make(map[string]*pooledConn)}
 }
 
-// Get returns the connection to address (host:port), made on first use. It does
-// not wait for the network: the first call on it does.
+// Get returns the connection to address (host:port), which it creates on first
+// use. It does not wait for the network; the first call on the connection does.
 func (p *Pool) Get(address string) (*grpc.ClientConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		return nil, fault.New(fault.Leaving, "the connection pool is closed", "the process is stopping; call another one")
+		return nil, fault.New(fault.Leaving, "the connection pool is closed", "this process is stopping; send the request to another one")
 	}
 	if pooled, ok := p.conns[address]; ok {
 		return pooled.conn, nil
@@ -49,22 +49,23 @@
 	options := append([]grpc.DialOption{grpc.WithStatsHandler(&callCounter{p, pooled})}, p.options...)
 	conn, err := grpc.NewClient("passthrough:///"+address, options...)
 	if err != nil {
-		return nil, fault.Newf(fault.Invalid, "write host:port", "cannot make a connection to %q", address).Because(err)
+		return nil, fault.Newf(fault.Invalid, "write host:port", "cannot create a connection to %q", address).Because(err)
 	}
 	pooled.conn = conn
 	p.conns[address] = pooled
 	return conn, nil
 }
 
-// Drop forgets the connection to address. Calls in flight on it go on; it closes
-// after the last of them.
+// Drop removes the connection to address from the pool. Calls in flight on it
+// continue; it is closed after the last of them.
 func (p *Pool) Drop(address string) {
 	if pooled := p.retire(address); pooled != nil {
 		_ = pooled.conn.Close()
 	}
 }
 
-// retire takes a connection out of the pool and returns it if it is idle.
+// retire removes a connection from the pool and returns it if it is idle, so that
+// the caller can close it.
 func (p *Pool) retire(address string) *pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,7 +81,8 @@
 	return pooled
 }
 
-// Close closes all connections at once, with the calls in flight on them.
+// Close closes all connections immediately, which aborts the calls in flight on
+// them.
 func (p *Pool) Close() error {
 	p.mu.Lock()
 	conns := p.conns
@@ -94,7 +96,8 @@
 	return errors.Join(errs...)
 }
 
-// callCounter counts the calls in flight. It implements stats.Handler.
+// callCounter counts the calls in flight on a connection and closes a retired
+// connection after the last one. It implements stats.Handler.
 type callCounter struct {
 	pool   *Pool
 	pooled *pooledConn
@@ -118,8 +121,8 @@
 	defer c.pool.mu.Unlock()
 	c.pooled.inFlight += change
 	if c.pooled.retired && c.pooled.inFlight == 0 {
-		// The event comes from the connection itself, which cannot wait for its
-		// own end.
+		// The connection itself reports the event, so closing it here would wait
+		// for itself.
 		go func() { _ = c.pooled.conn.Close() }()
 	}
 }
--- a/link/replicas/cursor.go
+++ b/link/replicas/cursor.go
@@ -7,20 +7,21 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// Cursor knows the addresses of control replicas, host:port, and which of them to ask
-// next. It is safe for concurrent use; its lock is a leaf.
+// Cursor holds the addresses of control replicas, host:port, and selects the one to
+// call next. It is safe for concurrent use; no other lock is acquired while its lock
+// is held.
 type Cursor struct {
 	mu      sync.Mutex
 	addrs   []string
 	current int
 }
 
-// NewCursor returns a cursor that begins with the replica of the given number.
+// NewCursor returns a cursor that starts with the replica at the given index.
 func NewCursor(addrs []string, first int) *Cursor {
 	return &Cursor{addrs: slices.Clone(addrs), current: first}
 }
 
-// Set replaces the addresses, unless there are none.
+// Set replaces the addresses. An empty list is ignored.
 func (c *Cursor) Set(addrs []string) {
 	if len(addrs) == 0 {
 		return
@@ -34,16 +35,16 @@
 	c.current %= len(addrs)
 }
 
-// Known returns how many replicas are known.
+// Len returns the number of known replicas.
 func (c *Cursor) Len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.addrs)
 }
 
-// Present returns the number and the address of the replica to ask; the address is
+// Current returns the index and the address of the replica to call; the address is
 // empty if none is known.
-func (c *Cursor) Current() (number int, addr string) {
+func (c *Cursor) Current() (index int, addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.addrs) == 0 {
@@ -52,9 +53,10 @@
 	return c.current, c.addrs[c.current]
 }
 
-// MoveOn goes on from the replica of a number, which has answered with err: to the leader
-// that the fault names, or to the next replica. The leader need not be one that was known:
-// the settings name a few replicas, and the others are learned only from one that decides.
+// Advance moves on from the replica at index from, whose call has failed with err, to the
+// leader that the fault names or else to the next replica. It does nothing if the cursor
+// has moved on already. The leader need not be a known replica: the settings may name only
+// some of the replicas, and the others are learned only from the leader.
 func (c *Cursor) Advance(from int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,8 +64,8 @@
 		return
 	}
 	c.current = (from + 1) % len(c.addrs)
-	leader, named := fault.Leader(err)
-	if !named || leader == c.addrs[from] {
+	leader, known := fault.Leader(err)
+	if !known || leader == c.addrs[from] {
 		return
 	}
 	if !slices.Contains(c.addrs, leader) {
--- a/link/replicas/finder.go
+++ b/link/replicas/finder.go
@@ -1,4 +1,4 @@
-// Package replicas finds the control replica that decides.
+// Package replicas sends calls to the leader of the control replicas.
 package replicas
 
 import (
@@ -14,8 +14,8 @@
 // CallTimeout bounds one call to one control replica.
 const CallTimeout = time.Second
 
-// Finder asks control replicas, first the one that decided last. It is safe for
-// concurrent use.
+// Finder calls control replicas, starting with the last one that gave a final answer.
+// It is safe for concurrent use.
 type Finder struct {
 	pool   *link.Pool
 	cursor *Cursor
@@ -29,31 +29,32 @@
 // SetAddrs replaces the addresses.
 func (f *Finder) SetAddrs(addrs []string) { f.cursor.Set(addrs) }
 
-// Ask calls the replica that decided last, then the leader that it names or the
-// others in turn, until one answers. It makes one round over the replicas.
+// Call calls the replica that gave the last final answer, then the leader that it
+// names or else the others in turn, until one gives a final answer. It makes one
+// round over the replicas.
 func (f *Finder) Call(ctx context.Context, call func(context.Context, controlv1.ControlClient) error) error {
-	return f.CallUntil(ctx, call, decides)
+	return f.CallUntil(ctx, call, isFinal)
 }
 
-// AskUntil is Ask, where decided reports whether an error is the answer of a replica that
-// decides, so that no other is asked.
-func (f *Finder) CallUntil(ctx context.Context, call func(context.Context, controlv1.ControlClient) error, decided func(error) bool) error {
-	err := error(fault.New(fault.Unavailable, "no control replica is known", "name one in the settings"))
+// CallUntil is like Call, but final reports whether an error is a final answer, after
+// which no other replica is called.
+func (f *Finder) CallUntil(ctx context.Context, call func(context.Context, controlv1.ControlClient) error, final func(error) bool) error {
+	err := error(fault.New(fault.Unavailable, "no control replica is known", "set the address of at least one control replica"))
 	for range f.cursor.Len() + 1 {
-		number, addr := f.cursor.Current()
+		index, addr := f.cursor.Current()
 		if addr == "" {
 			return err
 		}
-		err = f.askOne(ctx, addr, call)
-		if err == nil || decided(err) || ctx.Err() != nil {
+		err = f.callReplica(ctx, addr, call)
+		if err == nil || final(err) || ctx.Err() != nil {
 			return err
 		}
-		f.cursor.Advance(number, err)
+		f.cursor.Advance(index, err)
 	}
 	return err
 }
 
-func (f *Finder) askOne(ctx context.Context, addr string, call func(context.Context, controlv1.ControlClient) error) error {
+func (f *Finder) callReplica(ctx context.Context, addr string, call func(context.Context, controlv1.ControlClient) error) error {
 	connection, err := f.pool.Get(addr)
 	if err != nil {
 		return err
@@ -63,8 +64,8 @@
 	return call(ctx, controlv1.NewControlClient(connection))
 }
 
-// decides reports whether no other replica may answer better.
-func decides(err error) bool {
+// isFinal reports whether no other replica could give a better answer.
+func isFinal(err error) bool {
 	switch fault.KindOf(err) {
 	case fault.Invalid, fault.Conflict, fault.Fenced, fault.Unauthenticated:
 		return true
--- a/link/replicas/finder_test.go
+++ b/link/replicas/finder_test.go
@@ -14,7 +14,7 @@
 	"github.com/lilackeel/lilackeel/link"
 )
 
-// replica answers announcements with an error, or with none if it leads.
+// replica answers announcements with err, or without an error if it is the leader.
 type replica struct {
 	controlv1.UnimplementedControlServer
 	err error
@@ -41,14 +41,15 @@
 	return listener.Addr().String()
 }
 
-// TestALeaderThatTheSettingsDoNotNameIsFound restarts a process whose settings name three
-// of five replicas while one of the others leads.
-func TestALeaderThatTheSettingsDoNotNameIsFound(t *testing.T) {
+// TestFinderFindsUnconfiguredLeader guards against a process that cannot find the leader
+// after a restart because its settings name three of five replicas and one of the others
+// is the leader.
+func TestFinderFindsUnconfiguredLeader(t *testing.T) {
 	is := is.New(t)
 	leader := serve(t, &replica{})
-	var named []string
+	var configured []string
 	for range 3 {
-		named = append(named, serve(t, &replica{err: fault.LedBy(4, leader)}))
+		configured = append(configured, serve(t, &replica{err: fault.LedBy(4, leader)}))
 	}
 	options, err := link.DialOptions(link.Config{Insecure: true})
 	is.NoErr(err)
@@ -57,7 +58,7 @@
 	}
 	pool := link.NewPool(options...)
 	defer func() { _ = pool.Close() }()
-	finder := New(pool, named)
+	finder := New(pool, configured)
 	is.NoErr(finder.Call(t.Context(), func(ctx context.Context, client controlv1.ControlClient) error {
 		_, err := client.Announce(ctx, &controlv1.AnnounceRequest{})
 		return err
--- a/link/status.go
+++ b/link/status.go
@@ -15,7 +15,7 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// domain marks error details that were written by ToStatus.
+// domain identifies error details that were written by ToStatus.
 const domain = "lilackeel"
 
 // Keys of the error details.
@@ -24,8 +24,8 @@
 	detailRemedy  = "remedy"
 )
 
-// codeOf gives the gRPC code of each kind; a kind not listed is Internal.
-var codeOf = map[fault.Kind]codes.Code{
+// codeByKind maps each kind to its gRPC code; other kinds map to Internal.
+var codeByKind = map[fault.Kind]codes.Code{
 	fault.Invalid:          codes.InvalidArgument,
 	fault.Unauthenticated:  codes.Unauthenticated,
 	fault.NotFound:         codes.NotFound,
@@ -45,9 +45,10 @@
 	fault.Internal:         codes.Internal,
 }
 
-// ToStatus turns an error into a gRPC status error. A fault keeps its kind,
-// message, remedy and retry-after; its cause stays in this process, joined to
-// the message. Nil, io.EOF and errors that are a status already pass unchanged.
+// ToStatus converts an error to a gRPC status error. A fault keeps its kind,
+// message, remedy and retry-after; the text of its cause is appended to the
+// message, but the cause itself is not transferred. Nil, io.EOF and status errors
+// are returned unchanged.
 func ToStatus(err error) error {
 	if err == nil || errors.Is(err, io.EOF) {
 		return err
@@ -67,7 +68,7 @@
 
 // faultStatus builds the status of a fault with its details.
 func faultStatus(typed *fault.Error) *status.Status {
-	code, known := codeOf[typed.Kind]
+	code, known := codeByKind[typed.Kind]
 	if !known {
 		code = codes.Internal
 	}
@@ -88,16 +89,17 @@
 	return detailed
 }
 
-// FromStatus turns the error of a call whose request was or may have been sent
-// into a fault. Details written by ToStatus are restored. Any other failure is
-// of kind Unknown, because the peer may have run the call, save for a call that
-// the peer does not know. Nil and io.EOF pass unchanged.
+// FromStatus converts the error of a call whose request was or may have been sent
+// to a fault. It restores a fault from the details written by ToStatus. Any other
+// failure is of kind Unknown, because the peer may have run the call, except that
+// a call which the peer does not implement is Invalid. Nil, io.EOF and faults are
+// returned unchanged.
 func FromStatus(err error) error {
 	return fromStatus(context.Background(), err, true)
 }
 
-// fromStatus is FromStatus with the context of the call and the knowledge
-// whether its request was sent. errors.Is finds the error of the context.
+// fromStatus is FromStatus for a call with the given context. sent reports whether
+// the request was sent. errors.Is finds the error of the context in the result.
 func fromStatus(ctx context.Context, err error, sent bool) error {
 	if err == nil || errors.Is(err, io.EOF) || fault.As(err) != nil {
 		return err
@@ -106,18 +108,18 @@
 	if !isStatus {
 		got = status.FromContextError(err)
 	}
-	if restored := restore(got); restored != nil {
+	if restored := faultFromDetails(got); restored != nil {
 		return restored
 	}
 	cause := err
 	if ctx.Err() != nil {
 		cause = fmt.Errorf("%w: %w", ctx.Err(), err)
 	}
-	return undetailed(got.Code(), sent).Because(cause)
+	return faultFromCode(got.Code(), sent).Because(cause)
 }
 
-// restore returns the fault in the details of a status, or nil.
-func restore(got *status.Status) *fault.Error {
+// faultFromDetails returns the fault in the details of a status, or nil.
+func faultFromDetails(got *status.Status) *fault.Error {
 	var restored *fault.Error
 	var retryAfter time.Duration
 	for _, detail := range got.Details() {
@@ -137,14 +139,14 @@
 	return restored.After(retryAfter)
 }
 
-// undetailed makes the fault of a status code that came without a fault of ours.
-func undetailed(code codes.Code, sent bool) *fault.Error {
+// faultFromCode returns the fault for a status without the details of ToStatus.
+func faultFromCode(code codes.Code, sent bool) *fault.Error {
 	switch {
 	case code == codes.Unimplemented:
-		return fault.New(fault.Invalid, "the peer does not know this call", "upgrade the peer to this version")
+		return fault.New(fault.Invalid, "the peer does not implement this call", "upgrade the peer to this version")
 	case sent:
 		return fault.New(fault.Unknown, "the call failed after it was sent; it may have run",
-			"read the state back before repeating it")
+			"read the resulting state before repeating the call")
 	case code == codes.DeadlineExceeded:
 		return fault.New(fault.DeadlineTooShort, "the deadline passed before the call was sent", "allow more time")
 	case code == codes.Unavailable, code == codes.Canceled:
