--- a/agent/client.go
+++ b/agent/client.go
@@ -171,7 +171,7 @@
 		return invalidCall(err)
 	}
 	return notAsked{refused: refused, cause: fault.Newf(fault.Unavailable, "choose another endpoint",
-		"endpoint %q takes no connection", e.ID).Because(err)}
+		"endpoint %q takes no connection", e.ID).WithCause(err)}
 }
 
 func newRequest(ctx context.Context, e Endpoint, d *agentv1.DispatchRequest, streamID string) (*http.Request, error) {
@@ -227,5 +227,5 @@
 
 func invalidCall(err error) error {
 	return notAsked{cause: fault.New(fault.Invalid, "the call cannot be sent to an endpoint",
-		"correct its method, path or headers").Because(err)}
+		"correct its method, path or headers").WithCause(err)}
 }
--- a/agent/endpoints.go
+++ b/agent/endpoints.go
@@ -58,7 +58,7 @@
 func ReadEndpoints(path string) ([]Endpoint, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fault.Newf(fault.Invalid, "set -endpoints to a readable file", "the endpoints file cannot be read").Because(err)
+		return nil, fault.Newf(fault.Invalid, "set -endpoints to a readable file", "the endpoints file cannot be read").WithCause(err)
 	}
 	return DecodeEndpoints(data)
 }
@@ -68,7 +68,7 @@
 func DecodeEndpoints(data []byte) ([]Endpoint, error) {
 	var file endpointsFile
 	if err := yaml.UnmarshalStrict(data, &file); err != nil {
-		return nil, fault.New(fault.Invalid, "the endpoints file is not valid", "correct the field or line that is named").Because(err)
+		return nil, fault.New(fault.Invalid, "the endpoints file is not valid", "correct the field or line that is named").WithCause(err)
 	}
 	if len(file.Endpoints) == 0 {
 		return nil, fault.New(fault.Invalid, "the endpoints file names no endpoint", "list at least one under endpoints:")
--- a/agent/order.go
+++ b/agent/order.go
@@ -105,7 +105,7 @@
 func (o *orderer) post(ctx context.Context, e Endpoint, order engineapi.Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
-		return fault.New(fault.Internal, "the order cannot be encoded", "report the defect").Because(err)
+		return fault.New(fault.Internal, "the order cannot be encoded", "report the defect").WithCause(err)
 	}
 	status, err := o.client.exchange(ctx, http.MethodPost, e, engineapi.PathOrders, body, nil)
 	var unasked notAsked
@@ -114,7 +114,7 @@
 		return unasked.cause
 	case err != nil:
 		return fault.Newf(fault.Unknown, "read the endpoint back before repeating the order",
-			"endpoint %q may have carried out the order", e.ID).Because(err)
+			"endpoint %q may have carried out the order", e.ID).WithCause(err)
 	case status == http.StatusConflict:
 		return fault.Newf(fault.Fenced, "only the present control leader may give orders; read its state again",
 			"endpoint %q has seen a higher fencing token than %d", e.ID, order.Fence)
@@ -131,7 +131,7 @@
 	_, status, err := o.client.readLoaded(ctx, e, o.loaded)
 	if err != nil || status != http.StatusOK {
 		return nil, fault.Newf(fault.Unknown, "read the endpoint back again",
-			"endpoint %q cannot be read back (status %d)", e.ID, status).Because(err)
+			"endpoint %q cannot be read back (status %d)", e.ID, status).WithCause(err)
 	}
 	observed := e.announced(o.settings)
 	observed.Incarnation = o.lockedGate.incarnation()
--- a/answer/answer.go
+++ b/answer/answer.go
@@ -16,20 +16,20 @@
 const RetryAfter = "Retry-After"
 
 // Style is how Retry-After is written.
-type Style int
+type RetryAfterFormat int
 
 // The styles.
 const (
 	// WholeSeconds rounds up to whole seconds, as RFC 9110 has it.
-	WholeSeconds Style = iota
+	WholeSeconds RetryAfterFormat = iota
 	// Fractions writes seconds with milliseconds, for callers that read them:
 	// they come back as soon as there is room.
-	Fractions
+	FractionalSeconds
 )
 
 // Refuse writes a verdict as the whole answer: its status, when to come back,
 // and a typed error as the body.
-func Refuse(w http.ResponseWriter, requestID string, v *call.Verdict, style Style) error {
+func WriteVerdict(w http.ResponseWriter, requestID string, v *call.Verdict, style RetryAfterFormat) error {
 	text, err := json.Marshal(v.Body(requestID))
 	if err != nil {
 		return err
@@ -50,7 +50,7 @@
 }
 
 // retryAfter is the value of the header, empty where asking again does not help.
-func retryAfter(v *call.Verdict, style Style) string {
+func retryAfter(v *call.Verdict, style RetryAfterFormat) string {
 	if seconds := v.RetryAfterSeconds(); seconds <= 0 {
 		return ""
 	} else if style == WholeSeconds {
--- a/call/direct.go
+++ b/call/direct.go
@@ -155,7 +155,7 @@
 		return &Verdict{Outcome: Unknown, Fault: f}
 	}
 	if f.RetryAfter <= 0 && isTransient(f.Kind) {
-		f = f.After(d.options.RetryAfter)
+		f = f.RetryIn(d.options.RetryAfter)
 	}
 	if isTransient(f.Kind) {
 		return RefuseWith(http.StatusServiceUnavailable, f)
--- a/call/limited_test.go
+++ b/call/limited_test.go
@@ -47,7 +47,7 @@
 	is := is.New(t)
 	policy := call.DefaultPolicy
 	options := call.Options{RequestID: "r", Deadline: 10 * time.Second, Policy: &policy, Budget: call.NewBudget(call.BudgetConfig{}), Rand: rand.New(rand.NewPCG(1, 1))}
-	opensIn := func(d time.Duration) *fault.Error { return fault.New(fault.RateLimited, "closed", "wait").After(d) }
+	opensIn := func(d time.Duration) *fault.Error { return fault.New(fault.RateLimited, "closed", "wait").RetryIn(d) }
 	for _, m := range []interface {
 		Start(time.Duration) call.Action
 		PickFailed(time.Duration, *fault.Error) call.Action
--- a/call/repeatable.go
+++ b/call/repeatable.go
@@ -283,7 +283,7 @@
 		verdict = &Verdict{Outcome: Unknown, Fault: f}
 	}
 	if f.RetryAfter == 0 && isTransient(f.Kind) {
-		verdict.Fault = f.After(m.options.Policy.RetryAfter)
+		verdict.Fault = f.RetryIn(m.options.Policy.RetryAfter)
 	}
 	return Action{Kind: Finish, Verdict: verdict}
 }
--- a/call/settle.go
+++ b/call/settle.go
@@ -213,13 +213,13 @@
 		return m.unknown(errStillRunning())
 	}
 	return m.refuse(fault.New(fault.NoQuorum, "the call was refused and not run, and its claim could not be given back",
-		"ask again with the same idempotency key").Because(f))
+		"ask again with the same idempotency key").WithCause(f))
 }
 
 // refuse ends the call as not run.
 func (m *Single) refuse(f *fault.Error) Action {
 	if f.RetryAfter == 0 && isTransient(f.Kind) {
-		f = f.After(m.options.Policy.RetryAfter)
+		f = f.RetryIn(m.options.Policy.RetryAfter)
 	}
 	if m.claimant.CallerKey && f.Kind != fault.KeyReused {
 		f = KeepKey(f)
@@ -241,17 +241,17 @@
 
 func errStillRunning() *fault.Error {
 	return fault.New(fault.Unknown, "the deadline passed while the call may be running",
-		"ask again with the same idempotency key to get its answer").After(DefaultRetryAfter)
+		"ask again with the same idempotency key to get its answer").RetryIn(DefaultRetryAfter)
 }
 
 func errNoAgent() *fault.Error {
 	return fault.New(fault.Unknown, "the call may have run, and the agent that knows cannot be reached",
-		"ask again with the same idempotency key to get its answer").After(DefaultRetryAfter)
+		"ask again with the same idempotency key to get its answer").RetryIn(DefaultRetryAfter)
 }
 
 func errContended() *fault.Error {
 	return fault.New(fault.Conflict, "several requests with this idempotency key displaced each other",
-		"send one request at a time under a key, and this one again").After(DefaultRetryAfter)
+		"send one request at a time under a key, and this one again").RetryIn(DefaultRetryAfter)
 }
 
 // KeepKey returns a copy of a refusal whose remedy adds that it speaks of this
--- a/call/single.go
+++ b/call/single.go
@@ -205,7 +205,7 @@
 		return m.refuse(m.refusal)
 	}
 	return m.refuse(fault.New(fault.NoQuorum, "no quorum of control replicas could claim the call, so it was not dispatched",
-		"ask again with the same idempotency key").Because(f))
+		"ask again with the same idempotency key").WithCause(f))
 }
 
 // isDecision reports whether a replica that decides found the endpoint not fit
--- a/contract/claim.go
+++ b/contract/claim.go
@@ -88,7 +88,7 @@
 	}
 	if previous == nil && s.claims.full() {
 		return nil, fault.New(fault.Overloaded, "the claim table is full",
-			"try again when older claims have expired, or distribute the keys over several quorums").After(overloadRetryAfter)
+			"try again when older claims have expired, or distribute the keys over several quorums").RetryIn(overloadRetryAfter)
 	}
 	entry := &claimEntry{
 		claimKey: claimKey{s.internWorkspace(request.GetWorkspace()), request.GetKey()},
--- a/contract/command.go
+++ b/contract/command.go
@@ -16,7 +16,7 @@
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(command)
 	if err != nil {
 		return nil, fault.New(fault.Invalid, "the request cannot be encoded",
-			"send only valid UTF-8 text in the fields").Because(err)
+			"send only valid UTF-8 text in the fields").WithCause(err)
 	}
 	return data, nil
 }
@@ -26,7 +26,7 @@
 	command := &contractv1.Command{}
 	if err := proto.Unmarshal(data, command); err != nil {
 		return nil, fault.New(fault.Corrupt, "a log entry cannot be decoded as a command",
-			"check that all replicas run the same version").Because(err)
+			"check that all replicas run the same version").WithCause(err)
 	}
 	return command, nil
 }
--- a/contract/snapshot.go
+++ b/contract/snapshot.go
@@ -43,7 +43,7 @@
 	copy(data, snapshotMagic)
 	data, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(data, message)
 	if err != nil {
-		return nil, fault.New(fault.Internal, "the state cannot be encoded", "report this defect").Because(err)
+		return nil, fault.New(fault.Internal, "the state cannot be encoded", "report this defect").WithCause(err)
 	}
 	binary.BigEndian.PutUint64(data[len(snapshotMagic):], xxhash.Sum64(data[snapshotHeader:]))
 	return data, nil
@@ -78,10 +78,10 @@
 	}
 	message := &contractv1.Snapshot{}
 	if err := proto.Unmarshal(data[snapshotHeader:], message); err != nil {
-		return nil, fault.New(fault.Corrupt, "the snapshot of the control state cannot be decoded", remedy).Because(err)
+		return nil, fault.New(fault.Corrupt, "the snapshot of the control state cannot be decoded", remedy).WithCause(err)
 	}
 	if err := checkSnapshot(message); err != nil {
-		return nil, fault.New(fault.Corrupt, "the snapshot of the control state is inconsistent", remedy).Because(err)
+		return nil, fault.New(fault.Corrupt, "the snapshot of the control state is inconsistent", remedy).WithCause(err)
 	}
 	return message, nil
 }
--- a/control/expertmap/settings.go
+++ b/control/expertmap/settings.go
@@ -63,7 +63,7 @@
 		Groups []GroupSettings `json:"groups"`
 	}
 	if err := yaml.UnmarshalStrict(text, &file); err != nil {
-		return Groups{}, fault.Newf(fault.Invalid, "correct the file", "%s is not a file of groups", path).Because(err)
+		return Groups{}, fault.Newf(fault.Invalid, "correct the file", "%s is not a file of groups", path).WithCause(err)
 	}
 	groups := Groups{Shapes: map[string]group.Shape{}, Configs: map[string]balance.Config{}}
 	for _, settings := range file.Groups {
--- a/control/leadership.go
+++ b/control/leadership.go
@@ -150,11 +150,11 @@
 func notLeading(log Log) *fault.Error {
 	id, addr, _, self := log.Leader()
 	if self {
-		return fault.New(fault.NotLeader, "this replica has just become leader and is not ready to decide", "send it again").After(leaderRetry)
+		return fault.New(fault.NotLeader, "this replica has just become leader and is not ready to decide", "send it again").RetryIn(leaderRetry)
 	}
 	if id == 0 {
 		return fault.New(fault.NoQuorum, "no leader is known; nothing was decided",
-			"send it again; if this lasts, start the control replicas that are down").After(leaderRetry)
+			"send it again; if this lasts, start the control replicas that are down").RetryIn(leaderRetry)
 	}
-	return fault.LedBy(id, addr)
+	return fault.NewNotLeader(id, addr)
 }
--- a/direct/client.go
+++ b/direct/client.go
@@ -19,7 +19,7 @@
 	DialTimeout time.Duration
 	// SilentTimeout is how long sent bytes, or probes of a quiet connection, may
 	// stay unacknowledged before the connection is taken for dead.
-	SilentTimeout time.Duration
+	UnackedTimeout time.Duration
 	// IdleTimeout is how long a connection is kept whose endpoint has not said
 	// how long it keeps it; IdleMargin is how much earlier than an endpoint's own
 	// timeout it is given up.
@@ -27,7 +27,7 @@
 	// MaxIdle is the number of unused connections that are kept to one endpoint.
 	MaxIdle int
 	// RequestID is the header by which an answer names its request.
-	RequestID string
+	RequestIDHeader string
 }
 
 // Defaults of Config, for endpoints a few milliseconds away.
@@ -36,7 +36,7 @@
 	// packet that is lost comes again only after a second.
 	DefaultDialTimeout = 400 * time.Millisecond
 	// DefaultSilentTimeout outlasts a lost packet that is sent again twice.
-	DefaultSilentTimeout = 2 * time.Second
+	DefaultUnackedTimeout = 2 * time.Second
 	// DefaultIdleTimeout is below what servers usually keep.
 	DefaultIdleTimeout = 4 * time.Second
 	// DefaultIdleMargin outlasts the way of a request.
@@ -44,16 +44,16 @@
 	// DefaultMaxIdle suits endpoints with a few dozen slots.
 	DefaultMaxIdle = 16
 	// DefaultRequestID is the usual name.
-	DefaultRequestID = "X-Request-Id"
+	DefaultRequestIDHeader = "X-Request-Id"
 )
 
 func (c Config) withDefaults() Config {
 	setDefault(&c.DialTimeout, DefaultDialTimeout)
-	setDefault(&c.SilentTimeout, DefaultSilentTimeout)
+	setDefault(&c.UnackedTimeout, DefaultUnackedTimeout)
 	setDefault(&c.IdleTimeout, DefaultIdleTimeout)
 	setDefault(&c.IdleMargin, DefaultIdleMargin)
 	setDefault(&c.MaxIdle, DefaultMaxIdle)
-	setDefault(&c.RequestID, DefaultRequestID)
+	setDefault(&c.RequestIDHeader, DefaultRequestIDHeader)
 	return c
 }
 
@@ -81,14 +81,14 @@
 // NewClient returns a client without connections.
 func NewClient(cfg Config) *Client {
 	cfg = cfg.withDefaults()
-	probe := cfg.SilentTimeout / 2
+	probe := cfg.UnackedTimeout / 2
 	return &Client{
 		config: cfg,
 		idle:   map[string][]*conn{},
 		dialer: net.Dialer{
 			Timeout:         cfg.DialTimeout,
 			KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probe, Interval: probe, Count: 1},
-			Control:         userTimeout(cfg.SilentTimeout),
+			Control:         userTimeout(cfg.UnackedTimeout),
 		},
 	}
 }
@@ -109,7 +109,7 @@
 }
 
 // Dialed returns the number of connections set up so far.
-func (c *Client) Dialed() uint64 {
+func (c *Client) DialCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.dialed
@@ -167,7 +167,7 @@
 func (c *Client) dial(ctx context.Context, addr string) (*conn, error) {
 	raw, err := c.dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
-		return nil, fault.New(fault.Unavailable, "the endpoint cannot be reached", "ask again; if it lasts, look at the endpoint").Because(err)
+		return nil, fault.New(fault.Unavailable, "the endpoint cannot be reached", "ask again; if it lasts, look at the endpoint").WithCause(err)
 	}
 	c.mu.Lock()
 	c.dialed++
--- a/direct/direct_test.go
+++ b/direct/direct_test.go
@@ -288,7 +288,7 @@
 	s := serve(t, func(_ net.Conn, r *bufio.Reader) { got <- head(r) })
 	refusal := fault.New(fault.RateLimited, "paused", "wait")
 	q := request()
-	q.Check = func() error { return refusal }
+	q.BeforeSend = func() error { return refusal }
 	_, err := send(t, NewClient(Config{}), s.addr(), q)
 	is.True(errors.Is(err, refusal))
 	is.Equal(<-got, "") // the connection ended with nothing on it
--- a/direct/exchange.go
+++ b/direct/exchange.go
@@ -40,7 +40,7 @@
 	Body []byte
 	// Check is called once there is a connection, right before the request is written; an
 	// error of it is returned, and nothing is sent. It may be nil.
-	Check func() error
+	BeforeSend func() error
 }
 
 // Response is the head of an answer. Body must be read to its end or closed. Its
@@ -82,10 +82,10 @@
 }
 
 func (r *Request) check() error {
-	if r.Check == nil {
+	if r.BeforeSend == nil {
 		return nil
 	}
-	return r.Check()
+	return r.BeforeSend()
 }
 
 // exchange is one request on one connection.
@@ -112,9 +112,9 @@
 	n, err := x.conn.raw.Write(message)
 	switch {
 	case err != nil && n == 0:
-		return fault.New(fault.Unavailable, "the endpoint took nothing of the request", "ask again").Because(err)
+		return fault.New(fault.Unavailable, "the endpoint took nothing of the request", "ask again").WithCause(err)
 	case err != nil:
-		return fault.New(fault.Unknown, "the endpoint took only a part of the request", "ask again").Because(err)
+		return fault.New(fault.Unknown, "the endpoint took only a part of the request", "ask again").WithCause(err)
 	case len(r.Body) <= inlineBody:
 		x.written.Store(true)
 		return nil
@@ -181,7 +181,7 @@
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if id := response.Header.Get(x.client.config.RequestID); id != "" && id != x.request.ID {
+		if id := response.Header.Get(x.client.config.RequestIDHeader); id != "" && id != x.request.ID {
 			if err := x.pass(response); err != nil {
 				return nil, err
 			}
@@ -268,12 +268,12 @@
 // cut is the fault of an exchange that ended before the head of its answer.
 func cut(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
-		return fault.New(fault.Unknown, "the wait for the endpoint's answer ended", "ask again, or allow more time").Because(context.Cause(ctx))
+		return fault.New(fault.Unknown, "the wait for the endpoint's answer ended", "ask again, or allow more time").WithCause(context.Cause(ctx))
 	}
 	if isMalformed(err) {
-		return fault.New(fault.Unknown, "the endpoint sent what is no answer", "ask again; if it lasts, look at the endpoint").Because(err)
+		return fault.New(fault.Unknown, "the endpoint sent what is no answer", "ask again; if it lasts, look at the endpoint").WithCause(err)
 	}
-	return fault.New(fault.Unknown, "the endpoint ended the connection without an answer", "ask again").Because(err)
+	return fault.New(fault.Unknown, "the endpoint ended the connection without an answer", "ask again").WithCause(err)
 }
 
 // isMalformed reports whether an error comes from the bytes of an answer, not
--- a/direct/listening.go
+++ b/direct/listening.go
@@ -14,7 +14,7 @@
 // Refuses reports whether an endpoint's host answers that nothing listens at the address:
 // the endpoint's process has ended. A host that does not answer says nothing. Those who ask
 // at the same time share one look, whose connection, if one comes about, is kept.
-func (c *Client) Refuses(ctx context.Context, addr string) bool {
+func (c *Client) ConnectionRefused(ctx context.Context, addr string) bool {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lookTimeout)
 	defer cancel()
 	refused, _, _ := c.looks.Do(addr, func() (any, error) {
--- a/direct/listening_test.go
+++ b/direct/listening_test.go
@@ -14,7 +14,7 @@
 	addr := listener.Addr().String()
 	c := NewClient(Config{})
 	defer c.Close()
-	is.True(!c.Refuses(t.Context(), addr))
+	is.True(!c.ConnectionRefused(t.Context(), addr))
 	is.NoErr(listener.Close())
-	is.True(c.Refuses(t.Context(), addr))
+	is.True(c.ConnectionRefused(t.Context(), addr))
 }
--- a/endpoint/pick/refuse.go
+++ b/endpoint/pick/refuse.go
@@ -27,19 +27,19 @@
 			"no endpoint of pool %q serves model %q version %q adapter %q", key.Pool, key.Model, key.Version, key.Adapter)
 	}
 	return fault.Newf(fault.Unavailable, "retry later, or add an endpoint",
-		"all endpoints of pool %q for model %q are leaving or stopped", key.Pool, key.Model).After(retryUnavailable)
+		"all endpoints of pool %q for model %q are leaving or stopped", key.Pool, key.Model).RetryIn(retryUnavailable)
 }
 
 // errAllTried returns the error for a call that has been tried at all endpoints.
 func errAllTried(n int) error {
 	return fault.Newf(fault.Unavailable, "retry later",
-		"the call has been tried at all %d endpoints", n).After(retryUnavailable)
+		"the call has been tried at all %d endpoints", n).RetryIn(retryUnavailable)
 }
 
 // errAllFull returns the error if no endpoint has a free slot or queue place.
 func errAllFull(n int, soonest time.Duration) error {
 	return fault.Newf(fault.Overloaded, "retry after the given time, or add endpoints",
-		"all %d endpoints are full", n).After(clampRetryAfter(soonest))
+		"all %d endpoints are full", n).RetryIn(clampRetryAfter(soonest))
 }
 
 // checkDeadline returns an error if the best candidate would miss the deadline.
@@ -52,7 +52,7 @@
 			"the first token would take %v on an idle endpoint, but the deadline is %v", c.FirstToken-c.Load.Wait, q.Deadline)
 	}
 	return fault.Newf(fault.Overloaded, "retry after the given time, or extend the deadline",
-		"the first token would take %v, but the deadline is %v", c.FirstToken, q.Deadline).After(clampRetryAfter(c.FirstToken - q.Deadline))
+		"the first token would take %v, but the deadline is %v", c.FirstToken, q.Deadline).RetryIn(clampRetryAfter(c.FirstToken - q.Deadline))
 }
 
 // clampRetryAfter limits d to the range from minRetryAfter to maxRetryAfter.
--- a/entry/admission.go
+++ b/entry/admission.go
@@ -59,7 +59,7 @@
 // already that none would be left for it in time, it is refused at once.
 func (a *Admissions) AdmitLate(ctx context.Context, pool string, r workspace.Request, patience time.Duration) (func(), error) {
 	refused := fault.New(fault.Overloaded, "not run: no place was left for a request that is late already",
-		"ask again after the given time").After(a.policy.MaxRetryAfter)
+		"ask again after the given time").RetryIn(a.policy.MaxRetryAfter)
 	gate := a.gate(pool)
 	if !a.late.begin(pool, time.Since(processStart), patience, occupancyOf(gate)) {
 		return nil, refused
@@ -85,9 +85,9 @@
 }
 
 // SetPlaces implements routed.Places.
-func (a *Admissions) SetPlaces(pool string, r routed.Room) {
+func (a *Admissions) SetPoolCapacity(pool string, r routed.PoolCapacity) {
 	taken := a.late.set(pool, time.Since(processStart), r)
-	a.gate(pool).SetCapacity(r.InTime + max(r.Stuck-taken, 0))
+	a.gate(pool).SetCapacity(r.OnTime + max(r.OtherInFlight-taken, 0))
 }
 
 // Hold implements Holds.
--- a/entry/body.go
+++ b/entry/body.go
@@ -32,7 +32,7 @@
 		return nil, s.errBodyTooLarge()
 	}
 	return nil, call.Refuse(fault.New(fault.Invalid, "the body stopped before its end, so nothing was run",
-		"send the whole body, with its Content-Length or in chunks, within the time allowed").Because(err))
+		"send the whole body, with its Content-Length or in chunks, within the time allowed").WithCause(err))
 }
 
 func (s *Server) errBodyTooLarge() *call.Verdict {
--- a/entry/client.go
+++ b/entry/client.go
@@ -108,7 +108,7 @@
 	if unavailable != nil {
 		return unavailable
 	}
-	return fault.New(fault.NoQuorum, "no control replica decided", "ask again later").Because(err)
+	return fault.New(fault.NoQuorum, "no control replica decided", "ask again later").WithCause(err)
 }
 
 // isDecision reports whether a fault is the answer of a replica that decides.
--- a/entry/config.go
+++ b/entry/config.go
@@ -62,7 +62,7 @@
 	Routed bool
 	// Headers and RetryStyle are how callers and endpoints are spoken to then.
 	Headers    routed.Headers
-	RetryStyle answer.Style
+	RetryStyle answer.RetryAfterFormat
 	// RetryAfter is the Retry-After then when nothing better is known.
 	RetryAfter time.Duration
 	// MaxWait is how long a request of a route waits for a place at most, and
--- a/entry/configure.go
+++ b/entry/configure.go
@@ -70,7 +70,7 @@
 		c.routed.Publish(table)
 		return
 	}
-	c.routed.PublishFirst(table, c.admissions, max(c.reports.Readers(), 1))
+	c.routed.PublishInitial(table, c.admissions, max(c.reports.Readers(), 1))
 }
 
 // restarted returns the ids of directly called endpoints that have started anew: nothing
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -138,9 +138,9 @@
 // moment.
 func (d *Daemon) stopRouted(ctx context.Context, server *http.Server, failed <-chan error) error {
 	limit := time.Now().Add(d.config.StopLimit)
-	d.routed.Stop()
+	d.routed.DisableKeepAlives()
 	wait.For(ctx, d.config.DrainDelay)
-	d.routed.Refuse()
+	d.routed.RejectRequests()
 	quiet := time.Now()
 	for time.Since(quiet) < stopQuiet && time.Now().Before(limit) {
 		wait.For(ctx, stopPoll)
@@ -194,14 +194,14 @@
 
 // throttle keeps the calls in flight to what keeps the pace of the pools.
 func (d *Daemon) throttle(ctx context.Context) {
-	ticker := time.NewTicker(routed.ThrottleInterval)
+	ticker := time.NewTicker(routed.CapacityUpdateInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			d.routed.Throttle(d.configurer.admissions, d.entries())
+			d.routed.UpdateCapacity(d.configurer.admissions, d.entries())
 		}
 	}
 }
@@ -234,7 +234,7 @@
 func listen(cfg Config) (net.Listener, error) {
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
-		return nil, fault.Newf(fault.Invalid, "choose a free address with -listen", "cannot listen on %s", cfg.Listen).Because(err)
+		return nil, fault.Newf(fault.Invalid, "choose a free address with -listen", "cannot listen on %s", cfg.Listen).WithCause(err)
 	}
 	return listener, nil
 }
--- a/entry/delivery.go
+++ b/entry/delivery.go
@@ -133,7 +133,7 @@
 func (d *delivery) refuse(v *call.Verdict) {
 	d.opened = true
 	d.limit()
-	d.err = answer.Refuse(d.w, d.id, v, answer.WholeSeconds)
+	d.err = answer.WriteVerdict(d.w, d.id, v, answer.WholeSeconds)
 	d.flush()
 }
 
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -84,7 +84,7 @@
 func (q *request) refusal(err error) *call.Verdict {
 	f := fault.From(err)
 	if f.RetryAfter == 0 {
-		f = f.After(call.DefaultRetryAfter)
+		f = f.RetryIn(call.DefaultRetryAfter)
 	}
 	if q.callerKey && !q.repeatable {
 		f = call.KeepKey(f)
@@ -248,7 +248,7 @@
 func (x *exchange) choose(exclude []string) (call.Target, error) {
 	q, s := x.request, x.server
 	wanted := q.pick
-	wanted.Exclude = slices.Concat(exclude, s.RateLimits.Closed())
+	wanted.Exclude = slices.Concat(exclude, s.RateLimits.Blocked())
 	for {
 		wanted.Deadline = q.deadline - x.now()
 		chosen, explain, err := s.Picker.Pick(x.now(), sharedRand, &wanted)
--- a/entry/first_places_test.go
+++ b/entry/first_places_test.go
@@ -32,7 +32,7 @@
 	loads := load.New(load.Config{}, table)
 	admissions := NewAdmissions(Config{Routed: true, MaxWait: 300 * time.Millisecond, MaxRetryAfter: time.Second})
 	limits := NewRateLimits(Config{}, table, admissions, slog.New(slog.DiscardHandler))
-	server := routed.NewServer(routed.Config{}, routed.Parts{
+	server := routed.NewServer(routed.Config{}, routed.Dependencies{
 		Endpoints: table, Loads: loads, Groups: groups, RateLimits: &Permits{RateLimits: limits}, Budget: call.NewBudget(call.BudgetConfig{}), Logger: slog.New(slog.DiscardHandler),
 	}, func() time.Duration { return time.Second })
 	c := &configurer{
--- a/entry/flow_test.go
+++ b/entry/flow_test.go
@@ -194,7 +194,7 @@
 			if d.GetResumeOffset() == 0 {
 				send(chunkOf(0, whole[:9]))
 				<-ctx.Done() // frozen
-				return fault.New(fault.Unknown, "cut", "").Because(ctx.Err())
+				return fault.New(fault.Unknown, "cut", "").WithCause(ctx.Err())
 			}
 			send(chunkOf(int(d.GetResumeOffset()), whole[d.GetResumeOffset():]))
 			send(endOf(len(whole)))
--- a/entry/late.go
+++ b/entry/late.go
@@ -141,11 +141,11 @@
 // So many may wait for a pool that does not run as it will have places once it does. After
 // a restart of all machines its groups form soon, and no rate is known yet by which to expect
 // places.
-func (l *lateQueues) set(pool string, now time.Duration, r routed.Room) (taken int) {
+func (l *lateQueues) set(pool string, now time.Duration, r routed.PoolCapacity) (taken int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	q := l.queue(pool, now)
-	q.opening, q.free = r.Opening, r.Late
+	q.opening, q.free = r.AfterReopen, r.LateSlots
 	return q.taken
 }
 
--- a/entry/late_test.go
+++ b/entry/late_test.go
@@ -40,13 +40,13 @@
 func TestAllWaitForAPoolThatOpens(t *testing.T) {
 	is := is.New(t)
 	var l lateQueues
-	l.set("p", 0, routed.Room{Opening: 50})
+	l.set("p", 0, routed.PoolCapacity{AfterReopen: 50})
 	waiting := 0
 	for l.begin("p", 0, time.Second, full) {
 		waiting++
 	}
 	is.Equal(waiting, 50)
-	l.set("p", time.Second, routed.Room{}) // it runs
+	l.set("p", time.Second, routed.PoolCapacity{}) // it runs
 	is.True(!l.begin("p", time.Second, time.Second, full))
 	for range waiting {
 		l.end("p", time.Second, true)
@@ -58,13 +58,13 @@
 	is := is.New(t)
 	var l lateQueues
 	is.True(!l.take("p", 0)) // none is known
-	is.Equal(l.set("p", 0, routed.Room{Late: 2}), 0)
+	is.Equal(l.set("p", 0, routed.PoolCapacity{LateSlots: 2}), 0)
 	is.True(l.take("p", 0))
 	is.True(l.take("p", 0))
 	is.True(!l.take("p", 0))
-	is.Equal(l.set("p", 0, routed.Room{}), 2) // those that are taken stay so
+	is.Equal(l.set("p", 0, routed.PoolCapacity{}), 2) // those that are taken stay so
 	l.giveBack("p", 0)
-	is.Equal(l.set("p", 0, routed.Room{}), 1)
+	is.Equal(l.set("p", 0, routed.PoolCapacity{}), 1)
 }
 
 // TestNobodyInTimeWaitsBehindALateRequest plays an entry with 25 places to which 15 requests
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -65,10 +65,10 @@
 	settings := routed.Config{
 		Name: cfg.Name, Zone: cfg.Zone, Headers: headers, RetryStyle: cfg.RetryStyle,
 		MaxHeaderBytes: cfg.MaxHeaderBytes, MaxBodyBytes: cfg.MaxBodyBytes,
-		BodyTimeout: cfg.BodyTimeout, WriteTimeout: cfg.WriteTimeout, HoldBytes: policy.HoldBytes,
+		BodyTimeout: cfg.BodyTimeout, WriteTimeout: cfg.WriteTimeout, MaxBufferedBytes: policy.HoldBytes,
 		Backoff: policy.Backoff, RetryAfter: cfg.RetryAfter, AccessLog: cfg.AccessLog,
 	}
-	parts := routed.Parts{
+	parts := routed.Dependencies{
 		Admitter: admissions, Picker: picker, Endpoints: table, Loads: loads, Outliers: outliers,
 		Reach: reached, Groups: groups, Client: client, Quarantine: crashes, RateLimits: permits, Suspects: suspects, Budget: call.NewBudget(cfg.budget()), Logger: logger,
 	}
--- a/entry/ratelimits.go
+++ b/entry/ratelimits.go
@@ -149,12 +149,12 @@
 func (l *RateLimits) InPause(id string) bool { return l.table.InPause(time.Since(processStart), id) }
 
 // Reserves implements routed.RateLimits.
-func (l *RateLimits) Reserves() map[string]ratelimit.Reserve {
+func (l *RateLimits) Restrictions() map[string]ratelimit.Reserve {
 	return l.table.Reserves(time.Since(processStart))
 }
 
 // Closed returns the endpoints to which nothing may be sent now.
-func (l *RateLimits) Closed() []string { return l.table.Closed(time.Since(processStart)) }
+func (l *RateLimits) Blocked() []string { return l.table.Closed(time.Since(processStart)) }
 
 // Limited returns the endpoints that name a limit.
 func (l *RateLimits) Limited() []string { return l.table.All() }
@@ -178,7 +178,7 @@
 	l.turns[pool] = turns
 	l.mu.Unlock()
 	return fault.New(fault.RateLimited, "not run: the endpoints that are left take no more requests for now",
-		"ask again after the time given, or add endpoints").After(turn - now)
+		"ask again after the time given, or add endpoints").RetryIn(turn - now)
 }
 
 // opens returns when the first endpoint of a pool takes a request again, zero if none is closed,
--- a/entry/request.go
+++ b/entry/request.go
@@ -77,7 +77,7 @@
 // errNoConfiguration refuses every request until a configuration is in force:
 // before that no key, model or path can be called wrong.
 var errNoConfiguration = fault.New(fault.Unavailable, "this entry has no accepted configuration yet",
-	"ask again after the time given; if it lasts, look for a quorum of control replicas").After(retryNoConfiguration)
+	"ask again after the time given; if it lasts, look for a quorum of control replicas").RetryIn(retryNoConfiguration)
 
 // parseHeaders reads the headers of a request.
 func (s *Server) parseHeaders(r *http.Request, id string) (*request, *call.Verdict) {
--- a/eventstream/eventstream.go
+++ b/eventstream/eventstream.go
@@ -31,11 +31,11 @@
 }
 
 // From states that the caller has the stream up to the event with this id.
-func (s *Splitter) From(id int64) { s.last, s.known, s.resumed = id, true, true }
+func (s *Splitter) StartAfter(id int64) { s.last, s.known, s.resumed = id, true, true }
 
 // Last returns the id of the last event handed out; ok is false if there was
 // none, or it carried no id.
-func (s *Splitter) Last() (id int64, ok bool) { return s.last, s.known }
+func (s *Splitter) LastID() (id int64, ok bool) { return s.last, s.known }
 
 // Partial reports whether the attempt has ended within an event.
 func (s *Splitter) Partial() bool { return len(bytes.TrimSpace(s.partial)) > 0 }
--- a/eventstream/eventstream_test.go
+++ b/eventstream/eventstream_test.go
@@ -27,7 +27,7 @@
 			out, err := s.Add([]byte(whole[:cut]))
 			is.NoErr(err)
 			got := string(out)
-			last, _ := s.Last()
+			last, _ := s.LastID()
 			s.Resume()
 			out, err = s.Add([]byte(events(max(1, int(last)+1-back), 6)))
 			is.NoErr(err)
@@ -74,12 +74,12 @@
 func TestACallerMayStartInTheMiddle(t *testing.T) {
 	is := is.New(t)
 	var s Splitter
-	s.From(12)
+	s.StartAfter(12)
 	out, err := s.Add([]byte(events(13, 14) + "id: 15\ndata"))
 	is.NoErr(err)
 	is.Equal(string(out), events(13, 14))
 	is.True(s.Partial())
-	last, ok := s.Last()
+	last, ok := s.LastID()
 	is.True(ok)
 	is.Equal(last, int64(14))
 }
--- a/fault/fault.go
+++ b/fault/fault.go
@@ -95,14 +95,14 @@
 func (e *Error) Unwrap() error { return e.Cause }
 
 // After returns a copy of e that tells the reader to ask again after d.
-func (e *Error) After(d time.Duration) *Error {
+func (e *Error) RetryIn(d time.Duration) *Error {
 	copied := *e
 	copied.RetryAfter = d
 	return &copied
 }
 
 // Because returns a copy of e with the given cause.
-func (e *Error) Because(cause error) *Error {
+func (e *Error) WithCause(cause error) *Error {
 	copied := *e
 	copied.Cause = cause
 	return &copied
@@ -122,7 +122,7 @@
 	if fault := As(err); fault != nil {
 		return fault
 	}
-	return New(Internal, "an unexpected error", "report the defect with the log of the daemon").Because(err)
+	return New(Internal, "an unexpected error", "report the defect with the log of the daemon").WithCause(err)
 }
 
 // KindOf returns the kind of err; Internal for an error that is not a fault,
--- a/fault/leader_test.go
+++ b/fault/leader_test.go
@@ -8,11 +8,11 @@
 
 func TestTheLeaderIsNamed(t *testing.T) {
 	is := is.New(t)
-	addr, ok := Leader(LedBy(7, "10.0.0.1:80"))
+	addr, ok := LeaderAddr(NewNotLeader(7, "10.0.0.1:80"))
 	is.True(ok)
 	is.Equal(addr, "10.0.0.1:80")
-	_, ok = Leader(New(NotLeader, "not ready", "send it again"))
+	_, ok = LeaderAddr(New(NotLeader, "not ready", "send it again"))
 	is.True(!ok)
-	_, ok = Leader(New(NoQuorum, "none", sendTo+"10.0.0.1:80"))
+	_, ok = LeaderAddr(New(NoQuorum, "none", sendTo+"10.0.0.1:80"))
 	is.True(!ok)
 }
--- a/gate/order.go
+++ b/gate/order.go
@@ -43,7 +43,7 @@
 	}
 	if !g.fence.known {
 		return fault.New(fault.NoQuorum, "the agent has not yet learnt the highest fencing token from a quorum",
-			"send the order again once control replicas are reachable from the agent").After(retryStale)
+			"send the order again once control replicas are reachable from the agent").RetryIn(retryStale)
 	}
 	if o.GetFence() < g.fence.highest {
 		return fault.Newf(fault.Fenced, "only the present control leader may give orders; read its state again",
--- a/gate/refusal.go
+++ b/gate/refusal.go
@@ -27,27 +27,27 @@
 
 func errNotAccepted(id string) *fault.Error {
 	return fault.Newf(fault.Unavailable, "wait until the configuration lists the endpoint, or choose another",
-		"endpoint %q is not in the agent's configuration", id).After(retryUnknownID)
+		"endpoint %q is not in the agent's configuration", id).RetryIn(retryUnknownID)
 }
 
 func errStale(bound time.Duration) *fault.Error {
 	return fault.Newf(fault.Stale, "ask again after the time given; if it lasts, see that a majority of control replicas runs",
-		"neither the agent nor the sender has heard from a quorum within %v", bound).After(retryStale)
+		"neither the agent nor the sender has heard from a quorum within %v", bound).RetryIn(retryStale)
 }
 
 func errFull(id string) *fault.Error {
 	return fault.Newf(fault.Overloaded, "choose another endpoint or try again later",
-		"endpoint %q has all its slots and its queue taken", id).After(retryOverloaded)
+		"endpoint %q has all its slots and its queue taken", id).RetryIn(retryOverloaded)
 }
 
 func errRateLimited(id string, p ratelimit.Permit) *fault.Error {
 	return fault.Newf(fault.RateLimited, "choose another endpoint or ask again after the time given",
-		"endpoint %q takes no more than %v requests a second", id, p.Limit).After(p.Wait)
+		"endpoint %q takes no more than %v requests a second", id, p.Limit).RetryIn(p.Wait)
 }
 
 func errPaused(id string, wait time.Duration) *fault.Error {
 	return fault.Newf(fault.RateLimited, "choose another endpoint or ask again after the time given",
-		"endpoint %q has asked for a pause", id).After(wait)
+		"endpoint %q has asked for a pause", id).RetryIn(wait)
 }
 
 func errClosed() *fault.Error {
@@ -66,5 +66,5 @@
 
 func errClaimsFull() *fault.Error {
 	return fault.New(fault.Overloaded, "the agent remembers as many claims as it may",
-		"claim again later, or raise the agent's limit of claims").After(retryOverloaded)
+		"claim again later, or raise the agent's limit of claims").RetryIn(retryOverloaded)
 }
--- a/link/keystore.go
+++ b/link/keystore.go
@@ -85,7 +85,7 @@
 		info, err := os.Stat(path)
 		if err != nil {
 			return states, fault.Newf(fault.Invalid, "check the path and the permissions",
-				"TLS file %s cannot be read", path).Because(err)
+				"TLS file %s cannot be read", path).WithCause(err)
 		}
 		states[i] = fileState{modified: info.ModTime(), size: info.Size()}
 	}
@@ -96,11 +96,11 @@
 	certificate, err := tls.LoadX509KeyPair(s.cfg.Cert, s.cfg.Key)
 	if err != nil {
 		return keys{}, fault.New(fault.Invalid, "-tls-cert and -tls-key cannot be used together",
-			"give a PEM certificate and its own PEM key").Because(err)
+			"give a PEM certificate and its own PEM key").WithCause(err)
 	}
 	pem, err := os.ReadFile(s.cfg.CA)
 	if err != nil {
-		return keys{}, fault.New(fault.Invalid, "-tls-ca cannot be read", "check the path and the permissions").Because(err)
+		return keys{}, fault.New(fault.Invalid, "-tls-ca cannot be read", "check the path and the permissions").WithCause(err)
 	}
 	authorities := x509.NewCertPool()
 	if !authorities.AppendCertsFromPEM(pem) {
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -78,7 +78,7 @@
 
 func TestFaultAndTraceCrossTheConnection(t *testing.T) {
 	is := is.New(t)
-	sent := fault.New(fault.Overloaded, "no capacity", "ask again later").After(1500 * time.Millisecond)
+	sent := fault.New(fault.Overloaded, "no capacity", "ask again later").RetryIn(1500 * time.Millisecond)
 	var seen trace.TraceID
 	address, _ := serve(t, Config{}, &peer{check: func(ctx context.Context) error {
 		seen = trace.SpanContextFromContext(ctx).TraceID()
--- a/link/pool.go
+++ b/link/pool.go
@@ -49,7 +49,7 @@
 	options := append([]grpc.DialOption{grpc.WithStatsHandler(&callCounter{p, pooled})}, p.options...)
 	conn, err := grpc.NewClient("passthrough:///"+address, options...)
 	if err != nil {
-		return nil, fault.Newf(fault.Invalid, "write host:port", "cannot make a connection to %q", address).Because(err)
+		return nil, fault.Newf(fault.Invalid, "write host:port", "cannot make a connection to %q", address).WithCause(err)
 	}
 	pooled.conn = conn
 	p.conns[address] = pooled
--- a/link/replicas/cursor.go
+++ b/link/replicas/cursor.go
@@ -62,7 +62,7 @@
 		return
 	}
 	c.current = (from + 1) % len(c.addrs)
-	leader, named := fault.Leader(err)
+	leader, named := fault.LeaderAddr(err)
 	if !named || leader == c.addrs[from] {
 		return
 	}
--- a/link/replicas/finder_test.go
+++ b/link/replicas/finder_test.go
@@ -48,7 +48,7 @@
 	leader := serve(t, &replica{})
 	var named []string
 	for range 3 {
-		named = append(named, serve(t, &replica{err: fault.LedBy(4, leader)}))
+		named = append(named, serve(t, &replica{err: fault.NewNotLeader(4, leader)}))
 	}
 	options, err := link.DialOptions(link.Config{Insecure: true})
 	is.NoErr(err)
--- a/link/status.go
+++ b/link/status.go
@@ -113,7 +113,7 @@
 	if ctx.Err() != nil {
 		cause = fmt.Errorf("%w: %w", ctx.Err(), err)
 	}
-	return undetailed(got.Code(), sent).Because(cause)
+	return undetailed(got.Code(), sent).WithCause(cause)
 }
 
 // restore returns the fault in the details of a status, or nil.
@@ -134,7 +134,7 @@
 	if restored == nil || retryAfter <= 0 {
 		return restored
 	}
-	return restored.After(retryAfter)
+	return restored.RetryIn(retryAfter)
 }
 
 // undetailed makes the fault of a status code that came without a fault of ours.
--- a/measure/fanout/announce.go
+++ b/measure/fanout/announce.go
@@ -138,7 +138,7 @@
 			}
 		}
 	}
-	return nil, fault.New(fault.NoQuorum, "no replica took the announcements", "run the command on a less busy machine").Because(errors.Join(last, c.ended()))
+	return nil, fault.New(fault.NoQuorum, "no replica took the announcements", "run the command on a less busy machine").WithCause(errors.Join(last, c.ended()))
 }
 
 func announceAll(ctx context.Context, client controlv1.ControlClient, agents int) error {
--- a/operator/client.go
+++ b/operator/client.go
@@ -94,7 +94,7 @@
 	if typed := fault.As(err); typed != nil {
 		return typed
 	}
-	return fault.New(fault.Unknown, "the answer of a control replica was lost", "run the same command again").Because(err)
+	return fault.New(fault.Unknown, "the answer of a control replica was lost", "run the same command again").WithCause(err)
 }
 
 // decided reports whether a fault is the decision of a replica, so that another
@@ -133,10 +133,10 @@
 	tried := strings.Join(c.addrs, ", ")
 	if lost {
 		return fault.Newf(fault.Unknown, "run the same command again: the same request gets the same answer",
-			"an answer of the control replicas (%s) was lost; the request may have been carried out", tried).Because(last)
+			"an answer of the control replicas (%s) was lost; the request may have been carried out", tried).WithCause(last)
 	}
 	return fault.Newf(fault.Unavailable, "check that a majority of control replicas runs and that -control names them, then try again",
-		"none of the control replicas (%s) could decide; nothing was done", tried).Because(last)
+		"none of the control replicas (%s) could decide; nothing was done", tried).WithCause(last)
 }
 
 // Plan states an intent.
--- a/operator/command.go
+++ b/operator/command.go
@@ -221,7 +221,7 @@
 	}
 	data, err := protojson.MarshalOptions{Multiline: true, UseProtoNames: true, EmitUnpopulated: true}.Marshal(message)
 	if err != nil {
-		return fault.New(fault.Internal, "the answer cannot be written as JSON", "report this defect").Because(err)
+		return fault.New(fault.Internal, "the answer cannot be written as JSON", "report this defect").WithCause(err)
 	}
 	fmt.Fprintf(s.stdout, "%s\n", data)
 	return nil
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -57,7 +57,7 @@
 		if !bytes.Equal(shown, text.Bytes()) {
 			shown = bytes.Clone(text.Bytes())
 			if _, err := s.stdout.Write(shown); err != nil {
-				return fault.New(fault.Internal, "the output cannot be written", "check where it goes").Because(err)
+				return fault.New(fault.Internal, "the output cannot be written", "check where it goes").WithCause(err)
 			}
 		}
 		if done {
--- a/operator/intents.go
+++ b/operator/intents.go
@@ -25,7 +25,7 @@
 		data, err = os.ReadFile(name)
 	}
 	if err != nil {
-		return nil, fault.New(fault.Invalid, "the intent file cannot be read", "check its path and permissions").Because(err)
+		return nil, fault.New(fault.Invalid, "the intent file cannot be read", "check its path and permissions").WithCause(err)
 	}
 	return ParseIntent(data, s.settings.Operator)
 }
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -60,7 +60,7 @@
 	defer r.mu.Unlock()
 	r.asked++
 	if r.leader != "" {
-		return nil, link.ToStatus(fault.LedBy(1, r.leader))
+		return nil, link.ToStatus(fault.NewNotLeader(1, r.leader))
 	}
 	if err != nil {
 		return nil, link.ToStatus(err)
--- a/operator/story.go
+++ b/operator/story.go
@@ -65,7 +65,7 @@
 		if path != standardInput {
 			file, err := os.Open(path)
 			if err != nil {
-				return nil, fault.Newf(fault.Invalid, "name readable files, separated by commas", "cannot read the log %s", path).Because(err)
+				return nil, fault.Newf(fault.Invalid, "name readable files, separated by commas", "cannot read the log %s", path).WithCause(err)
 			}
 			defer func() { _ = file.Close() }()
 			source = file
@@ -78,7 +78,7 @@
 			}
 		}
 		if err := scanner.Err(); err != nil {
-			return nil, fault.Newf(fault.Invalid, "cut the log at lines", "cannot read on in the log %s", path).Because(err)
+			return nil, fault.Newf(fault.Invalid, "cut the log at lines", "cannot read on in the log %s", path).WithCause(err)
 		}
 	}
 	slices.SortStableFunc(lines, func(a, b logLine) int { return a.at.Compare(b.at) })
--- a/quarantine/refusal.go
+++ b/quarantine/refusal.go
@@ -14,5 +14,5 @@
 		return nil
 	}
 	return fault.New(fault.Quarantined, "the endpoints that ran this request ended under it",
-		"change the request; the same one may run again after the time given").After(hold)
+		"change the request; the same one may run again after the time given").RetryIn(hold)
 }
--- a/rankhost/pushback_test.go
+++ b/rankhost/pushback_test.go
@@ -18,7 +18,7 @@
 
 func (e *pausingEngine) reject() error {
 	e.reads.Add(1)
-	return fault.New(fault.Unavailable, "the engine rejects everything", "wait").After(time.Minute)
+	return fault.New(fault.Unavailable, "the engine rejects everything", "wait").RetryIn(time.Minute)
 }
 
 func (e *pausingEngine) Status(context.Context) (Status, error) { return Status{}, e.reject() }
--- a/replica/change.go
+++ b/replica/change.go
@@ -79,7 +79,7 @@
 	}
 	if !n.caughtUp(member) {
 		return nil, fault.Newf(fault.Conflict, "wait until its match index reaches the commit index in the status",
-			"replica %d has not caught up", member.GetId()).After(n.cfg.HeartbeatInterval)
+			"replica %d has not caught up", member.GetId()).RetryIn(n.cfg.HeartbeatInterval)
 	}
 	voter := &pb.Member{
 		Id: member.GetId(), Addr: member.GetAddr(), Disk: member.GetDisk(),
@@ -101,14 +101,14 @@
 	}
 	if n.members.index() > n.log.committed || !n.committedInTerm() {
 		return 0, 0, fault.New(fault.Conflict, "another membership change is under way",
-			"ask again when it is committed").After(n.cfg.HeartbeatInterval)
+			"ask again when it is committed").RetryIn(n.cfg.HeartbeatInterval)
 	}
 	if len(voters(changed)) == 0 {
 		return 0, 0, fault.New(fault.Invalid, "no voter would be left", "add another voter first")
 	}
 	if n.activeVoters(changed) < quorum(changed) {
 		return 0, 0, fault.New(fault.Conflict, "too few of the remaining voters are reachable to commit the change",
-			"bring the other voters back first").After(n.cfg.ElectionTimeout)
+			"bring the other voters back first").RetryIn(n.cfg.ElectionTimeout)
 	}
 	entry := &pb.Entry{Kind: pb.EntryKind_ENTRY_KIND_MEMBERSHIP, Membership: changed}
 	n.propose(entry)
--- a/replica/node.go
+++ b/replica/node.go
@@ -221,7 +221,7 @@
 func (n *Node) notLeader() error {
 	if n.leader == 0 {
 		return fault.New(fault.NoQuorum, "this control replica knows no leader",
-			"ask again after an election timeout; nothing was done").After(n.cfg.ElectionTimeout)
+			"ask again after an election timeout; nothing was done").RetryIn(n.cfg.ElectionTimeout)
 	}
 	return fault.Newf(fault.NotLeader, "ask the leader; nothing was done",
 		"control replica %d is not the leader, %d is", n.cfg.ID, n.leader)
--- a/replica/server/apply.go
+++ b/replica/server/apply.go
@@ -100,7 +100,7 @@
 func (a *applier) apply(w work) error {
 	if w.snapshot != nil {
 		if err := a.sm.Restore(w.snapshot.GetData()); err != nil {
-			return fault.New(fault.Internal, "the state machine refused a snapshot", "run the same version on all control replicas").Because(err)
+			return fault.New(fault.Internal, "the state machine refused a snapshot", "run the same version on all control replicas").WithCause(err)
 		}
 		a.snapshot = w.snapshot.GetIndex()
 		a.advance(a.snapshot)
--- a/replica/server/propose.go
+++ b/replica/server/propose.go
@@ -112,7 +112,7 @@
 
 func notProposed(ctx context.Context) error {
 	return fault.New(fault.Unavailable, "the command was not proposed before its context ended; it was not run",
-		"send it again with more time").Because(ctx.Err())
+		"send it again with more time").WithCause(ctx.Err())
 }
 
 // propose appends a proposal to the log. It runs in the loop.
--- a/replica/server/read.go
+++ b/replica/server/read.go
@@ -63,7 +63,7 @@
 	case <-patience.C:
 	}
 	_ = s.call(func() { s.forgetRead(id) })
-	return 0, fault.New(fault.NoQuorum, "no quorum confirmed the leader in time; nothing was read", "ask again").After(s.cfg.ElectionTimeout)
+	return 0, fault.New(fault.NoQuorum, "no quorum confirmed the leader in time; nothing was read", "ask again").RetryIn(s.cfg.ElectionTimeout)
 }
 
 // startRead runs in the loop.
@@ -103,7 +103,7 @@
 		case <-s.done:
 			return s.stopped()
 		case <-ctx.Done():
-			return fault.Newf(fault.Overloaded, "ask again", "the state machine is applied up to %d only, the read needs %d", applied, index).After(s.cfg.HeartbeatInterval)
+			return fault.Newf(fault.Overloaded, "ask again", "the state machine is applied up to %d only, the read needs %d", applied, index).RetryIn(s.cfg.HeartbeatInterval)
 		}
 	}
 }
--- a/replica/server/server.go
+++ b/replica/server/server.go
@@ -293,7 +293,7 @@
 func (s *Server) stopped() error {
 	err := fault.New(fault.Unavailable, "this control replica has stopped; nothing was done", "ask another control replica")
 	if failure := s.Err(); failure != nil {
-		return err.Because(failure)
+		return err.WithCause(failure)
 	}
 	return err
 }
--- a/replica/server/snapshot.go
+++ b/replica/server/snapshot.go
@@ -99,7 +99,7 @@
 	started := time.Now()
 	data, err := job.encode()
 	if err != nil {
-		return writtenSnapshot{err: fault.New(fault.Internal, "the state machine made no snapshot", "see the cause").Because(err)}
+		return writtenSnapshot{err: fault.New(fault.Internal, "the state machine made no snapshot", "see the cause").WithCause(err)}
 	}
 	select {
 	case <-w.stopping:
--- a/routed/attempt.go
+++ b/routed/attempt.go
@@ -66,7 +66,7 @@
 // on listening.
 func (a *attempt) noteEnded() {
 	s := a.server
-	if a.caller.Err() != nil || a.moved.Load() || !s.Client.Refuses(a.caller, a.target.Addr) {
+	if a.caller.Err() != nil || a.moved.Load() || !s.Client.ConnectionRefused(a.caller, a.target.Addr) {
 		return
 	}
 	s.metrics.endedUnder.Inc()
--- a/routed/choose.go
+++ b/routed/choose.go
@@ -16,7 +16,7 @@
 	s := x.server
 	var passedOver []string
 	for range maxPermitAsks {
-		chosen, err := x.choose(append(s.RateLimits.Closed(), passedOver...))
+		chosen, err := x.choose(append(s.RateLimits.Blocked(), passedOver...))
 		if err != nil {
 			return chosen, x.notChosen(err, len(passedOver) > 0)
 		}
@@ -25,7 +25,7 @@
 		}
 		passedOver = append(passedOver, chosen.ID)
 	}
-	chosen, err := x.choose(slices.Concat(s.RateLimits.Limited(), s.RateLimits.Closed(), passedOver))
+	chosen, err := x.choose(slices.Concat(s.RateLimits.Limited(), s.RateLimits.Blocked(), passedOver))
 	if err != nil || !s.RateLimits.Admit(x.caller, &chosen, len(x.tried) > 0) {
 		return chosen, x.notChosen(err, true)
 	}
--- a/routed/deliver.go
+++ b/routed/deliver.go
@@ -32,7 +32,7 @@
 		s.Reach.Succeeded(a.target.ID)
 		s.Reach.Received(s.clock(), a.target.ID)
 		s.Suspects.Succeeded(s.clock(), a.started, a.target.RunID())
-		s.RateLimits.Answered(&a.target, a.feedback(r))
+		s.RateLimits.RecordAnswer(&a.target, a.feedback(r))
 	}
 	if r.Status == http.StatusMisdirectedRequest || names.NotRun != "" && r.Header.Get(names.NotRun) != "" {
 		return a.rejected(r)
@@ -109,7 +109,7 @@
 	if !limits.InPause(a.target.ID) {
 		return nil
 	}
-	if _, err := a.choose(limits.Closed()); err == nil {
+	if _, err := a.choose(limits.Blocked()); err == nil {
 		return nil
 	}
 	return limits.Refusal(a.request.pool)
@@ -123,14 +123,14 @@
 // whole, or too long to be held.
 func (a *attempt) whole(r *direct.Response) attemptResult {
 	s := a.server
-	held, err := io.ReadAll(io.LimitReader(r.Body, int64(s.config.HoldBytes)+1))
+	held, err := io.ReadAll(io.LimitReader(r.Body, int64(s.config.MaxBufferedBytes)+1))
 	if err != nil {
 		a.done(a.caller.Err() == nil)
 		a.noteEnded()
 		return failed(call.Ran, errCut(err))
 	}
 	a.parts = 1
-	if len(held) > s.config.HoldBytes {
+	if len(held) > s.config.MaxBufferedBytes {
 		return a.long(r, held)
 	}
 	a.done(r.Status >= http.StatusInternalServerError)
@@ -183,7 +183,7 @@
 
 func (a *attempt) delivered(err error) attemptResult {
 	if err != nil {
-		return attemptResult{done: true, abort: true, outcome: "caller left", fault: fault.New(fault.Unknown, "the caller did not take the answer", "").Because(err)}
+		return attemptResult{done: true, abort: true, outcome: "caller left", fault: fault.New(fault.Unknown, "the caller did not take the answer", "").WithCause(err)}
 	}
 	return attemptResult{done: true, outcome: call.Answered.String()}
 }
@@ -305,5 +305,5 @@
 }
 
 func errCut(err error) *fault.Error {
-	return fault.New(fault.Unknown, "the endpoint's answer was cut", "ask again").Because(err)
+	return fault.New(fault.Unknown, "the endpoint's answer was cut", "ask again").WithCause(err)
 }
--- a/routed/exchange.go
+++ b/routed/exchange.go
@@ -74,7 +74,7 @@
 	defer release()
 	x.placed = s.clock() - q.arrived
 	if last, err := strconv.ParseInt(q.header.Get(headerLastEvent), 10, 64); err == nil {
-		x.events.From(last)
+		x.events.StartAfter(last)
 	}
 	for {
 		result := x.attempt()
@@ -227,14 +227,14 @@
 	if q.workspace != nil {
 		setNamed(header, names.Workspace, q.workspace.GetName())
 	}
-	if last, ok := x.events.Last(); ok {
+	if last, ok := x.events.LastID(); ok {
 		header.Set(headerLastEvent, strconv.FormatInt(last, 10))
 	} else if given := q.header.Values(headerLastEvent); len(given) > 0 {
 		header[headerLastEvent] = given
 	}
 	return &direct.Request{
 		Method: q.method, Target: q.target, Host: q.host, ID: q.id, Header: header, Body: q.body,
-		Check: func() error { return x.checkPause(target.ID) },
+		BeforeSend: func() error { return x.checkPause(target.ID) },
 	}
 }
 
@@ -272,7 +272,7 @@
 	}
 	x.w.Header().Set(call.HeaderRequestID, q.id)
 	x.limit()
-	if err := answer.Refuse(x.w, q.id, v, s.config.RetryStyle); err != nil {
+	if err := answer.WriteVerdict(x.w, q.id, v, s.config.RetryStyle); err != nil {
 		return x.logEnd(v.HTTPStatus(), false)
 	}
 	return x.logEnd(v.HTTPStatus(), true)
--- a/routed/filling.go
+++ b/routed/filling.go
@@ -39,6 +39,6 @@
 	if pause <= 0 {
 		return math.MaxInt
 	}
-	prompts := float64(p.engines) * float64(ThrottleInterval) / float64(pause)
+	prompts := float64(p.engines) * float64(CapacityUpdateInterval) / float64(pause)
 	return int(math.Ceil(prompts * p.share(entries)))
 }
--- a/routed/harness_test.go
+++ b/routed/harness_test.go
@@ -52,12 +52,12 @@
 // unlimited knows of no limit.
 type unlimited struct{}
 
-func (unlimited) Answered(*endpoint.Endpoint, ratelimit.Feedback)      {}
+func (unlimited) RecordAnswer(*endpoint.Endpoint, ratelimit.Feedback)  {}
 func (unlimited) Admit(context.Context, *endpoint.Endpoint, bool) bool { return true }
 func (unlimited) Limited() []string                                    { return nil }
-func (unlimited) Closed() []string                                     { return nil }
+func (unlimited) Blocked() []string                                    { return nil }
 func (unlimited) InPause(string) bool                                  { return false }
-func (unlimited) Reserves() map[string]ratelimit.Reserve               { return nil }
+func (unlimited) Restrictions() map[string]ratelimit.Reserve           { return nil }
 func (unlimited) Refusal(string) *fault.Error                          { return nil }
 
 // bed is an entry before endpoints that a test scripts.
@@ -98,9 +98,9 @@
 	headers.Signature = signature
 	b.server = NewServer(Config{
 		Name: "entry", Zone: "a", Headers: headers, MaxHeaderBytes: 4 << 10, MaxBodyBytes: 1 << 10,
-		BodyTimeout: 200 * time.Millisecond, WriteTimeout: time.Second, HoldBytes: 1 << 10, RetryAfter: 250 * time.Millisecond,
+		BodyTimeout: 200 * time.Millisecond, WriteTimeout: time.Second, MaxBufferedBytes: 1 << 10, RetryAfter: 250 * time.Millisecond,
 		Backoff: call.Backoff{Base: time.Millisecond, Max: time.Millisecond},
-	}, Parts{
+	}, Dependencies{
 		Admitter: open{}, Picker: pick.New(pick.Config{}, b.table, loads, prefix.New(prefix.Config{}), outliers),
 		Endpoints: b.table, Loads: loads, Outliers: outliers, Reach: reach.New(), Groups: lockstep.New(), Quarantine: quarantine.NewTracker(), RateLimits: unlimited{}, Suspects: suspicion.NewTracker(1), Client: direct.NewClient(direct.Config{}),
 		Budget: call.NewBudget(call.BudgetConfig{Ratio: 0.2, Burst: 100}), Logger: slog.New(slog.DiscardHandler),
--- a/routed/pause_test.go
+++ b/routed/pause_test.go
@@ -39,7 +39,7 @@
 	all[poolGroup{"pool", "h"}] = load(0, 0)
 	is.Equal(len(reopenings(all)), 0)
 	closed := room{state: lockstep.Closed, places: load(4, 0).places(limit, entries)}
-	is.Equal(total([]room{closed}), Room{Opening: 40}) // so many may wait for its end
+	is.Equal(total([]room{closed}), PoolCapacity{AfterReopen: 40}) // so many may wait for its end
 }
 
 // pausedMeanwhile admits every request and knows then that an endpoint is in a pause.
@@ -71,7 +71,7 @@
 type closedPool struct{ unlimited }
 
 func (closedPool) Refusal(string) *fault.Error {
-	return fault.New(fault.RateLimited, "closed", "wait").After(9 * time.Second)
+	return fault.New(fault.RateLimited, "closed", "wait").RetryIn(9 * time.Second)
 }
 
 // Guards against requests that queue for a pool whose pause they cannot wait out: with those that
--- a/routed/placement.go
+++ b/routed/placement.go
@@ -46,16 +46,16 @@
 }
 
 // Room is what there is for an entry in a pool.
-type Room struct {
+type PoolCapacity struct {
 	// InTime is how many calls may be in flight where answers come in time.
-	InTime int
+	OnTime int
 	// Stuck is how many calls are in flight elsewhere.
-	Stuck int
+	OtherInFlight int
 	// Late is how many more calls may begin where answers come late.
-	Late int
+	LateSlots int
 	// Opening is how many calls may be in flight once groups run again, while none does:
 	// so many may wait for that.
-	Opening int
+	AfterReopen int
 }
 
 // total adds up the groups of a pool. Where none keeps the pace, those that are behind
@@ -63,17 +63,17 @@
 // would wait as long, and another may be free sooner. Where all have stopped one more call
 // is let through to each at a time, which shows whether it runs again: the silence may be
 // that of a single endpoint that holds this entry's only call.
-func total(rooms []room) Room {
-	var sum Room
+func total(rooms []room) PoolCapacity {
+	var sum PoolCapacity
 	if len(rooms) > 0 && best(rooms) >= lockstep.Stalled {
 		for _, r := range rooms {
-			sum.Opening += r.places
+			sum.AfterReopen += r.places
 		}
 	}
 	if best(rooms) == lockstep.Stalled {
 		for _, r := range rooms {
-			if sum.Stuck += r.own; r.state == lockstep.Stalled {
-				sum.InTime++
+			if sum.OtherInFlight += r.own; r.state == lockstep.Stalled {
+				sum.OnTime++
 			}
 		}
 		return sum
@@ -82,12 +82,12 @@
 	for _, r := range rooms {
 		switch {
 		case r.state == wanted:
-			sum.InTime += r.places - r.held
+			sum.OnTime += r.places - r.held
 		case r.state == lockstep.Behind:
-			sum.Late += max(r.places-r.held-r.own, 0)
-			sum.Stuck += r.own
+			sum.LateSlots += max(r.places-r.held-r.own, 0)
+			sum.OtherInFlight += r.own
 		default:
-			sum.Stuck += r.own
+			sum.OtherInFlight += r.own
 		}
 	}
 	return sum
--- a/routed/placement_test.go
+++ b/routed/placement_test.go
@@ -16,11 +16,11 @@
 	behind := room{group: "b", state: lockstep.Behind, places: 6, own: 5}
 	stalled := room{group: "c", state: lockstep.Stalled, places: 9, own: 7}
 	closed := room{group: "d", state: lockstep.Closed, places: 9}
-	is.Equal(total([]room{paced, behind, stalled, closed}), Room{InTime: 10, Stuck: 12, Late: 1})
-	is.Equal(total([]room{behind, stalled}), Room{InTime: 6, Stuck: 7})              // the best there is
-	is.Equal(total([]room{stalled, closed}), Room{InTime: 1, Stuck: 7, Opening: 18}) // one call at a time finds out
-	is.Equal(total([]room{closed}), Room{Opening: 9})
-	is.Equal(total(nil), Room{})
+	is.Equal(total([]room{paced, behind, stalled, closed}), PoolCapacity{OnTime: 10, OtherInFlight: 12, LateSlots: 1})
+	is.Equal(total([]room{behind, stalled}), PoolCapacity{OnTime: 6, OtherInFlight: 7})                  // the best there is
+	is.Equal(total([]room{stalled, closed}), PoolCapacity{OnTime: 1, OtherInFlight: 7, AfterReopen: 18}) // one call at a time finds out
+	is.Equal(total([]room{closed}), PoolCapacity{AfterReopen: 9})
+	is.Equal(total(nil), PoolCapacity{})
 }
 
 // TestOneSilentCallDoesNotCloseAGroupForAnEntry plays an entry with a single call, to an
@@ -34,7 +34,7 @@
 	now := time.Second
 	r := room{group: "g", state: groups.State(now, "g", longest), places: 5, own: 1}
 	is.Equal(r.state, lockstep.Stalled)
-	is.Equal(total([]room{r}), Room{InTime: 1, Stuck: 1, Opening: 5}) // a second call may go
+	is.Equal(total([]room{r}), PoolCapacity{OnTime: 1, OtherInFlight: 1, AfterReopen: 5}) // a second call may go
 	groups.Sent(now, "g")
 	groups.Chunk(now+150*time.Millisecond, "g", 0, longest)
 	is.Equal(groups.State(now+200*time.Millisecond, "g", longest), lockstep.Paced)
--- a/routed/request.go
+++ b/routed/request.go
@@ -230,9 +230,9 @@
 	case errors.As(err, &tooLarge):
 		return errBodyTooLarge(limit)
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return call.RefuseWith(http.StatusRequestTimeout, fault.New(fault.Invalid, "the body did not come in time", "send it again").Because(err))
+		return call.RefuseWith(http.StatusRequestTimeout, fault.New(fault.Invalid, "the body did not come in time", "send it again").WithCause(err))
 	}
-	return call.RefuseWith(http.StatusBadRequest, fault.New(fault.Invalid, "the body is not whole", "send it again").Because(err))
+	return call.RefuseWith(http.StatusBadRequest, fault.New(fault.Invalid, "the body is not whole", "send it again").WithCause(err))
 }
 
 func errBodyTooLarge(limit int64) *call.Verdict {
--- a/routed/routed_test.go
+++ b/routed/routed_test.go
@@ -295,11 +295,11 @@
 func TestAStoppingEntryMakesCallersLeave(t *testing.T) {
 	is := is.New(t)
 	b := newBed(t, answerOK)
-	b.server.Stop()
+	b.server.DisableKeepAlives()
 	got, response, _ := status(t, b, "/once/x", nil)
 	is.Equal(got, 200)
 	is.True(response.Close)
-	b.server.Refuse()
+	b.server.RejectRequests()
 	got, response, _ = status(t, b, "/once/x", nil)
 	is.Equal(got, 503)
 	is.True(response.Close)
--- a/routed/server.go
+++ b/routed/server.go
@@ -45,19 +45,19 @@
 // RateLimits knows what endpoints say of the requests that they take.
 type RateLimits interface {
 	// Answered takes in what an answer of an endpoint says of the requests that it takes.
-	Answered(e *endpoint.Endpoint, f ratelimit.Feedback)
+	RecordAnswer(e *endpoint.Endpoint, f ratelimit.Feedback)
 	// Admit reports whether one more request may be sent to an endpoint now, and counts it;
 	// again is true for a further attempt. It may ask a host.
 	Admit(ctx context.Context, e *endpoint.Endpoint, again bool) bool
 	// Limited returns the endpoints that name a limit, Closed those to which nothing may be
 	// sent now.
 	Limited() []string
-	Closed() []string
+	Blocked() []string
 	// InPause reports whether an endpoint has asked for a pause that has not ended.
 	InPause(id string) bool
 	// Reserves returns the endpoints that leave or have asked for a pause, with times of the
 	// server's clock.
-	Reserves() map[string]ratelimit.Reserve
+	Restrictions() map[string]ratelimit.Reserve
 	// Refusal returns the fault of a request for which no endpoint of a pool is left, if some
 	// take requests again later; nil otherwise.
 	Refusal(pool string) *fault.Error
@@ -70,7 +70,7 @@
 	// Headers are the names of the headers that it acts on.
 	Headers Headers
 	// RetryStyle is how callers are told when to come back.
-	RetryStyle answer.Style
+	RetryStyle answer.RetryAfterFormat
 	// MaxHeaderBytes and MaxBodyBytes bound requests where the site says nothing.
 	MaxHeaderBytes, MaxBodyBytes int64
 	// BodyTimeout bounds the time in which a caller sends the body, WriteTimeout
@@ -78,7 +78,7 @@
 	BodyTimeout, WriteTimeout time.Duration
 	// HoldBytes is how much of an answer that is not a stream is held back until
 	// it is whole.
-	HoldBytes int
+	MaxBufferedBytes int
 	// Backoff is the wait before a retry, RetryAfter what callers are told when
 	// nothing better is known.
 	Backoff    call.Backoff
@@ -88,7 +88,7 @@
 }
 
 // Parts are the dependencies of a Server.
-type Parts struct {
+type Dependencies struct {
 	Admitter  Admitter
 	Picker    Picker
 	Endpoints *endpoint.Table
@@ -108,7 +108,7 @@
 
 // Server answers callers. It is an http.Handler.
 type Server struct {
-	Parts
+	Dependencies
 	config  Config
 	private map[string]bool
 	metrics *serverMetrics
@@ -138,9 +138,9 @@
 
 // NewServer returns a server without a site. The clock returns the time since an
 // arbitrary start, the same as for the parts.
-func NewServer(cfg Config, parts Parts, clock func() time.Duration) *Server {
+func NewServer(cfg Config, parts Dependencies, clock func() time.Duration) *Server {
 	s := &Server{
-		Parts: parts, config: cfg, private: cfg.Headers.private(), metrics: newServerMetrics(), throttle: newThrottle(),
+		Dependencies: parts, config: cfg, private: cfg.Headers.private(), metrics: newServerMetrics(), throttle: newThrottle(),
 		clock: clock, name: cfg.Name, start: rand.Uint64() >> 16,
 	}
 	s.table.Store(site.NewTable(nil))
@@ -155,11 +155,11 @@
 func (s *Server) Published() bool { return s.table.Load().Published() }
 
 // Stop makes callers leave: each answer from now on closes its connection.
-func (s *Server) Stop() { s.stopping.Store(true) }
+func (s *Server) DisableKeepAlives() { s.stopping.Store(true) }
 
 // Refuse ends the taking on of requests: those that still come on connections
 // kept from before are told that they have not run.
-func (s *Server) Refuse() { s.refusing.Store(true) }
+func (s *Server) RejectRequests() { s.refusing.Store(true) }
 
 // InFlight returns the number of requests that are being answered.
 func (s *Server) InFlight() int64 { return s.metrics.inFlight.Load() }
@@ -193,7 +193,7 @@
 	if q.id != "" {
 		w.Header().Set(call.HeaderRequestID, q.id)
 	}
-	err := answer.Refuse(w, q.id, v, s.config.RetryStyle)
+	err := answer.WriteVerdict(w, q.id, v, s.config.RetryStyle)
 	s.metrics.refused(v)
 	s.Logger.LogAttrs(r.Context(), slog.LevelInfo, "refused a request",
 		slog.String("request_id", q.id), slog.String("route", q.route.GetName()), slog.Uint64("version", q.version),
@@ -214,11 +214,11 @@
 // errNoSite refuses every request until a site is in force: before that no key,
 // host or path can be called wrong.
 var errNoSite = fault.New(fault.Unavailable, "this entry has no accepted configuration yet",
-	"ask again after the time given; if it lasts, look for a quorum of control replicas").After(time.Second)
+	"ask again after the time given; if it lasts, look for a quorum of control replicas").RetryIn(time.Second)
 
 // errStopping refuses what comes to a stopping entry after its last moment. Other
 // entries take it at once.
-var errStopping = fault.New(fault.Leaving, "this entry is stopping", "ask again on a new connection").After(10 * time.Millisecond)
+var errStopping = fault.New(fault.Leaving, "this entry is stopping", "ask again on a new connection").RetryIn(10 * time.Millisecond)
 
 // errMixedFraming refuses a request that could be read as two.
 var errMixedFraming = fault.New(fault.Invalid, "the request states both a length and chunks", "send its body in one way")
--- a/routed/throttle.go
+++ b/routed/throttle.go
@@ -17,7 +17,7 @@
 
 // ThrottleInterval is the time between two looks at the load of the pools, about
 // that between two reports of an endpoint.
-const ThrottleInterval = 100 * time.Millisecond
+const CapacityUpdateInterval = 100 * time.Millisecond
 
 // leastKept is the part of its calls in flight that an entry keeps at each look while
 // the pool has more than its limit. What is known of the others lags by some looks, so
@@ -25,9 +25,9 @@
 const leastKept = 0.9
 
 // Places is told how many calls this entry may have in flight in a pool.
-type Places interface {
+type CapacitySetter interface {
 	// SetPlaces sets the numbers for a pool.
-	SetPlaces(pool string, r Room)
+	SetPoolCapacity(pool string, r PoolCapacity)
 }
 
 // poolGroup names the endpoints of a pool that run their steps together.
@@ -123,7 +123,7 @@
 
 // Throttle sets the places of all pools anew, entries being the number of entries
 // that share them. It has to be called every ThrottleInterval.
-func (s *Server) Throttle(places Places, entries int) {
+func (s *Server) UpdateCapacity(places CapacitySetter, entries int) {
 	s.Budget.Share(entries)
 	s.Suspects.SetEntries(entries)
 	s.setPlaces(s.table.Load(), places, entries)
@@ -132,17 +132,17 @@
 // PublishFirst puts the first site in force, once the places of its pools are set. After a
 // restart of all machines everybody who has called since waits for this moment, and would be
 // refused while the places are not known.
-func (s *Server) PublishFirst(table *site.Table, places Places, entries int) {
+func (s *Server) PublishInitial(table *site.Table, places CapacitySetter, entries int) {
 	s.setPlaces(table, places, entries)
 	s.Publish(table)
 }
 
 // setPlaces works out and sets the places of the pools of a site.
-func (s *Server) setPlaces(table *site.Table, places Places, entries int) {
+func (s *Server) setPlaces(table *site.Table, places CapacitySetter, entries int) {
 	next := s.place(s.clock(), table, entries)
 	s.placement.Store(next)
 	for pool, rooms := range next.pools {
-		places.SetPlaces(pool, total(rooms))
+		places.SetPoolCapacity(pool, total(rooms))
 	}
 }
 
@@ -289,7 +289,7 @@
 func (s *Server) poolLoads(now time.Duration) map[poolGroup]poolLoad {
 	loads := map[poolGroup]poolLoad{}
 	view := s.Endpoints.Snapshot()
-	reserves := s.RateLimits.Reserves()
+	reserves := s.RateLimits.Restrictions()
 	for _, e := range view.All() {
 		reserve, paused := reserves[e.ID]
 		if e.Addr == "" || e.State != endpoint.Serving || e.AnnouncementExpired || reserve.Leaving {
--- a/routed/throttle_test.go
+++ b/routed/throttle_test.go
@@ -42,7 +42,7 @@
 		if c.bounded {
 			r.held = max(r.places-load.own-load.growth(crowdPause, len(c.own)), 0)
 		}
-		more := min(total([]room{r}).InTime-load.own, c.waiting)
+		more := min(total([]room{r}).OnTime-load.own, c.waiting)
 		c.own[i] += more
 		c.waiting -= more
 		begun += more
@@ -63,7 +63,7 @@
 	at := func(bounded bool) (first time.Duration, took time.Duration) {
 		c := &crowd{waiting: 250, bounded: bounded}
 		first = c.pass(c.begin())
-		for took = ThrottleInterval; c.waiting > 0 && took < 5*time.Second; took += ThrottleInterval {
+		for took = CapacityUpdateInterval; c.waiting > 0 && took < 5*time.Second; took += CapacityUpdateInterval {
 			c.begin()
 		}
 		return first, took
@@ -73,7 +73,7 @@
 	is.True(before > crowdPause)    // all at once break the promise to everybody
 	is.True(first < crowdPause*3/4) // a prompt an engine and pass does not
 	is.True(took <= 1*time.Second)  // and the crowd is not kept waiting for it
-	is.True(took >= ThrottleInterval*2)
+	is.True(took >= CapacityUpdateInterval*2)
 }
 
 // TestTheUsualRateIsNotHeldBack plays the steady load of a small and a large site: what an
@@ -85,7 +85,7 @@
 		perSecond        float64
 	}{{16, 5, 75}, {32, 13, 125}, {192, 36, 466}} {
 		load := poolLoad{engines: site.engines, own: 0, running: 0}
-		arriving := site.perSecond / float64(site.entries) * ThrottleInterval.Seconds()
+		arriving := site.perSecond / float64(site.entries) * CapacityUpdateInterval.Seconds()
 		is.True(float64(load.growth(200*time.Millisecond, site.entries)) >= arriving)
 	}
 	is.True(poolLoad{engines: 1}.growth(0, 5) > 1000) // without a promised pause nothing is held
--- a/setting/file.go
+++ b/setting/file.go
@@ -20,7 +20,7 @@
 	}
 	text, err := os.ReadFile(s.file)
 	if err != nil {
-		return Faults{fault.New(fault.Invalid, "the file of settings cannot be read", "name a readable file with -"+fileName).Because(err)}
+		return Faults{fault.New(fault.Invalid, "the file of settings cannot be read", "name a readable file with -"+fileName).WithCause(err)}
 	}
 	byName := make(map[string]*setting, len(s.settings))
 	for _, entry := range s.settings {
--- a/setting/parse.go
+++ b/setting/parse.go
@@ -187,7 +187,7 @@
 // malformed is the fault of a value that cannot be read.
 func (e *setting) malformed(err error) *fault.Error {
 	if e.secret {
-		return fault.Newf(fault.Invalid, "give the secret itself, or @ and the path of a readable file", "%s cannot be read", e.origin()).Because(err)
+		return fault.Newf(fault.Invalid, "give the secret itself, or @ and the path of a readable file", "%s cannot be read", e.origin()).WithCause(err)
 	}
 	return fault.Newf(fault.Invalid, "write "+e.kind.example(), "%s has the malformed value %q", e.origin(), e.text)
 }
--- a/telemetry/admin.go
+++ b/telemetry/admin.go
@@ -82,7 +82,7 @@
 	listener, err := net.Listen("tcp", cfg.AdminListen)
 	if err != nil {
 		return nil, fault.Newf(fault.Invalid, "choose a free address with -admin-listen",
-			"cannot listen on %s", cfg.AdminListen).Because(err)
+			"cannot listen on %s", cfg.AdminListen).WithCause(err)
 	}
 	server := &http.Server{
 		Handler:           Admin(ready),
--- a/telemetry/trace.go
+++ b/telemetry/trace.go
@@ -78,7 +78,7 @@
 		file, err := os.OpenFile(cfg.TraceEndpoint, os.O_CREATE|os.O_APPEND|os.O_WRONLY, traceFileMode)
 		if err != nil {
 			return nil, nil, fault.New(fault.Invalid, "the file of -trace-endpoint cannot be opened",
-				"name a file in a folder that the daemon may write to").Because(err)
+				"name a file in a folder that the daemon may write to").WithCause(err)
 		}
 		exporter, err := stdouttrace.New(stdouttrace.WithWriter(file))
 		return exporter, file, gtrace.Wrap(err)
--- a/wal/errors.go
+++ b/wal/errors.go
@@ -22,5 +22,5 @@
 func failed(operation string, cause error) *fault.Error {
 	return fault.Newf(fault.Internal,
 		"free or replace the disk, then restart the replica; nothing unsynced was acknowledged",
-		"data folder: %s failed", operation).Because(cause)
+		"data folder: %s failed", operation).WithCause(cause)
 }
--- a/wal/fs.go
+++ b/wal/fs.go
@@ -62,7 +62,7 @@
 		file.Close()
 		return nil, fault.Newf(fault.Conflict,
 			"stop the other process or give this one its own data folder",
-			"another process uses the data folder %s", filepath.Dir(path)).Because(err)
+			"another process uses the data folder %s", filepath.Dir(path)).WithCause(err)
 	}
 	return file, nil
 }
--- a/workspace/gate.go
+++ b/workspace/gate.go
@@ -151,9 +151,9 @@
 	default:
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return fault.New(fault.DeadlineTooShort, "not run: the deadline passed in the queue", "allow more time").Because(ctx.Err())
+		return fault.New(fault.DeadlineTooShort, "not run: the deadline passed in the queue", "allow more time").WithCause(ctx.Err())
 	}
-	return fault.New(fault.Unavailable, "not run: the caller left the queue", "call again if it is still wanted").Because(ctx.Err())
+	return fault.New(fault.Unavailable, "not run: the caller left the queue", "call again if it is still wanted").WithCause(ctx.Err())
 }
 
 // releaser returns the function that frees the slot of a request once.
--- a/workspace/refuse.go
+++ b/workspace/refuse.go
@@ -66,11 +66,11 @@
 		room := max(timeAllowed-a.runTime(e, false), 0)
 		return fault.Newf(fault.DeadlineTooShort, "ask again after the given time, or allow more time",
 			"not run: workspace %s would wait about %v, too long for the deadline",
-			name, inMilliseconds(wait)).After(a.retryAfter(now, e.owner, wait-room))
+			name, inMilliseconds(wait)).RetryIn(a.retryAfter(now, e.owner, wait-room))
 	}
 	return fault.Newf(fault.Overloaded, "ask again after the given time",
 		"not run: workspace %s would wait about %v, longer than the limit of %v",
-		name, inMilliseconds(wait), a.maxWait(e)).After(a.retryAfter(now, e.owner, wait-a.maxWait(e)))
+		name, inMilliseconds(wait), a.maxWait(e)).RetryIn(a.retryAfter(now, e.owner, wait-a.maxWait(e)))
 }
 
 // inMilliseconds rounds a duration for a message.
@@ -79,7 +79,7 @@
 // overloaded is the fault of a request for which there is no place in a queue.
 func (a *Admission) overloaded(now time.Duration, s *state, reason string) *fault.Error {
 	return fault.Newf(fault.Overloaded, "ask again after the given time",
-		"not run: workspace %s: %s", s.name, reason).After(a.retryAfter(now, s, 0))
+		"not run: workspace %s: %s", s.name, reason).RetryIn(a.retryAfter(now, s, 0))
 }
 
 // retryShare is the part of the measured service rate that is reserved for the
