--- a/entry/providers.go
+++ b/entry/providers.go
@@ -63,7 +63,7 @@
 		headers = routed.DefaultHeaders
 	}
 	settings := routed.Config{
-		Name: cfg.Name, Zone: cfg.Zone, Headers: headers, RetryStyle: cfg.RetryStyle,
+		Name: cfg.Name, Zone: cfg.Zone, Headers: headers, RetryAfterFormat: cfg.RetryStyle,
 		MaxHeaderBytes: cfg.MaxHeaderBytes, MaxBodyBytes: cfg.MaxBodyBytes,
 		BodyTimeout: cfg.BodyTimeout, WriteTimeout: cfg.WriteTimeout, MaxBufferedBytes: policy.HoldBytes,
 		Backoff: policy.Backoff, RetryAfter: cfg.RetryAfter, AccessLog: cfg.AccessLog,
--- a/routed/exchange.go
+++ b/routed/exchange.go
@@ -272,7 +272,7 @@
 	}
 	x.w.Header().Set(call.HeaderRequestID, q.id)
 	x.limit()
-	if err := answer.WriteVerdict(x.w, q.id, v, s.config.RetryStyle); err != nil {
+	if err := answer.WriteVerdict(x.w, q.id, v, s.config.RetryAfterFormat); err != nil {
 		return x.logEnd(v.HTTPStatus(), false)
 	}
 	return x.logEnd(v.HTTPStatus(), true)
--- a/routed/server.go
+++ b/routed/server.go
@@ -70,7 +70,7 @@
 	// Headers are the names of the headers that it acts on.
 	Headers Headers
 	// RetryStyle is how callers are told when to come back.
-	RetryStyle answer.RetryAfterFormat
+	RetryAfterFormat answer.RetryAfterFormat
 	// MaxHeaderBytes and MaxBodyBytes bound requests where the site says nothing.
 	MaxHeaderBytes, MaxBodyBytes int64
 	// BodyTimeout bounds the time in which a caller sends the body, WriteTimeout
@@ -193,7 +193,7 @@
 	if q.id != "" {
 		w.Header().Set(call.HeaderRequestID, q.id)
 	}
-	err := answer.WriteVerdict(w, q.id, v, s.config.RetryStyle)
+	err := answer.WriteVerdict(w, q.id, v, s.config.RetryAfterFormat)
 	s.metrics.refused(v)
 	s.Logger.LogAttrs(r.Context(), slog.LevelInfo, "refused a request",
 		slog.String("request_id", q.id), slog.String("route", q.route.GetName()), slog.Uint64("version", q.version),
