--- a/fault/leader.go
+++ b/fault/leader.go
@@ -5,20 +5,22 @@
 	"strings"
 )
 
-// sendTo begins the remedy that names who leads.
-const sendTo = "send it to "
+// leaderRemedyPrefix precedes the leader's address in the remedy. LeaderAddr parses it, also
+// on faults received from other replicas.
+const leaderRemedyPrefix = "send it to "
 
-// LedBy returns the fault of a replica that does not lead, which names the one that does
-// by its number and its address, host:port.
+// NewNotLeader returns the fault of a replica that is not the leader. It states the id of the
+// leader and its address, host:port.
 func NewNotLeader(id uint64, addr string) *Error {
-	return New(NotLeader, "replica "+strconv.FormatUint(id, 10)+" at "+addr+" leads", sendTo+addr)
+	return New(NotLeader, "replica "+strconv.FormatUint(id, 10)+" at "+addr+" leads", leaderRemedyPrefix+addr)
 }
 
-// Leader returns the address that a fault of LedBy names; ok is false for other errors.
+// LeaderAddr returns the address stated by a fault from NewNotLeader; ok is false for other
+// errors.
 func LeaderAddr(err error) (addr string, ok bool) {
 	typed := As(err)
 	if typed == nil || typed.Kind != NotLeader {
 		return "", false
 	}
-	return strings.CutPrefix(typed.Remedy, sendTo)
+	return strings.CutPrefix(typed.Remedy, leaderRemedyPrefix)
 }
