--- a/answer/answer.go
+++ b/answer/answer.go
@@ -1,5 +1,5 @@
-// Package answer writes the final word on a request that gets no whole answer
-// from an endpoint.
+// Package answer writes the error response for a request that got no complete response from an
+// endpoint.
 package answer
 
 import (
@@ -12,24 +12,24 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// RetryAfter is the header that says when to come back.
+// RetryAfter is the header that states the delay before a retry.
 const RetryAfter = "Retry-After"
 
-// Style is how Retry-After is written.
+// RetryAfterFormat is the format of the Retry-After value.
 type RetryAfterFormat int
 
-// The styles.
+// The formats of Retry-After.
 const (
-	// WholeSeconds rounds up to whole seconds, as RFC 9110 has it.
+	// WholeSeconds rounds up to whole seconds, as required by RFC 9110.
 	WholeSeconds RetryAfterFormat = iota
-	// Fractions writes seconds with milliseconds, for callers that read them:
-	// they come back as soon as there is room.
+	// FractionalSeconds writes seconds with millisecond precision. Callers that parse it can
+	// retry as soon as capacity is available.
 	FractionalSeconds
 )
 
-// Refuse writes a verdict as the whole answer: its status, when to come back,
-// and a typed error as the body.
-func WriteVerdict(w http.ResponseWriter, requestID string, v *call.Verdict, style RetryAfterFormat) error {
+// WriteVerdict writes a verdict as the complete response: its status, Retry-After and a typed
+// error as the body.
+func WriteVerdict(w http.ResponseWriter, requestID string, v *call.Verdict, format RetryAfterFormat) error {
 	text, err := json.Marshal(v.Body(requestID))
 	if err != nil {
 		return err
@@ -38,7 +38,7 @@
 	header.Set("Content-Type", "application/json")
 	header.Set("Content-Length", strconv.Itoa(len(text)))
 	header.Set(call.HeaderOutcome, v.Outcome.String())
-	if after := retryAfter(v, style); after != "" {
+	if after := retryAfterValue(v, format); after != "" {
 		header.Set(RetryAfter, after)
 	}
 	if v.Fault.Kind == fault.Unauthenticated {
@@ -49,11 +49,11 @@
 	return err
 }
 
-// retryAfter is the value of the header, empty where asking again does not help.
-func retryAfter(v *call.Verdict, style RetryAfterFormat) string {
+// retryAfterValue returns the value of the header; empty if a retry does not help.
+func retryAfterValue(v *call.Verdict, format RetryAfterFormat) string {
 	if seconds := v.RetryAfterSeconds(); seconds <= 0 {
 		return ""
-	} else if style == WholeSeconds {
+	} else if format == WholeSeconds {
 		return strconv.FormatInt(seconds, 10)
 	}
 	rounded := v.Fault.RetryAfter.Round(time.Millisecond)
