--- a/wait/wait.go
+++ b/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses a goroutine.
+// Package wait provides a context-aware sleep.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d or until ctx ends. It returns at once if d is not positive.
+// For blocks until d has elapsed or ctx is done. It returns immediately if d is not positive.
 func For(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/wait/wait_test.go
+++ b/wait/wait_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-func TestForEndsWithItsTimeOrItsContext(t *testing.T) {
+func TestForReturnsAfterDurationOrCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		began := time.Now()
