--- a/eventstream/eventstream.go
+++ b/eventstream/eventstream.go
@@ -1,9 +1,9 @@
-// Package eventstream cuts a stream of server-sent events into whole events, so
-// that a stream that breaks off can be gone on with after its last whole event.
+// Package eventstream splits a stream of server-sent events into complete events, so that an
+// interrupted stream can be resumed after its last complete event.
 //
-// A Splitter takes the bytes of one attempt after another. It hands out only
-// whole events, and of those only the ones that follow the last event handed
-// out: a resumed attempt may repeat events, but must not leave one out.
+// A Splitter consumes the bytes of one attempt after another. It emits only complete events,
+// and only those that follow the last emitted one: a resumed attempt may repeat events but
+// must not skip any.
 package eventstream
 
 import (
@@ -13,48 +13,48 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// MaxEventBytes bounds one event; a longer one ends the stream.
+// MaxEventBytes is the maximum size of one event; a larger event is an error.
 const MaxEventBytes = 1 << 20
 
-// Splitter cuts the bytes of a stream into whole events. The zero Splitter is
-// ready for a stream from its start.
+// Splitter splits the bytes of a stream into complete events. The zero value is ready for a
+// stream from its beginning.
 type Splitter struct {
-	// partial are the bytes after the last whole event of the attempt.
+	// partial contains the bytes after the last complete event of the attempt.
 	partial []byte
-	// last is the id of the last event handed out; known is false before one.
-	last  int64
-	known bool
-	// step is the distance between the last two ids, zero before two were seen.
-	step int64
+	// lastID is the id of the last emitted event; it is valid if hasLastID is true.
+	lastID    int64
+	hasLastID bool
+	// idStep is the difference between the last two ids; zero until two have been seen.
+	idStep int64
 	// resumed is true until the first new event of a resumed attempt.
 	resumed bool
 }
 
-// From states that the caller has the stream up to the event with this id.
-func (s *Splitter) StartAfter(id int64) { s.last, s.known, s.resumed = id, true, true }
+// StartAfter records that the caller has received the stream up to the event with this id.
+func (s *Splitter) StartAfter(id int64) { s.lastID, s.hasLastID, s.resumed = id, true, true }
 
-// Last returns the id of the last event handed out; ok is false if there was
-// none, or it carried no id.
-func (s *Splitter) LastID() (id int64, ok bool) { return s.last, s.known }
+// LastID returns the id of the last emitted event; ok is false if no event with an id has been
+// emitted.
+func (s *Splitter) LastID() (id int64, ok bool) { return s.lastID, s.hasLastID }
 
-// Partial reports whether the attempt has ended within an event.
+// Partial reports whether the data of the attempt so far ends within an event.
 func (s *Splitter) Partial() bool { return len(bytes.TrimSpace(s.partial)) > 0 }
 
-// Resume starts another attempt, which goes on after the last event.
+// Resume starts another attempt, which continues after the last emitted event.
 func (s *Splitter) Resume() {
 	s.partial = s.partial[:0]
 	s.resumed = true
 }
 
-// Add takes the next bytes of the attempt and returns the whole events that are
-// new, which stay valid until the next call. An error means that the attempt
-// does not go on where the stream stands.
+// Add consumes the next bytes of the attempt and returns the complete events that are new.
+// They are valid until the next call. An error means that the attempt does not continue the
+// stream where it was interrupted.
 func (s *Splitter) Add(data []byte) ([]byte, error) {
 	s.partial = append(s.partial, data...)
 	var out []byte
 	rest := s.partial
 	for {
-		end := eventEnd(rest)
+		end := eventLength(rest)
 		if end < 0 {
 			break
 		}
@@ -70,40 +70,40 @@
 	}
 	s.partial = append(s.partial[:0], rest...)
 	if len(s.partial) > MaxEventBytes {
-		return out, fault.Newf(fault.Unknown, "ask for shorter events", "an event is longer than %d bytes", MaxEventBytes)
+		return out, fault.Newf(fault.Unknown, "request shorter events", "an event exceeds %d bytes", MaxEventBytes)
 	}
 	return out, nil
 }
 
 // admit reports whether an event is new to the caller.
 func (s *Splitter) admit(event []byte) (fresh bool, err error) {
-	id, ok := idOf(event)
+	id, ok := eventID(event)
 	if !ok {
 		return true, nil
 	}
-	if !s.known {
-		s.last, s.known = id, true
+	if !s.hasLastID {
+		s.lastID, s.hasLastID = id, true
 		s.resumed = false
 		return true, nil
 	}
-	if id <= s.last {
+	if id <= s.lastID {
 		if s.resumed {
 			return false, nil
 		}
-		return false, fault.Newf(fault.Unknown, "ask again", "event %d came after event %d", id, s.last)
+		return false, fault.Newf(fault.Unknown, "retry the request", "event %d received after event %d", id, s.lastID)
 	}
-	if s.step > 0 && id-s.last != s.step {
-		return false, fault.Newf(fault.Unknown, "ask again", "event %d came where %d was due", id, s.last+s.step)
+	if s.idStep > 0 && id-s.lastID != s.idStep {
+		return false, fault.Newf(fault.Unknown, "retry the request", "received event %d, expected %d", id, s.lastID+s.idStep)
 	}
-	s.step = id - s.last
-	s.last = id
+	s.idStep = id - s.lastID
+	s.lastID = id
 	s.resumed = false
 	return true, nil
 }
 
-// eventEnd returns the length of the first whole event, with the empty line that
-// ends it; -1 if there is none.
-func eventEnd(data []byte) int {
+// eventLength returns the length of the first complete event, including the empty line that
+// terminates it; -1 if there is none.
+func eventLength(data []byte) int {
 	from := 0
 	for {
 		at := bytes.IndexByte(data[from:], '\n')
@@ -124,8 +124,8 @@
 
 var idField = []byte("id:")
 
-// idOf returns the id of an event, if it has one that is a number.
-func idOf(event []byte) (int64, bool) {
+// eventID returns the id of an event, if it has a numeric one.
+func eventID(event []byte) (int64, bool) {
 	for line := range bytes.Lines(event) {
 		value, found := bytes.CutPrefix(line, idField)
 		if !found {
--- a/eventstream/eventstream_test.go
+++ b/eventstream/eventstream_test.go
@@ -16,9 +16,9 @@
 	return text
 }
 
-// TestEveryCutIsResumedWithoutGapOrRepeat cuts a stream at every byte and goes
-// on at every event up to the one after the cut.
-func TestEveryCutIsResumedWithoutGapOrRepeat(t *testing.T) {
+// TestResumeHasNoGapOrDuplicate interrupts a stream at every byte and resumes it at the next
+// event and at up to two earlier ones.
+func TestResumeHasNoGapOrDuplicate(t *testing.T) {
 	whole := events(1, 6)
 	for cut := range len(whole) + 1 {
 		for back := range 3 {
@@ -31,12 +31,12 @@
 			s.Resume()
 			out, err = s.Add([]byte(events(max(1, int(last)+1-back), 6)))
 			is.NoErr(err)
-			is.Equal(got+string(out), whole) // cut and resumed
+			is.Equal(got+string(out), whole) // interrupted and resumed
 		}
 	}
 }
 
-func TestAnyPartitionGivesTheSameEvents(t *testing.T) {
+func TestAnyPartitionYieldsSameEvents(t *testing.T) {
 	is := is.New(t)
 	whole := events(1, 40)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -53,7 +53,7 @@
 	is.True(!s.Partial())
 }
 
-func TestAResumedAttemptMustNotLeaveAnEventOut(t *testing.T) {
+func TestMissingEventAfterResumeIsAnError(t *testing.T) {
 	is := is.New(t)
 	var s Splitter
 	_, err := s.Add([]byte(events(1, 3)))
@@ -64,14 +64,14 @@
 	is.Equal(len(out), 0)
 }
 
-func TestAnEventTwiceInOneAttemptIsAFault(t *testing.T) {
+func TestDuplicateEventWithinAttemptIsAnError(t *testing.T) {
 	is := is.New(t)
 	var s Splitter
 	_, err := s.Add([]byte(events(1, 3) + events(3, 4)))
 	is.True(err != nil)
 }
 
-func TestACallerMayStartInTheMiddle(t *testing.T) {
+func TestStartAfter(t *testing.T) {
 	is := is.New(t)
 	var s Splitter
 	s.StartAfter(12)
@@ -84,7 +84,7 @@
 	is.Equal(last, int64(14))
 }
 
-func TestAnEventWithoutEndIsBounded(t *testing.T) {
+func TestEventSizeIsBounded(t *testing.T) {
 	is := is.New(t)
 	var s Splitter
 	_, err := s.Add(make([]byte, MaxEventBytes+1))
