--- a/entry/admission.go
+++ b/entry/admission.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// SetPlaces implements routed.Places.
+// SetPoolCapacity implements routed.CapacitySetter.
 func (a *Admissions) SetPoolCapacity(pool string, r routed.PoolCapacity) {
 	taken := a.late.set(pool, time.Since(processStart), r)
 	a.gate(pool).SetCapacity(r.OnTime + max(r.OtherInFlight-taken, 0))
--- a/entry/permits.go
+++ b/entry/permits.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// Answered implements routed.RateLimits. What is no limit changes nothing; a new limit is passed
+// RecordAnswer implements routed.RateLimits. What is no limit changes nothing; a new limit is passed
 // on to the host that gives the permits. An answer of an earlier run says nothing of this one.
 func (p *Permits) RecordAnswer(e *endpoint.Endpoint, f ratelimit.Feedback) {
 	if present, known := p.endpoints.Get(e.ID); !known || present.Incarnation != e.Incarnation {
--- a/entry/ratelimits.go
+++ b/entry/ratelimits.go
@@ -148,12 +148,12 @@
 // InPause implements routed.RateLimits.
 func (l *RateLimits) InPause(id string) bool { return l.table.InPause(time.Since(processStart), id) }
 
-// Reserves implements routed.RateLimits.
+// Restrictions implements routed.RateLimits.
 func (l *RateLimits) Restrictions() map[string]ratelimit.Reserve {
 	return l.table.Reserves(time.Since(processStart))
 }
 
-// Closed returns the endpoints to which nothing may be sent now.
+// Blocked returns the endpoints to which nothing may be sent now.
 func (l *RateLimits) Blocked() []string { return l.table.Closed(time.Since(processStart)) }
 
 // Limited returns the endpoints that name a limit.
--- a/routed/attempt.go
+++ b/routed/attempt.go
@@ -12,97 +12,99 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// attempt is one dispatch that is under way.
+// attempt is one attempt to send the request to an endpoint.
 type attempt struct {
 	*exchange
-	// group is that of the endpoint, see groupOf.
+	// group is the group of the endpoint; see groupOf.
 	group string
 	load  load.Call
-	// moved is set when the attempt was ended to be tried at another endpoint.
-	moved atomic.Bool
-	// begun is set once the first part of the answer has come.
-	begun   atomic.Bool
-	started time.Duration
-	// began is when the first part of the answer came, parts how many came; come is the
-	// same for others that look at the attempt.
-	began time.Duration
-	parts int
-	come  atomic.Int32
+	// rerouted is set if the attempt was cancelled to retry at another endpoint.
+	rerouted atomic.Bool
+	// firstChunkReceived is set once the first chunk of the response has arrived.
+	firstChunkReceived atomic.Bool
+	started            time.Duration
+	// firstChunkAt is when the first chunk arrived and chunks is how many have arrived.
+	// chunksReceived is the same number for concurrent readers.
+	firstChunkAt   time.Duration
+	chunks         int
+	chunksReceived atomic.Int32
 }
 
-// unanswered ends an attempt that has not brought the head of an answer.
-func (a *attempt) unanswered(f *fault.Error) attemptResult {
+// handleSendError ends an attempt that received no response head.
+func (a *attempt) handleSendError(f *fault.Error) attemptResult {
 	s := a.server
 	now := s.clock()
-	left := a.caller.Err() != nil
-	late := now >= a.request.deadline
-	failing := !left && !late && !a.moved.Load()
-	a.done(failing)
+	callerLeft := a.callerCtx.Err() != nil
+	deadlinePassed := now >= a.request.deadline
+	failing := !callerLeft && !deadlinePassed && !a.rerouted.Load()
+	a.recordResult(failing)
 	if failing {
-		a.noteSilent(now)
+		a.recordNoResponse(now)
 	}
-	if f.Kind == fault.Unavailable && !a.moved.Load() {
+	if f.Kind == fault.Unavailable && !a.rerouted.Load() {
 		return failed(call.Unsent, f)
 	}
-	a.noteEnded()
-	return a.cut(f)
+	a.checkProcessEnded()
+	return a.interrupted(f)
 }
 
-// noteSilent notes that the endpoint has not answered.
-func (a *attempt) noteSilent(now time.Duration) {
+// recordNoResponse records that the endpoint did not respond.
+func (a *attempt) recordNoResponse(now time.Duration) {
 	a.server.Reach.Failed(now, a.target.ID)
 	a.server.Suspects.Failed(now, a.target.RunID())
 }
 
-// cut is how an attempt ends that may have run and has brought no whole answer.
-func (a *attempt) cut(f *fault.Error) attemptResult {
+// interrupted returns the result of an attempt that may have run and returned no complete
+// response.
+func (a *attempt) interrupted(f *fault.Error) attemptResult {
 	result := failed(call.Ran, f)
-	result.moved = a.moved.Load()
+	result.rerouted = a.rerouted.Load()
 	return result
 }
 
-// noteEnded finds out whether the endpoint's process has ended under the attempt. Streams
-// at the other ranks of a group are cut as well when one ends, but their own endpoints go
-// on listening.
-func (a *attempt) noteEnded() {
+// checkProcessEnded finds out whether the endpoint's process ended during the attempt. When a
+// rank of a group ends, streams at the other ranks are interrupted as well, but the endpoints
+// of those keep listening.
+func (a *attempt) checkProcessEnded() {
 	s := a.server
-	if a.caller.Err() != nil || a.moved.Load() || !s.Client.ConnectionRefused(a.caller, a.target.Addr) {
+	if a.callerCtx.Err() != nil || a.rerouted.Load() || !s.Client.ConnectionRefused(a.callerCtx, a.target.Addr) {
 		return
 	}
-	s.metrics.endedUnder.Inc()
+	s.metrics.processEnded.Inc()
 	change := s.Quarantine.Ended(s.clock(), a.request.fingerprint, a.target.RunID())
-	s.Logger.LogAttrs(a.caller, slog.LevelInfo, "an endpoint ended under a request",
+	s.Logger.LogAttrs(a.callerCtx, slog.LevelInfo, "an endpoint ended under a request",
 		slog.String("request_id", a.request.id), slog.Any("fingerprint", a.request.fingerprint), slog.String("endpoint", a.target.ID),
 		slog.Duration("ran", s.clock()-a.started), slog.Int("ends", change.Ends), slog.Duration("hold", change.Hold))
 }
 
-// noteCompleted notes that the endpoint has run the request to its end.
-func (a *attempt) noteCompleted() {
+// recordCompletion records that the endpoint ran the request to completion.
+func (a *attempt) recordCompletion() {
 	s := a.server
 	if cleared := s.Quarantine.Completed(s.clock(), a.started, a.request.fingerprint, a.target.RunID()); cleared > 0 {
-		s.Logger.LogAttrs(a.caller, slog.LevelInfo, "cleared a request",
+		s.Logger.LogAttrs(a.callerCtx, slog.LevelInfo, "cleared a request",
 			slog.String("request_id", a.request.id), slog.Any("fingerprint", a.request.fingerprint), slog.Int("ends", cleared))
 	}
 }
 
-// done notes how the endpoint did.
-func (a *attempt) done(fault bool) {
+// recordResult records the result of the attempt for load and outlier tracking.
+func (a *attempt) recordResult(isFailure bool) {
 	s, now := a.server, a.server.clock()
-	s.Loads.Done(now, &a.load, load.Result{Failed: fault, Tokens: a.parts})
-	sample := outlier.Sample{Failed: fault}
-	if !fault {
-		sample.Latency = a.pace(now)
+	s.Loads.Done(now, &a.load, load.Result{Failed: isFailure, Tokens: a.chunks})
+	sample := outlier.Sample{Failed: isFailure}
+	if !isFailure {
+		sample.Latency = a.normalizedLatency(now)
 	}
 	s.Outliers.Observe(now, a.target.Pool, a.target.ID, sample)
 }
 
-// pace is the time of an attempt divided by its size, comparable among peers.
-func (a *attempt) pace(now time.Duration) time.Duration {
+// normalizedLatency returns the duration of an attempt divided by its size, which is
+// comparable between peers.
+func (a *attempt) normalizedLatency(now time.Duration) time.Duration {
 	switch {
 	case a.request.route.GetKind() != fleetv1.CallKind_CALL_KIND_STREAM:
 		return now - a.started
-	case a.parts > 1:
-		return (now - a.began) / time.Duration(a.parts-1)
+	case a.chunks > 1:
+		return (now - a.firstChunkAt) / time.Duration(a.chunks-1)
 	}
 	return 0
 }
--- a/routed/choose.go
+++ b/routed/choose.go
@@ -8,71 +8,72 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// maxPermitAsks bounds the endpoints for which one attempt may ask for a permit in vain.
-const maxPermitAsks = 3
+// maxPermitAttempts is how many endpoints may deny a permit to one attempt before the search
+// falls back to endpoints without a rate limit.
+const maxPermitAttempts = 3
 
-// pick chooses an endpoint that takes one more request now.
+// pick chooses an endpoint that accepts another request now.
 func (x *exchange) pick() (endpoint.Endpoint, error) {
 	s := x.server
-	var passedOver []string
-	for range maxPermitAsks {
-		chosen, err := x.choose(append(s.RateLimits.Blocked(), passedOver...))
+	var denied []string
+	for range maxPermitAttempts {
+		chosen, err := x.choose(append(s.RateLimits.Blocked(), denied...))
 		if err != nil {
-			return chosen, x.notChosen(err, len(passedOver) > 0)
+			return chosen, x.noEndpointError(err, len(denied) > 0)
 		}
-		if s.RateLimits.Admit(x.caller, &chosen, len(x.tried) > 0) {
+		if s.RateLimits.Admit(x.callerCtx, &chosen, len(x.tried) > 0) {
 			return chosen, nil
 		}
-		passedOver = append(passedOver, chosen.ID)
+		denied = append(denied, chosen.ID)
 	}
-	chosen, err := x.choose(slices.Concat(s.RateLimits.Limited(), s.RateLimits.Blocked(), passedOver))
-	if err != nil || !s.RateLimits.Admit(x.caller, &chosen, len(x.tried) > 0) {
-		return chosen, x.notChosen(err, true)
+	chosen, err := x.choose(slices.Concat(s.RateLimits.Limited(), s.RateLimits.Blocked(), denied))
+	if err != nil || !s.RateLimits.Admit(x.callerCtx, &chosen, len(x.tried) > 0) {
+		return chosen, x.noEndpointError(err, true)
 	}
 	return chosen, nil
 }
 
-// errPassedOver ends the search for an endpoint that takes one more request.
-var errPassedOver = fault.New(fault.RateLimited, "not run: the endpoints that were asked take no more requests a second",
-	"ask again after the time given")
+// errNoPermit is returned if every candidate endpoint denied a permit.
+var errNoPermit = fault.New(fault.RateLimited, "not run: the rate limits of the endpoints are exhausted",
+	"retry after the stated delay")
 
-// notChosen is the fault of a request without an endpoint: if some would take it but for their
-// rate limits, it says when one does again.
-func (x *exchange) notChosen(err error, passedOver bool) error {
+// noEndpointError returns the fault of a request for which no endpoint was found. If endpoints
+// would accept it but for their rate limits, the fault states when one accepts requests again.
+func (x *exchange) noEndpointError(err error, denied bool) error {
 	if refusal := x.server.RateLimits.Refusal(x.request.pool); refusal != nil {
 		return refusal
 	}
-	if passedOver {
-		return errPassedOver
+	if denied {
+		return errNoPermit
 	}
 	return err
 }
 
-// choose chooses an endpoint that has not been tried, is in reach and is not to be passed over;
-// when there is none in reach, any other.
-func (x *exchange) choose(passOver []string) (endpoint.Endpoint, error) {
+// choose chooses a reachable endpoint that has not been tried and is not in skip. If no
+// endpoint is reachable, it chooses any other.
+func (x *exchange) choose(skip []string) (endpoint.Endpoint, error) {
 	s, q := x.server, x.request
 	now := s.clock()
 	view := s.Endpoints.Snapshot()
-	out := s.Reach.Excluded(now, func(id string) bool {
+	excluded := s.Reach.Excluded(now, func(id string) bool {
 		e, known := view.Get(id)
 		return !known || e.AnnouncementExpired
 	})
-	out = append(out, s.suspects(now, view, q.pool)...)
-	wanted := pick.Request{
+	excluded = append(excluded, s.suspectedEndpoints(now, view, q.pool)...)
+	want := pick.Request{
 		Pool: q.pool, Workspace: q.workspace.GetName(), Zone: s.config.Zone, Priority: q.priority,
-		PromptTokens: q.work.PromptTokens, MaxTokens: q.work.MaxTokens, Exclude: slices.Concat(out, x.tried, passOver),
-		PathDelays: s.paths.delays(now, s.lengths.left(q.pool, 0)),
-		Allow:      s.placement.Load().allow(s.Groups, q.pool, q.inTime()),
+		PromptTokens: q.work.PromptTokens, MaxTokens: q.work.MaxTokens, Exclude: slices.Concat(excluded, x.tried, skip),
+		PathDelays: s.pathDelays.delays(now, s.streamLengths.expectedRemaining(q.pool, 0)),
+		Allow:      s.placement.Load().allow(s.Groups, q.pool, q.onTime()),
 	}
-	chosen, _, err := s.Picker.Pick(now, sharedRand, &wanted)
-	if err != nil && wanted.Allow != nil {
-		wanted.Allow = nil
-		chosen, _, err = s.Picker.Pick(now, sharedRand, &wanted)
+	chosen, _, err := s.Picker.Pick(now, sharedRand, &want)
+	if err != nil && want.Allow != nil {
+		want.Allow = nil
+		chosen, _, err = s.Picker.Pick(now, sharedRand, &want)
 	}
-	if err != nil && len(out) > 0 && fault.KindOf(err) != fault.Overloaded {
-		wanted.Exclude = slices.Concat(x.tried, passOver)
-		chosen, _, err = s.Picker.Pick(now, sharedRand, &wanted)
+	if err != nil && len(excluded) > 0 && fault.KindOf(err) != fault.Overloaded {
+		want.Exclude = slices.Concat(x.tried, skip)
+		chosen, _, err = s.Picker.Pick(now, sharedRand, &want)
 	}
 	return chosen, err
 }
--- a/routed/deliver.go
+++ b/routed/deliver.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// readBytes is the most that is read of an answer at once.
-	readBytes = 16 << 10
-	// maxRefusalBytes is how much of a refusal's body is read so that its
-	// connection can be kept.
+	// readBufferSize is the size of the buffer for reads of a response body.
+	readBufferSize = 16 << 10
+	// maxRefusalBytes is how much of a refusal's body is read so that its connection can be
+	// reused.
 	maxRefusalBytes = 16 << 10
 )
 
-// answered takes the head of an answer and decides what to make of it.
-func (a *attempt) answered(r *direct.Response) attemptResult {
+// handleResponse evaluates the head of a response and delivers or rejects the response.
+func (a *attempt) handleResponse(r *direct.Response) attemptResult {
 	s, q := a.server, a.request
 	names := s.config.Headers
 	if r.Status != http.StatusMisdirectedRequest {
@@ -35,75 +35,75 @@
 		s.RateLimits.RecordAnswer(&a.target, a.feedback(r))
 	}
 	if r.Status == http.StatusMisdirectedRequest || names.NotRun != "" && r.Header.Get(names.NotRun) != "" {
-		return a.rejected(r)
+		return a.handleRejection(r)
 	}
-	if isPromise(r.Status) {
-		a.done(true)
-		return failed(call.Ran, fault.Newf(fault.Unknown, "ask again", "the endpoint answered %d without proof that it ran nothing", r.Status))
+	if impliesNotRun(r.Status) {
+		a.recordResult(true)
+		return failed(call.Ran, fault.Newf(fault.Unknown, "retry the request", "the endpoint responded with status %d without proof that it did not run the request", r.Status))
 	}
 	success := r.Status >= http.StatusOK && r.Status < http.StatusMultipleChoices
 	if success && names.Signature != "" && r.Header.Get(names.Signature) == "" {
-		a.done(true)
-		return failed(call.Ran, fault.New(fault.Unknown, "the endpoint's answer lacks its signature", "ask again"))
+		a.recordResult(true)
+		return failed(call.Ran, fault.New(fault.Unknown, "the endpoint's response lacks the signature header", "retry the request"))
 	}
 	if !success {
-		return a.failure(r)
+		return a.handleErrorResponse(r)
 	}
 	if isEventStream(r.Header) && q.route.GetKind() == fleetv1.CallKind_CALL_KIND_STREAM {
-		return a.stream(r)
+		return a.deliverStream(r)
 	}
-	if a.opened {
-		a.done(true)
-		return failed(call.Ran, fault.New(fault.Unknown, "the endpoint resumed a stream with something else", "ask again"))
+	if a.headWritten {
+		a.recordResult(true)
+		return failed(call.Ran, fault.New(fault.Unknown, "the endpoint resumed an event stream with another type of response", "retry the request"))
 	}
-	return a.whole(r)
+	return a.deliverBuffered(r)
 }
 
-// feedback is what an answer says of the requests that its endpoint takes.
+// feedback returns what a response states about its endpoint's rate limit and state.
 func (a *attempt) feedback(r *direct.Response) ratelimit.Feedback {
 	pause, _ := ratelimit.RetryAfter(r.Status, r.Header)
 	names := a.server.config.Headers
 	return ratelimit.Feedback{
 		Sent: a.started, Rate: r.Header.Get(names.RateLimit), Pause: pause,
-		Leaving: names.Leaving != "" && r.Header.Get(names.Leaving) != "", Rejected: isPromise(r.Status),
+		Leaving: names.Leaving != "" && r.Header.Get(names.Leaving) != "", Rejected: impliesNotRun(r.Status),
 	}
 }
 
-// failure takes an endpoint's own word that it failed, which is delivered as it
-// is, unless another attempt may do better.
-func (a *attempt) failure(r *direct.Response) attemptResult {
-	f := fault.Newf(fault.Unknown, "ask again", "the endpoint answered with status %d", r.Status)
-	if a.opened {
-		a.done(true)
+// handleErrorResponse handles an error status sent by the endpoint itself. The response is
+// delivered unchanged unless the request is retried.
+func (a *attempt) handleErrorResponse(r *direct.Response) attemptResult {
+	f := fault.Newf(fault.Unknown, "retry the request", "the endpoint responded with status %d", r.Status)
+	if a.headWritten {
+		a.recordResult(true)
 		return failed(call.Ran, f)
 	}
-	step, replaced := a.machine.ReplaceAnswer(a.server.clock(), r.Status)
-	if !replaced {
-		return a.whole(r)
+	decision, retry := a.machine.ReplaceAnswer(a.server.clock(), r.Status)
+	if !retry {
+		return a.deliverBuffered(r)
 	}
-	a.done(true)
+	a.recordResult(true)
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxRefusalBytes))
-	return attemptResult{fault: f, step: step}
+	return attemptResult{fault: f, decision: decision}
 }
 
-// rejected takes an answer that proves that the endpoint ran nothing. One that is
-// not the endpoint meant is gone.
-func (a *attempt) rejected(r *direct.Response) attemptResult {
+// handleRejection handles a response that proves that the endpoint ran nothing. After a 421
+// the address belongs to another endpoint, so the intended one is marked as replaced.
+func (a *attempt) handleRejection(r *direct.Response) attemptResult {
 	s := a.server
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxRefusalBytes))
-	a.done(false)
+	a.recordResult(false)
 	if r.Status == http.StatusMisdirectedRequest {
 		s.Reach.Replaced(a.target.ID)
 	}
-	f := fault.Newf(fault.Overloaded, "ask again after the time given", "the endpoint ran nothing and answered %d", r.Status)
+	f := fault.Newf(fault.Overloaded, "retry after the stated delay", "the endpoint rejected the request with status %d and did not run it", r.Status)
 	if refusal := a.poolRefusal(); refusal != nil {
 		f = refusal
 	}
 	return failed(call.Rejected, f)
 }
 
-// poolRefusal is the fault of a request for which no endpoint is left until one takes requests
-// again; nil while there is another.
+// poolRefusal returns the fault of a request whose endpoint is paused if no other endpoint of
+// the pool accepts requests; nil if one does.
 func (a *attempt) poolRefusal() *fault.Error {
 	limits := a.server.RateLimits
 	if !limits.InPause(a.target.ID) {
@@ -119,60 +119,60 @@
 	return strings.HasPrefix(strings.ToLower(header.Get("Content-Type")), "text/event-stream")
 }
 
-// whole delivers an answer that is not a stream. It is held back until it is
-// whole, or too long to be held.
-func (a *attempt) whole(r *direct.Response) attemptResult {
+// deliverBuffered delivers a response that is not a stream. It is buffered until it is
+// complete or exceeds the buffer limit.
+func (a *attempt) deliverBuffered(r *direct.Response) attemptResult {
 	s := a.server
-	held, err := io.ReadAll(io.LimitReader(r.Body, int64(s.config.MaxBufferedBytes)+1))
+	buffered, err := io.ReadAll(io.LimitReader(r.Body, int64(s.config.MaxBufferedBytes)+1))
 	if err != nil {
-		a.done(a.caller.Err() == nil)
-		a.noteEnded()
-		return failed(call.Ran, errCut(err))
+		a.recordResult(a.callerCtx.Err() == nil)
+		a.checkProcessEnded()
+		return failed(call.Ran, errIncompleteResponse(err))
 	}
-	a.parts = 1
-	if len(held) > s.config.MaxBufferedBytes {
-		return a.long(r, held)
+	a.chunks = 1
+	if len(buffered) > s.config.MaxBufferedBytes {
+		return a.deliverUnbuffered(r, buffered)
 	}
-	a.done(r.Status >= http.StatusInternalServerError)
-	a.noteCompleted()
-	deliverable(r.Header, a.w.Header())
+	a.recordResult(r.Status >= http.StatusInternalServerError)
+	a.recordCompletion()
+	copyResponseHeaders(r.Header, a.w.Header())
 	if allowsBody(r.Status) && a.request.method != http.MethodHead {
-		a.w.Header().Set("Content-Length", strconv.Itoa(len(held)))
+		a.w.Header().Set("Content-Length", strconv.Itoa(len(buffered)))
 	} else if length := r.Header.Get("Content-Length"); length != "" && a.request.method == http.MethodHead {
 		a.w.Header().Set("Content-Length", length)
 	}
-	a.limit()
+	a.setWriteDeadline()
 	a.w.WriteHeader(r.Status)
-	_, err = a.w.Write(held)
-	return a.delivered(err)
+	_, err = a.w.Write(buffered)
+	return a.deliveryResult(err)
 }
 
-// long delivers an answer too long to be held back. If it is cut, so is the
-// caller's connection.
-func (a *attempt) long(r *direct.Response, held []byte) attemptResult {
-	deliverable(r.Header, a.w.Header())
+// deliverUnbuffered delivers a response that exceeds the buffer limit. If the response is
+// truncated, the caller's connection is aborted as well.
+func (a *attempt) deliverUnbuffered(r *direct.Response, buffered []byte) attemptResult {
+	copyResponseHeaders(r.Header, a.w.Header())
 	a.w.WriteHeader(r.Status)
-	a.opened = true
-	part := held
+	a.headWritten = true
+	chunk := buffered
 	for {
-		a.limit()
-		if _, err := a.w.Write(part); err != nil {
-			a.done(false)
-			return a.delivered(err)
+		a.setWriteDeadline()
+		if _, err := a.w.Write(chunk); err != nil {
+			a.recordResult(false)
+			return a.deliveryResult(err)
 		}
-		buffer := make([]byte, readBytes)
+		buffer := make([]byte, readBufferSize)
 		n, err := r.Body.Read(buffer)
-		part = buffer[:n]
+		chunk = buffer[:n]
 		if errors.Is(err, io.EOF) {
-			a.done(false)
-			a.noteCompleted()
-			_, err = a.w.Write(part)
-			return a.delivered(err)
+			a.recordResult(false)
+			a.recordCompletion()
+			_, err = a.w.Write(chunk)
+			return a.deliveryResult(err)
 		}
 		if err != nil {
-			a.done(a.caller.Err() == nil)
-			a.noteEnded()
-			return attemptResult{done: true, abort: true, outcome: call.Unknown.String(), fault: errCut(err)}
+			a.recordResult(a.callerCtx.Err() == nil)
+			a.checkProcessEnded()
+			return attemptResult{done: true, abort: true, outcome: call.Unknown.String(), fault: errIncompleteResponse(err)}
 		}
 	}
 }
@@ -181,129 +181,131 @@
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-func (a *attempt) delivered(err error) attemptResult {
+func (a *attempt) deliveryResult(err error) attemptResult {
 	if err != nil {
-		return attemptResult{done: true, abort: true, outcome: "caller left", fault: fault.New(fault.Unknown, "the caller did not take the answer", "").WithCause(err)}
+		return attemptResult{done: true, abort: true, outcome: "caller left", fault: fault.New(fault.Unknown, "the response could not be written to the caller", "").WithCause(err)}
 	}
 	return attemptResult{done: true, outcome: call.Answered.String()}
 }
 
-// stream delivers whole events as they come. A stream that breaks off goes on at
+// deliverStream delivers complete events as they arrive. An interrupted stream resumes at
 // another endpoint if the route allows it.
-func (a *attempt) stream(r *direct.Response) attemptResult {
+func (a *attempt) deliverStream(r *direct.Response) attemptResult {
 	s := a.server
-	if len(a.tried) > 1 || a.opened {
-		a.events.Resume()
+	if len(a.tried) > 1 || a.headWritten {
+		a.splitter.Resume()
 	}
-	buffer := make([]byte, readBytes)
+	buffer := make([]byte, readBufferSize)
 	for {
 		n, err := r.Body.Read(buffer)
-		events, broken := a.events.Add(buffer[:n])
+		events, splitErr := a.splitter.Add(buffer[:n])
 		if len(events) > 0 {
-			a.part()
-			if write := a.send(r, events); write != nil {
-				a.done(false)
-				return a.delivered(write)
+			a.recordChunk()
+			if writeErr := a.writeEvents(r, events); writeErr != nil {
+				a.recordResult(false)
+				return a.deliveryResult(writeErr)
 			}
 		}
 		switch {
-		case broken != nil:
-			return a.broken(fault.From(broken))
-		case errors.Is(err, io.EOF) && a.events.Partial():
-			return a.broken(errCut(io.ErrUnexpectedEOF))
+		case splitErr != nil:
+			return a.streamBroken(fault.From(splitErr))
+		case errors.Is(err, io.EOF) && a.splitter.Partial():
+			return a.streamBroken(errIncompleteResponse(io.ErrUnexpectedEOF))
 		case errors.Is(err, io.EOF):
-			a.done(false)
-			a.noteCompleted()
-			a.noteLength()
-			if !a.opened {
-				a.open(r)
+			a.recordResult(false)
+			a.recordCompletion()
+			a.recordStreamLength()
+			if !a.headWritten {
+				a.writeHead(r)
 			}
 			return attemptResult{done: true, outcome: call.Answered.String()}
 		case err != nil:
-			return a.broken(errCut(err))
+			return a.streamBroken(errIncompleteResponse(err))
 		}
-		if s.clock() >= a.request.deadline+answerGrace {
-			return a.broken(fault.New(fault.DeadlineTooShort, "the deadline passed", "allow more time"))
+		if s.clock() >= a.request.deadline+responseGrace {
+			return a.streamBroken(fault.New(fault.DeadlineTooShort, "the deadline passed", "allow more time"))
 		}
 	}
 }
 
-// part notes a part of a stream.
-func (a *attempt) part() {
+// recordChunk records the arrival of a chunk of the stream.
+func (a *attempt) recordChunk() {
 	now := a.server.clock()
-	a.parts++
-	a.come.Store(int32(a.parts))
-	pause := now - a.latest
+	a.chunks++
+	a.chunksReceived.Store(int32(a.chunks))
+	gap := now - a.lastChunkAt
 	switch {
-	case a.parts == 1:
-		a.began = now
-		a.server.firsts.observe(a.request.pool, now-a.started)
+	case a.chunks == 1:
+		a.firstChunkAt = now
+		a.server.firstChunkTimes.observe(a.request.pool, now-a.started)
 		a.server.Loads.FirstToken(now, &a.load)
 	default:
-		a.observePath(now, pause)
-		a.server.throttle.observe(poolGroup{a.target.Pool, a.group}, now, pause)
+		a.observePath(now, gap)
+		a.server.groupLimits.observe(poolGroup{a.target.Pool, a.group}, now, gap)
 	}
-	a.begun.Store(true)
+	a.firstChunkReceived.Store(true)
 	a.server.Reach.Received(now, a.target.ID)
-	a.hear(now, pause)
-	if a.first == 0 {
-		a.first = now - a.request.arrived
+	a.reportProgress(now, gap)
+	if a.timeToFirstChunk == 0 {
+		a.timeToFirstChunk = now - a.request.arrived
 	} else {
-		a.longest = max(a.longest, pause)
+		a.longestGap = max(a.longestGap, gap)
 	}
-	a.latest = now
+	a.lastChunkAt = now
 }
 
-// noteLength takes in how many parts a whole stream had.
-func (a *attempt) noteLength() {
+// recordStreamLength records the number of chunks of a complete stream.
+func (a *attempt) recordStreamLength() {
 	if len(a.tried) == 1 {
-		a.server.lengths.observe(a.request.pool, a.parts)
+		a.server.streamLengths.observe(a.request.pool, a.chunks)
 	}
 }
 
-// hear tells that the endpoint's group runs, and how it keeps the pace.
-func (a *attempt) hear(now, pause time.Duration) {
-	if a.parts == 1 {
-		pause = 0
+// reportProgress reports to the group tracker that the endpoint's group makes progress, and
+// the gap between chunks.
+func (a *attempt) reportProgress(now, gap time.Duration) {
+	if a.chunks == 1 {
+		gap = 0
 	}
-	longest := time.Duration(a.request.route.GetGapMs()) * time.Millisecond
-	a.server.Groups.Chunk(now, a.group, pause, longest)
+	maxGap := time.Duration(a.request.route.GetGapMs()) * time.Millisecond
+	a.server.Groups.Chunk(now, a.group, gap, maxGap)
 }
 
-// broken ends an attempt whose stream broke off. What cannot be gone on with is
-// cut.
-func (a *attempt) broken(f *fault.Error) attemptResult {
-	left := a.caller.Err() != nil
-	a.done(!left && !a.moved.Load())
-	a.noteEnded()
-	if !a.opened {
-		return a.cut(f)
+// streamBroken ends an attempt whose stream was interrupted. If the stream cannot be resumed,
+// the caller's connection is aborted.
+func (a *attempt) streamBroken(f *fault.Error) attemptResult {
+	callerLeft := a.callerCtx.Err() != nil
+	a.recordResult(!callerLeft && !a.rerouted.Load())
+	a.checkProcessEnded()
+	if !a.headWritten {
+		return a.interrupted(f)
 	}
-	if left || !site.Repeatable(a.request.route) {
+	if callerLeft || !site.Repeatable(a.request.route) {
 		return attemptResult{done: true, abort: true, outcome: call.Unknown.String(), fault: f}
 	}
 	a.server.metrics.resumes.Inc()
-	return a.cut(f)
+	return a.interrupted(f)
 }
 
-// send writes events, after the head of the first endpoint's answer.
-func (a *attempt) send(r *direct.Response, events []byte) error {
-	if !a.opened {
-		a.open(r)
+// writeEvents writes events to the caller, preceded by the response head of the first
+// endpoint.
+func (a *attempt) writeEvents(r *direct.Response, events []byte) error {
+	if !a.headWritten {
+		a.writeHead(r)
 	}
-	a.limit()
+	a.setWriteDeadline()
 	if _, err := a.w.Write(events); err != nil {
 		return err
 	}
 	return a.control.Flush()
 }
 
-func (a *attempt) open(r *direct.Response) {
-	deliverable(r.Header, a.w.Header())
-	a.opened = true
+func (a *attempt) writeHead(r *direct.Response) {
+	copyResponseHeaders(r.Header, a.w.Header())
+	a.headWritten = true
 	a.w.WriteHeader(r.Status)
 }
 
-func errCut(err error) *fault.Error {
-	return fault.New(fault.Unknown, "the endpoint's answer was cut", "ask again").WithCause(err)
+func errIncompleteResponse(err error) *fault.Error {
+	return fault.New(fault.Unknown, "the endpoint's response was truncated", "retry the request").WithCause(err)
 }
--- a/routed/exchange.go
+++ b/routed/exchange.go
@@ -24,86 +24,87 @@
 	"github.com/lilackeel/lilackeel/workspace"
 )
 
-// answerGrace is how long an endpoint's own word on the end of the time may come
-// after the deadline that it was given: it knows what became of the request.
-const answerGrace = 100 * time.Millisecond
+// responseGrace is how long after its deadline an endpoint's own timeout response is still
+// accepted: the endpoint knows what became of the request.
+const responseGrace = 100 * time.Millisecond
 
-// exchange brings one request to its end.
+// exchange processes one request until it ends.
 type exchange struct {
 	server  *Server
 	request *request
 	machine *call.Direct
 	w       http.ResponseWriter
 	control *http.ResponseController
-	// caller ends when the caller leaves.
-	caller context.Context
-	// tried lists the endpoints that got the request, or could not be reached.
+	// callerCtx is done when the caller leaves.
+	callerCtx context.Context
+	// tried lists the endpoints to which the request was sent or that could not be reached.
 	tried []string
-	// events cuts a stream into events; opened says that the answer has begun.
-	events eventstream.Splitter
-	opened bool
-	// target is the endpoint of the present attempt.
+	// splitter splits a stream into events; headWritten is true once the response has begun.
+	splitter    eventstream.Splitter
+	headWritten bool
+	// target is the endpoint of the current attempt.
 	target  endpoint.Endpoint
 	outcome string
 	reason  string
-	// retryAfter is when a refused caller is asked to come back.
+	// retryAfter is the delay before a retry that a refused caller was told.
 	retryAfter time.Duration
-	// placed, first and longest are the times from the request's arrival to its
-	// place and to the first part of its answer, and its longest pause after that.
-	placed, first, longest time.Duration
-	// latest is when the last part of the answer came.
-	latest time.Duration
+	// admissionTime and timeToFirstChunk are the times from the arrival of the request to its
+	// admission and to the first chunk of its response; longestGap is the longest gap between
+	// chunks.
+	admissionTime, timeToFirstChunk, longestGap time.Duration
+	// lastChunkAt is when the last chunk arrived.
+	lastChunkAt time.Duration
 }
 
-// run returns false when the connection must be aborted.
+// run processes the request. It returns false if the caller's connection must be aborted.
 func (x *exchange) run() bool {
 	s, q := x.server, x.request
 	x.machine = call.NewDirect(call.DirectOptions{
 		Deadline: q.deadline, Repeatable: site.Repeatable(q.route), MaxAttempts: int(q.route.GetMaxAttempts()),
 		Backoff: s.config.Backoff, RetryAfter: s.config.RetryAfter, Budget: s.Budget, Rand: sharedRand,
 	})
-	if held := s.Quarantine.Refusal(s.clock(), q.fingerprint); held != nil {
-		return x.end(x.machine.GiveUp(s.clock(), held))
+	if refusal := s.Quarantine.Refusal(s.clock(), q.fingerprint); refusal != nil {
+		return x.finishWithVerdict(x.machine.GiveUp(s.clock(), refusal))
 	}
-	admitted, cancel := context.WithTimeout(x.caller, max(q.deadline-s.clock(), 0))
-	release, err := x.admit(admitted)
+	admitCtx, cancel := context.WithTimeout(x.callerCtx, max(q.deadline-s.clock(), 0))
+	release, err := x.admit(admitCtx)
 	cancel()
 	if err != nil {
-		return x.end(x.machine.GiveUp(s.clock(), fault.From(err)))
+		return x.finishWithVerdict(x.machine.GiveUp(s.clock(), fault.From(err)))
 	}
 	defer release()
-	x.placed = s.clock() - q.arrived
+	x.admissionTime = s.clock() - q.arrived
 	if last, err := strconv.ParseInt(q.header.Get(headerLastEvent), 10, 64); err == nil {
-		x.events.StartAfter(last)
+		x.splitter.StartAfter(last)
 	}
 	for {
 		result := x.attempt()
 		if result.done {
-			return x.report(result)
+			return x.finishDelivered(result)
 		}
-		step := result.step
+		decision := result.decision
 		switch {
-		case step.Again:
-		case result.moved:
-			step = x.machine.Moved(s.clock(), result.fault)
+		case decision.Again:
+		case result.rerouted:
+			decision = x.machine.Moved(s.clock(), result.fault)
 		default:
-			step = x.machine.Ended(s.clock(), result.progress, result.fault)
+			decision = x.machine.Ended(s.clock(), result.progress, result.fault)
 		}
-		if x.caller.Err() != nil {
-			return x.report(attemptResult{done: true, abort: true, outcome: "caller left"})
+		if x.callerCtx.Err() != nil {
+			return x.finishDelivered(attemptResult{done: true, abort: true, outcome: "caller left"})
 		}
-		if !step.Again {
-			return x.end(step.Verdict)
+		if !decision.Again {
+			return x.finishWithVerdict(decision.Verdict)
 		}
-		x.logAgain(result.fault, step.Delay)
-		wait.For(x.caller, step.Delay)
+		x.logRetry(result.fault, decision.Delay)
+		wait.For(x.callerCtx, decision.Delay)
 	}
 }
 
-// admit waits for a place. What can still be answered in time goes first: as many
-// requests are served either way, so most are to be served in time. What is late
-// already takes the places that are left, and so does what would be refused: an
-// answer that comes late is better than none.
+// admit waits for capacity. Requests that can still be served on time go first: the same
+// number of requests is served either way, so as many as possible should be on time. Requests
+// that are already late, and those that would otherwise be refused, get the remaining
+// capacity: a late response is better than none.
 func (x *exchange) admit(ctx context.Context) (release func(), err error) {
 	s, q := x.server, x.request
 	r := workspace.Request{
@@ -112,23 +113,24 @@
 	if refusal := x.pausedRefusal(); refusal != nil {
 		return nil, refusal
 	}
-	r.Patience = s.firsts.patience(q)
-	if q.inTime() {
+	r.Patience = s.firstChunkTimes.maxQueueWait(q)
+	if q.onTime() {
 		release, err = s.Admitter.AdmitTo(ctx, q.pool, r)
 		if err == nil || !fault.Is(err, fault.Overloaded) {
 			return release, err
 		}
 	}
-	// What the caller has waited for the first site of the entry counts.
-	left := q.patience() - (s.clock() - q.arrived)
-	return s.Admitter.AdmitLate(ctx, q.pool, r, max(left, oneLook))
+	// The time spent waiting for the first site counts.
+	left := q.lateQueueWait() - (s.clock() - q.arrived)
+	return s.Admitter.AdmitLate(ctx, q.pool, r, max(left, minWait))
 }
 
-// pausedRefusal refuses a request at once whose pool is in a pause that it cannot wait out.
+// pausedRefusal rejects a request immediately if its pool is paused for longer than the
+// request can wait.
 func (x *exchange) pausedRefusal() error {
 	s, q := x.server, x.request
-	reopens := s.placement.Load().reopens[q.pool]
-	if reopens-s.clock() <= q.patience() {
+	reopens := s.placement.Load().reopensAt[q.pool]
+	if reopens-s.clock() <= q.lateQueueWait() {
 		return nil
 	}
 	if refusal := s.RateLimits.Refusal(q.pool); refusal != nil {
@@ -137,45 +139,44 @@
 	return nil
 }
 
-// oneLook is a patience that lets a request take what is free at once, and no more.
-const oneLook = time.Nanosecond
+// minWait lets a request use capacity that is free now without waiting.
+const minWait = time.Nanosecond
 
-// attemptResult is how an attempt ended.
+// attemptResult is the result of an attempt.
 type attemptResult struct {
-	// done is true when the caller has all that it will get; abort then closes
-	// its connection.
+	// done is true if nothing more is sent to the caller; abort then closes its connection.
 	done, abort bool
 	outcome     string
-	// progress and fault say what an attempt without a whole answer came to; step
-	// is set when the machine has been told already.
+	// progress and fault describe an attempt without a complete response; decision is set if
+	// the retry state machine has already been informed.
 	progress call.Progress
 	fault    *fault.Error
-	step     call.Step
-	// moved is set when the attempt was ended to go on at another endpoint, and its retry
-	// has been taken out of the budget.
-	moved bool
+	decision call.Step
+	// rerouted is set if the attempt was cancelled to retry at another endpoint; the retry has
+	// been withdrawn from the budget.
+	rerouted bool
 }
 
 func failed(p call.Progress, f *fault.Error) attemptResult {
 	return attemptResult{progress: p, fault: f}
 }
 
-// attempt sends the request to one endpoint and delivers what comes.
+// attempt sends the request to one endpoint and delivers the response.
 func (x *exchange) attempt() attemptResult {
 	s, q := x.server, x.request
-	// The request may have ended an endpoint since it was let in, here or elsewhere.
-	if held := s.Quarantine.Refusal(s.clock(), q.fingerprint); held != nil {
-		return x.finish(x.machine.GiveUp(s.clock(), held))
+	// The request may have crashed an endpoint since it was admitted, here or elsewhere.
+	if refusal := s.Quarantine.Refusal(s.clock(), q.fingerprint); refusal != nil {
+		return x.verdictResult(x.machine.GiveUp(s.clock(), refusal))
 	}
 	target, err := x.pick()
 	if err != nil {
-		return x.notPicked(fault.From(err))
+		return x.noEndpointResult(fault.From(err))
 	}
 	x.target = target
 	x.tried = append(x.tried, target.ID)
-	ctx, span := telemetry.Span(x.work(), "dispatch", attribute.String("endpoint", target.ID))
+	ctx, span := telemetry.Span(x.workContext(), "dispatch", attribute.String("endpoint", target.ID))
 	defer span.End()
-	ctx, cancel := context.WithTimeout(ctx, max(q.deadline-s.clock(), 0)+answerGrace)
+	ctx, cancel := context.WithTimeout(ctx, max(q.deadline-s.clock(), 0)+responseGrace)
 	defer cancel()
 	s.metrics.attempts.Inc()
 	a := &attempt{exchange: x, started: s.clock(), group: groupOf(s.Groups, &target), load: s.Loads.Sent(s.clock(), target.ID, q.work)}
@@ -184,42 +185,42 @@
 	s.Quarantine.Sent(a.started, q.fingerprint)
 	defer func() { s.Quarantine.Left(s.clock(), q.fingerprint) }()
 	defer a.watch(cancel)()
-	response, err := s.Client.Send(ctx, target.Addr, x.message(&target))
-	if errors.Is(err, errPausedMeanwhile) {
-		a.done(false)
-		return failed(call.Unsent, errPausedMeanwhile)
+	response, err := s.Client.Send(ctx, target.Addr, x.buildRequest(&target))
+	if errors.Is(err, errPausedBeforeSend) {
+		a.recordResult(false)
+		return failed(call.Unsent, errPausedBeforeSend)
 	}
 	if err != nil {
-		return a.unanswered(fault.From(err))
+		return a.handleSendError(fault.From(err))
 	}
 	defer func() { _ = response.Body.Close() }()
-	return a.answered(response)
+	return a.handleResponse(response)
 }
 
-// work is the context of the work for the request: it ends when the caller
-// leaves, but for a call that must not be cut in the middle.
-func (x *exchange) work() context.Context {
+// workContext returns the context of an attempt. It is done when the caller leaves, except for
+// calls that must not be interrupted.
+func (x *exchange) workContext() context.Context {
 	if x.request.route.GetKind() == fleetv1.CallKind_CALL_KIND_SINGLE {
-		return context.WithoutCancel(x.caller)
+		return context.WithoutCancel(x.callerCtx)
 	}
-	return x.caller
+	return x.callerCtx
 }
 
-// notPicked ends a request for which there is no endpoint (any more).
-func (x *exchange) notPicked(f *fault.Error) attemptResult {
+// noEndpointResult ends a request for which there is no endpoint.
+func (x *exchange) noEndpointResult(f *fault.Error) attemptResult {
 	now := x.server.clock()
 	if f.Kind == fault.NotFound {
-		// The pool is of the site, so its endpoints are yet to come.
-		f = fault.New(fault.Unavailable, "no endpoint of the pool is known", "ask again after the time given")
+		// The pool is part of the site, so its endpoints have not been announced yet.
+		f = fault.New(fault.Unavailable, "no endpoint of the pool is known", "retry after the stated delay")
 	}
-	return x.finish(x.machine.GiveUp(now, f))
+	return x.verdictResult(x.machine.GiveUp(now, f))
 }
 
-// message is what the endpoint gets.
-func (x *exchange) message(target *endpoint.Endpoint) *direct.Request {
+// buildRequest returns the request for the endpoint.
+func (x *exchange) buildRequest(target *endpoint.Endpoint) *direct.Request {
 	s, q := x.server, x.request
 	names := s.config.Headers
-	header := forward(q.header, s.private)
+	header := forwardedHeaders(q.header, s.consumedHeaders)
 	header.Set(call.HeaderRequestID, q.id)
 	left := max(q.deadline-s.clock(), time.Millisecond)
 	setNamed(header, names.Deadline, strconv.FormatInt(left.Milliseconds(), 10))
@@ -227,7 +228,7 @@
 	if q.workspace != nil {
 		setNamed(header, names.Workspace, q.workspace.GetName())
 	}
-	if last, ok := x.events.LastID(); ok {
+	if last, ok := x.splitter.LastID(); ok {
 		header.Set(headerLastEvent, strconv.FormatInt(last, 10))
 	} else if given := q.header.Values(headerLastEvent); len(given) > 0 {
 		header[headerLastEvent] = given
@@ -238,14 +239,14 @@
 	}
 }
 
-// errPausedMeanwhile ends an attempt whose endpoint has asked for a pause while its connection was
-// set up.
-var errPausedMeanwhile = fault.New(fault.RateLimited, "not run: the endpoint takes no more requests for now", "ask again after the time given")
+// errPausedBeforeSend ends an attempt whose endpoint asked for a pause while the connection
+// was being established.
+var errPausedBeforeSend = fault.New(fault.RateLimited, "not run: the endpoint accepts no requests at the moment", "retry after the stated delay")
 
-// checkPause returns errPausedMeanwhile if an endpoint is in a pause.
+// checkPause returns errPausedBeforeSend if the endpoint is paused.
 func (x *exchange) checkPause(id string) error {
 	if x.server.RateLimits.InPause(id) {
-		return errPausedMeanwhile
+		return errPausedBeforeSend
 	}
 	return nil
 }
@@ -256,32 +257,32 @@
 	}
 }
 
-// finish gives the verdict within an attempt.
-func (x *exchange) finish(v *call.Verdict) attemptResult {
-	clean := x.end(v)
+// verdictResult ends the request with a verdict and returns the result of the attempt.
+func (x *exchange) verdictResult(v *call.Verdict) attemptResult {
+	clean := x.finishWithVerdict(v)
 	return attemptResult{done: true, abort: !clean, outcome: ""}
 }
 
-// end gives the verdict on a request without a whole answer. It returns false
-// when the connection must be aborted.
-func (x *exchange) end(v *call.Verdict) bool {
+// finishWithVerdict ends a request without a complete response. It returns false if the
+// caller's connection must be aborted.
+func (x *exchange) finishWithVerdict(v *call.Verdict) bool {
 	s, q := x.server, x.request
 	x.outcome, x.reason, x.retryAfter = v.Outcome.String(), v.Fault.Error(), v.Fault.RetryAfter
-	if x.opened {
+	if x.headWritten {
 		return x.logEnd(0, false)
 	}
 	x.w.Header().Set(call.HeaderRequestID, q.id)
-	x.limit()
+	x.setWriteDeadline()
 	if err := answer.WriteVerdict(x.w, q.id, v, s.config.RetryAfterFormat); err != nil {
 		return x.logEnd(v.HTTPStatus(), false)
 	}
 	return x.logEnd(v.HTTPStatus(), true)
 }
 
-// report notes the end of a request whose last attempt has delivered something.
-func (x *exchange) report(r attemptResult) bool {
+// finishDelivered ends a request whose last attempt delivered a response or part of one.
+func (x *exchange) finishDelivered(r attemptResult) bool {
 	if r.outcome == "" {
-		// The verdict has been given and logged.
+		// The verdict has already been sent and logged.
 		return !r.abort
 	}
 	x.outcome = r.outcome
@@ -298,25 +299,25 @@
 	if x.outcome == call.Answered.String() && !s.config.AccessLog {
 		return clean
 	}
-	s.Logger.LogAttrs(x.caller, slog.LevelInfo, "ended a request",
+	s.Logger.LogAttrs(x.callerCtx, slog.LevelInfo, "ended a request",
 		slog.String("request_id", q.id), slog.Any("fingerprint", q.fingerprint), slog.String("route", q.route.GetName()), slog.Uint64("version", q.version),
 		slog.String("workspace", q.workspace.GetName()), slog.String("pool", q.pool), slog.String("endpoint", x.target.ID),
 		slog.Int("attempts", len(x.tried)), slog.String("outcome", x.outcome), slog.Int("status", status),
-		slog.Duration("placed", x.placed), slog.Duration("first", x.first), slog.Duration("longest_pause", x.longest),
+		slog.Duration("placed", x.admissionTime), slog.Duration("first", x.timeToFirstChunk), slog.Duration("longest_pause", x.longestGap),
 		slog.Duration("took", took), slog.Duration("left", q.deadline-s.clock()),
 		slog.Duration("retry_after", x.retryAfter), slog.String("reason", x.reason))
 	return clean
 }
 
-// logAgain logs that the request is tried anew, and why.
-func (x *exchange) logAgain(f *fault.Error, delay time.Duration) {
-	x.server.Logger.LogAttrs(x.caller, slog.LevelInfo, "trying again",
+// logRetry logs that the request is retried, and why.
+func (x *exchange) logRetry(f *fault.Error, delay time.Duration) {
+	x.server.Logger.LogAttrs(x.callerCtx, slog.LevelInfo, "trying again",
 		slog.String("request_id", x.request.id), slog.Any("fingerprint", x.request.fingerprint), slog.String("endpoint", x.target.ID), slog.Int("attempts", len(x.tried)),
 		slog.Duration("delay", delay), slog.String("reason", f.Error()))
 }
 
-// limit bounds the time that the caller takes for what is written next.
-func (x *exchange) limit() {
+// setWriteDeadline limits the time of the next write to the caller.
+func (x *exchange) setWriteDeadline() {
 	_ = x.control.SetWriteDeadline(time.Now().Add(x.server.config.WriteTimeout))
 }
 
@@ -326,5 +327,5 @@
 // Uint64 implements rand.Source.
 func (lockedSource) Uint64() uint64 { return rand.Uint64() }
 
-// sharedRand spreads waits and choices.
+// sharedRand randomizes backoff delays and endpoint selection.
 var sharedRand = rand.New(lockedSource{})
--- a/routed/framing.go
+++ b/routed/framing.go
@@ -9,17 +9,17 @@
 )
 
 var (
-	nameLength = []byte("content-length")
-	nameCoding = []byte("transfer-encoding")
+	contentLengthName    = []byte("content-length")
+	transferEncodingName = []byte("transfer-encoding")
 )
 
-// FramingGuard watches the heads of requests on the connections of a listener. A
-// request that states both a length and chunks could be read as two by someone
-// else on its way. net/http drops the length, goes on with the connection, and
-// cannot tell its handler; the guard can.
+// FramingGuard inspects the heads of requests on the connections of a listener. A request with
+// both Content-Length and Transfer-Encoding can be interpreted as two requests by another hop
+// (request smuggling). net/http drops the length, continues with the connection and does not
+// tell its handler; the guard does.
 type FramingGuard struct{ net.Listener }
 
-// guardKey is the context key of a connection's guard.
+// guardKey is the context key of a guarded connection.
 type guardKey struct{}
 
 // Accept implements net.Listener.
@@ -31,12 +31,13 @@
 	return &guardedConn{Conn: accepted, inHead: true}, nil
 }
 
-// ConnContext has to be the http.Server's: it lets handlers ask the guard.
+// ConnContext must be set as the http.Server's ConnContext; it gives handlers access to the
+// guard.
 func (g FramingGuard) ConnContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, guardKey{}, c)
 }
 
-// ConnState has to be the http.Server's: it tells the guard when the next head
+// ConnState must be set as the http.Server's ConnState; it tells the guard when the next head
 // begins.
 func (g FramingGuard) ConnState(c net.Conn, state http.ConnState) {
 	if guarded, ok := c.(*guardedConn); ok && state == http.StateIdle {
@@ -44,24 +45,24 @@
 	}
 }
 
-// mixedFraming reports whether the request states both a length and chunks.
+// mixedFraming reports whether the request has both Content-Length and Transfer-Encoding.
 func mixedFraming(r *http.Request) bool {
 	guarded, ok := r.Context().Value(guardKey{}).(*guardedConn)
 	return ok && guarded.mixed.Load()
 }
 
-// guardedConn looks at the head of each request as it is read. Reads and the
-// change to idle follow one another; only mixed is asked for beside them.
+// guardedConn inspects the head of each request while it is read. Reads and the transition to
+// idle never overlap; only mixed is accessed concurrently.
 type guardedConn struct {
 	net.Conn
 	inHead bool
-	// line is the beginning of the present line, a little longer than the longest
-	// name looked for; named is set after its colon.
-	line  []byte
-	named bool
-	// length and coded say which framing headers have come.
-	length, coded bool
-	mixed         atomic.Bool
+	// line is the beginning of the current line, up to slightly more than the longest name of
+	// interest; nameRead is set after the colon.
+	line     []byte
+	nameRead bool
+	// hasLength and hasTransferEncoding record which framing headers have been seen.
+	hasLength, hasTransferEncoding bool
+	mixed                          atomic.Bool
 }
 
 // Read implements net.Conn.
@@ -73,41 +74,41 @@
 	return n, err
 }
 
-// nextHead begins with the head of the next request.
+// nextHead resets the state for the head of the next request.
 func (c *guardedConn) nextHead() {
 	c.inHead = true
 	c.nextLine()
-	c.length, c.coded = false, false
+	c.hasLength, c.hasTransferEncoding = false, false
 	c.mixed.Store(false)
 }
 
 func (c *guardedConn) nextLine() {
 	c.line = c.line[:0]
-	c.named = false
+	c.nameRead = false
 }
 
-// scan takes the next byte of a head.
+// scan processes the next byte of a head.
 func (c *guardedConn) scan(char byte) {
 	switch {
 	case char == '\n' && len(c.line) == 0:
 		c.inHead = false
 	case char == '\n':
 		c.nextLine()
-	case char == '\r' || c.named:
+	case char == '\r' || c.nameRead:
 	case char == ':':
-		c.named = true
-		c.name()
-	case len(c.line) <= len(nameCoding):
+		c.nameRead = true
+		c.recordName()
+	case len(c.line) <= len(transferEncodingName):
 		c.line = append(c.line, char)
 	}
 }
 
-// name notes the name of a header.
-func (c *guardedConn) name() {
+// recordName checks the header name in line.
+func (c *guardedConn) recordName() {
 	name := bytes.TrimSpace(c.line)
-	c.length = c.length || bytes.EqualFold(name, nameLength)
-	c.coded = c.coded || bytes.EqualFold(name, nameCoding)
-	if c.length && c.coded {
+	c.hasLength = c.hasLength || bytes.EqualFold(name, contentLengthName)
+	c.hasTransferEncoding = c.hasTransferEncoding || bytes.EqualFold(name, transferEncodingName)
+	if c.hasLength && c.hasTransferEncoding {
 		c.mixed.Store(true)
 	}
 }
--- a/routed/harness_test.go
+++ b/routed/harness_test.go
@@ -38,18 +38,18 @@
 	signature = "Test-Signature"
 )
 
-// open admits everything.
-type open struct{}
+// admitAll admits every request.
+type admitAll struct{}
 
-func (open) AdmitTo(context.Context, string, workspace.Request) (func(), error) {
+func (admitAll) AdmitTo(context.Context, string, workspace.Request) (func(), error) {
 	return func() {}, nil
 }
 
-func (open) AdmitLate(context.Context, string, workspace.Request, time.Duration) (func(), error) {
+func (admitAll) AdmitLate(context.Context, string, workspace.Request, time.Duration) (func(), error) {
 	return func() {}, nil
 }
 
-// unlimited knows of no limit.
+// unlimited implements RateLimits without limits.
 type unlimited struct{}
 
 func (unlimited) RecordAnswer(*endpoint.Endpoint, ratelimit.Feedback)  {}
@@ -60,35 +60,35 @@
 func (unlimited) Restrictions() map[string]ratelimit.Reserve           { return nil }
 func (unlimited) Refusal(string) *fault.Error                          { return nil }
 
-// bed is an entry before endpoints that a test scripts.
-type bed struct {
-	t      *testing.T
-	server *Server
-	front  *httptest.Server
-	table  *endpoint.Table
-	backs  []*httptest.Server
-	mu     sync.Mutex
-	seen   []*http.Request
-	bodies []string
+// testEntry is an entry with scripted endpoints.
+type testEntry struct {
+	t        *testing.T
+	server   *Server
+	frontend *httptest.Server
+	table    *endpoint.Table
+	backends []*httptest.Server
+	mu       sync.Mutex
+	received []*http.Request
+	bodies   []string
 }
 
-// newBed returns an entry whose pool has an endpoint for each handler.
-func newBed(t *testing.T, handlers ...http.HandlerFunc) *bed {
+// newTestEntry returns an entry whose pool has one endpoint per handler.
+func newTestEntry(t *testing.T, handlers ...http.HandlerFunc) *testEntry {
 	t.Helper()
-	b := &bed{t: t, table: endpoint.NewTable()}
-	for i, handle := range handlers {
-		back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	b := &testEntry{t: t, table: endpoint.NewTable()}
+	for i, handler := range handlers {
+		backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			body, _ := io.ReadAll(r.Body)
 			b.mu.Lock()
-			b.seen, b.bodies = append(b.seen, r.Clone(context.Background())), append(b.bodies, string(body))
+			b.received, b.bodies = append(b.received, r.Clone(context.Background())), append(b.bodies, string(body))
 			b.mu.Unlock()
 			w.Header().Set(call.HeaderRequestID, r.Header.Get(call.HeaderRequestID))
-			handle(w, r)
+			handler(w, r)
 		}))
-		t.Cleanup(back.Close)
-		b.backs = append(b.backs, back)
+		t.Cleanup(backend.Close)
+		b.backends = append(b.backends, backend)
 		b.table.Apply([]endpoint.Endpoint{{
-			ID: "e" + string(rune('1'+i)), Pool: "pool", Addr: strings.TrimPrefix(back.URL, "http://"), Slots: 8, Revision: 1,
+			ID: "e" + string(rune('1'+i)), Pool: "pool", Addr: strings.TrimPrefix(backend.URL, "http://"), Slots: 8, Revision: 1,
 		}}, nil)
 	}
 	began := time.Now()
@@ -101,23 +101,23 @@
 		BodyTimeout: 200 * time.Millisecond, WriteTimeout: time.Second, MaxBufferedBytes: 1 << 10, RetryAfter: 250 * time.Millisecond,
 		Backoff: call.Backoff{Base: time.Millisecond, Max: time.Millisecond},
 	}, Dependencies{
-		Admitter: open{}, Picker: pick.New(pick.Config{}, b.table, loads, prefix.New(prefix.Config{}), outliers),
+		Admitter: admitAll{}, Picker: pick.New(pick.Config{}, b.table, loads, prefix.New(prefix.Config{}), outliers),
 		Endpoints: b.table, Loads: loads, Outliers: outliers, Reach: reach.New(), Groups: lockstep.New(), Quarantine: quarantine.NewTracker(), RateLimits: unlimited{}, Suspects: suspicion.NewTracker(1), Client: direct.NewClient(direct.Config{}),
 		Budget: call.NewBudget(call.BudgetConfig{Ratio: 0.2, Burst: 100}), Logger: slog.New(slog.DiscardHandler),
 	}, func() time.Duration { return time.Since(began) })
-	b.server.Publish(site.NewTable(bedSite()))
-	b.front = httptest.NewUnstartedServer(b.server)
-	guard := FramingGuard{Listener: b.front.Listener}
-	b.front.Listener = guard
-	b.front.Config.ConnState = guard.ConnState
-	b.front.Config.ConnContext = guard.ConnContext
-	b.front.Start()
-	t.Cleanup(b.front.Close)
+	b.server.Publish(site.NewTable(testSite()))
+	b.frontend = httptest.NewUnstartedServer(b.server)
+	guard := FramingGuard{Listener: b.frontend.Listener}
+	b.frontend.Listener = guard
+	b.frontend.Config.ConnState = guard.ConnState
+	b.frontend.Config.ConnContext = guard.ConnContext
+	b.frontend.Start()
+	t.Cleanup(b.frontend.Close)
 	return b
 }
 
-// bedSite has a route of each kind.
-func bedSite() *fleetv1.Site {
+// testSite has a route of each call kind.
+func testSite() *fleetv1.Site {
 	split := []*fleetv1.Split{{Pool: "pool", Weight: 1}}
 	route := func(name string, kind fleetv1.CallKind) *fleetv1.Route {
 		return &fleetv1.Route{Name: name, Host: "crew.example", PathPrefix: "/" + name + "/", Kind: kind, TimeoutMs: 2000, MaxAttempts: 2, Splits: split}
@@ -138,10 +138,10 @@
 	}
 }
 
-// ask sends a request and returns the answer with its whole body.
-func (b *bed) ask(method, target, body string, header http.Header) (*http.Response, string, error) {
+// do sends a request and returns the response with its complete body.
+func (b *testEntry) do(method, target, body string, header http.Header) (*http.Response, string, error) {
 	b.t.Helper()
-	r, err := http.NewRequest(method, b.front.URL+target, strings.NewReader(body))
+	r, err := http.NewRequest(method, b.frontend.URL+target, strings.NewReader(body))
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -159,11 +159,11 @@
 	return response, string(text), err
 }
 
-// raw sends bytes and returns the status lines that come back until the
-// connection ends or is quiet.
-func (b *bed) raw(text string) (statuses []string, closed bool) {
+// sendRaw sends bytes and returns the status codes received until the connection ends or is
+// idle.
+func (b *testEntry) sendRaw(text string) (statuses []string, closed bool) {
 	b.t.Helper()
-	c, err := net.Dial("tcp", strings.TrimPrefix(b.front.URL, "http://"))
+	c, err := net.Dial("tcp", strings.TrimPrefix(b.frontend.URL, "http://"))
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -184,37 +184,37 @@
 	}
 }
 
-func (b *bed) requests() []*http.Request {
+func (b *testEntry) requests() []*http.Request {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.seen
+	return b.received
 }
 
-// answerOK is an endpoint that answers.
+// answerOK is an endpoint that responds successfully.
 func answerOK(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(signature, "s1")
 	_, _ = io.WriteString(w, "done")
 }
 
-// notRun is an endpoint that is full.
-func notRun(w http.ResponseWriter, _ *http.Request) {
+// rejectNotRun is an endpoint that is full and proves that it ran nothing.
+func rejectNotRun(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(DefaultHeaders.NotRun, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// failing is an endpoint that fails with a signature.
-func failing(w http.ResponseWriter, _ *http.Request) {
+// failWithSignature is an endpoint that fails and sets the signature header.
+func failWithSignature(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(signature, "s2")
 	w.WriteHeader(http.StatusInternalServerError)
 	_, _ = io.WriteString(w, "broken")
 }
 
-// cutting is an endpoint that drops the connection.
-func cutting(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// abortConnection is an endpoint that drops the connection.
+func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-func status(t *testing.T, b *bed, target string, header http.Header) (int, *http.Response, string) {
+func post(t *testing.T, b *testEntry, target string, header http.Header) (int, *http.Response, string) {
 	t.Helper()
-	response, text, err := b.ask(http.MethodPost, target, "body", header)
+	response, text, err := b.do(http.MethodPost, target, "body", header)
 	is.New(t).NoErr(err)
 	return response.StatusCode, response, text
 }
--- a/routed/headers.go
+++ b/routed/headers.go
@@ -11,38 +11,38 @@
 	"github.com/lilackeel/lilackeel/call"
 )
 
-// Headers are the names by which callers, entry and endpoints understand each
-// other beyond what HTTP defines. An empty name is not used.
+// Headers are the names of the headers exchanged between callers, entry and endpoints beyond
+// those defined by HTTP. An empty name disables the header.
 type Headers struct {
-	// Deadline, in a request: the milliseconds that its sender waits.
+	// Deadline, in requests: how many milliseconds the sender waits.
 	Deadline string
-	// Workspace, to endpoints: the name of the workspace that the key stands for.
+	// Workspace, to endpoints: the name of the workspace to which the key belongs.
 	Workspace string
-	// Endpoint, to endpoints: the id of the endpoint that is meant. Any other
-	// answers 421 and runs nothing.
+	// Endpoint, to endpoints: the id of the intended endpoint. Any other endpoint responds
+	// with 421 and runs nothing.
 	Endpoint string
-	// Priority, to endpoints: the rank of the request, 0 first.
+	// Priority, to endpoints: the priority of the request, 0 first.
 	Priority string
 	// NotRun, from endpoints: its presence proves that the request did not run.
 	NotRun string
-	// Signature, from endpoints: the mark that an endpoint puts on its own
-	// answer. An answer of success without it is not whole.
+	// Signature, from endpoints: set by an endpoint on every response of its own. A successful
+	// response without it is considered incomplete.
 	Signature string
-	// RateLimit, from endpoints: the requests a second that the endpoint takes from all
-	// entries together, for as long as its answers say so.
+	// RateLimit, from endpoints: the requests per second that the endpoint accepts from all
+	// entries together. It applies while the responses contain it.
 	RateLimit string
-	// Leaving, from endpoints: its presence says that the endpoint is about to stop and is to get
-	// no new work.
+	// Leaving, from endpoints: its presence means that the endpoint is about to stop and must
+	// get no new requests.
 	Leaving string
-	// Size reads the size of a model call: the prompt's tokens and the most that
-	// the answer may have. Nil or zeros: not known.
+	// Size returns the size of a model call: the prompt tokens and the maximum output tokens.
+	// Zeros, or a nil Size, mean unknown.
 	Size func(http.Header) (prompt, answer int)
 }
 
-// headerLastEvent is the standard header of a resumed stream.
+// headerLastEvent is the standard header to resume an event stream.
 const headerLastEvent = "Last-Event-Id"
 
-// DefaultHeaders are the product's own names.
+// DefaultHeaders are lilackeel's own header names.
 var DefaultHeaders = Headers{
 	Deadline:  "Lilackeel-Deadline-Ms",
 	Workspace: "Lilackeel-Workspace",
@@ -53,50 +53,49 @@
 	Leaving:   engineapi.HeaderLeaving,
 }
 
-// private returns the canonical names of the headers that end at the entry,
-// because it acts on them or sets them itself.
-func (h Headers) private() map[string]bool {
-	private := map[string]bool{}
+// consumed returns the canonical names of the headers that are not forwarded, because the
+// entry acts on them or sets them itself.
+func (h Headers) consumed() map[string]bool {
+	consumed := map[string]bool{}
 	for _, name := range []string{
 		h.Deadline, h.Workspace, h.Endpoint, h.Priority,
 		"Authorization", "Content-Length", "Host", "Expect", headerLastEvent,
 	} {
-		private[textproto.CanonicalMIMEHeaderKey(name)] = true
+		consumed[textproto.CanonicalMIMEHeaderKey(name)] = true
 	}
-	return private
+	return consumed
 }
 
-// forward returns the caller's headers that an endpoint gets.
-func forward(header http.Header, private map[string]bool) http.Header {
-	named := hopbyhop.Named(header)
+// forwardedHeaders returns the caller's headers that are forwarded to the endpoint.
+func forwardedHeaders(header http.Header, consumed map[string]bool) http.Header {
+	connectionHeaders := hopbyhop.Named(header)
 	forwarded := make(http.Header, len(header)+6)
 	for name, values := range header {
-		if !hopbyhop.Is(name) && !private[name] && !named[name] {
+		if !hopbyhop.Is(name) && !consumed[name] && !connectionHeaders[name] {
 			forwarded[name] = values
 		}
 	}
 	return forwarded
 }
 
-// deliverable copies an endpoint's headers to the caller's answer.
-func deliverable(from, to http.Header) {
-	named := hopbyhop.Named(from)
+// copyResponseHeaders copies an endpoint's end-to-end headers to the caller's response.
+func copyResponseHeaders(from, to http.Header) {
+	connectionHeaders := hopbyhop.Named(from)
 	for name, values := range from {
-		if !hopbyhop.Is(name) && !named[name] && name != "Content-Length" {
+		if !hopbyhop.Is(name) && !connectionHeaders[name] && name != "Content-Length" {
 			to[name] = values
 		}
 	}
-	if _, typed := from["Content-Type"]; !typed {
-		// An entry of nil keeps net/http from guessing a type.
+	if _, hasType := from["Content-Type"]; !hasType {
+		// A nil value prevents net/http from detecting a type.
 		to["Content-Type"] = nil
 	}
-	if _, dated := from["Date"]; !dated {
+	if _, hasDate := from["Date"]; !hasDate {
 		to["Date"] = nil
 	}
 }
 
-// readMillis reads a header that holds milliseconds; zero if it is absent or no
-// number.
+// readMillis parses a header that contains milliseconds; zero if it is absent or invalid.
 func readMillis(header http.Header, name string) time.Duration {
 	ms, err := strconv.ParseInt(header.Get(name), 10, 64)
 	if err != nil || ms <= 0 || ms > int64(maxDeadline/time.Millisecond) {
@@ -105,11 +104,11 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// maxDeadline bounds what a caller may state, against overflow.
+// maxDeadline limits the value that a caller may state; it prevents overflow.
 const maxDeadline = 24 * time.Hour
 
-// isPromise reports whether a status says that a request has not run.
-func isPromise(status int) bool {
+// impliesNotRun reports whether a status claims that the request did not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -117,11 +116,11 @@
 	return false
 }
 
-// requestID is the id of a request, which the endpoint gets as the caller sent
-// it; one is made for a request without.
+// requestID returns the request id sent by the caller, or a generated one. It is forwarded to
+// the endpoint.
 func (s *Server) requestID(r *http.Request) string {
 	if id := r.Header.Get(call.HeaderRequestID); id != "" {
 		return id
 	}
-	return s.name + "-" + strconv.FormatUint(s.sequence.Add(1), 36) + "-" + strconv.FormatUint(s.start, 36)
+	return s.name + "-" + strconv.FormatUint(s.sequence.Add(1), 36) + "-" + strconv.FormatUint(s.startNonce, 36)
 }
--- a/routed/lengths.go
+++ b/routed/lengths.go
@@ -2,18 +2,18 @@
 
 import "sync"
 
-// streamLengths learns, for each pool, how many parts a whole stream has. Its lock is a
-// leaf. The zero value is ready.
+// streamLengths estimates, for each pool, the number of chunks of a complete stream. No other
+// lock is acquired while its lock is held. The zero value is ready for use.
 type streamLengths struct {
 	mu    sync.Mutex
 	means map[string]float64
 }
 
-// lengthWeight is the weight of the newest stream in the mean.
+// lengthWeight is the weight of the latest stream in the mean.
 const lengthWeight = 0.05
 
-// observe takes in the parts of a whole stream.
-func (l *streamLengths) observe(pool string, parts int) {
+// observe records the number of chunks of a complete stream.
+func (l *streamLengths) observe(pool string, chunks int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	mean, known := l.means[pool]
@@ -21,14 +21,14 @@
 		if l.means == nil {
 			l.means = map[string]float64{}
 		}
-		mean = float64(parts)
+		mean = float64(chunks)
 	}
-	l.means[pool] = mean + lengthWeight*(float64(parts)-mean)
+	l.means[pool] = mean + lengthWeight*(float64(chunks)-mean)
 }
 
-// left is how many parts of a stream are expected after those that have come: one at least.
-func (l *streamLengths) left(pool string, come int) float64 {
+// expectedRemaining returns the expected number of chunks after those received, at least one.
+func (l *streamLengths) expectedRemaining(pool string, received int) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(l.means[pool]-float64(come), 1)
+	return max(l.means[pool]-float64(received), 1)
 }
--- a/routed/metrics.go
+++ b/routed/metrics.go
@@ -10,31 +10,31 @@
 	"github.com/lilackeel/lilackeel/call"
 )
 
-// serverMetrics counts what became of requests.
+// serverMetrics contains the metrics of a Server.
 type serverMetrics struct {
 	inFlight atomic.Int64
 	attempts *metrics.Counter
 	resumes  *metrics.Counter
-	// endedUnder counts the attempts under which the endpoint's process has ended.
-	endedUnder *metrics.Counter
+	// processEnded counts the attempts during which the endpoint's process ended.
+	processEnded *metrics.Counter
 }
 
 func newServerMetrics() *serverMetrics {
 	m := &serverMetrics{
-		attempts:   metrics.GetOrCreateCounter(`lilackeel_routed_attempts_total`),
-		resumes:    metrics.GetOrCreateCounter(`lilackeel_routed_resumes_total`),
-		endedUnder: metrics.GetOrCreateCounter(`lilackeel_routed_ended_under_request_total`),
+		attempts:     metrics.GetOrCreateCounter(`lilackeel_routed_attempts_total`),
+		resumes:      metrics.GetOrCreateCounter(`lilackeel_routed_resumes_total`),
+		processEnded: metrics.GetOrCreateCounter(`lilackeel_routed_ended_under_request_total`),
 	}
 	metrics.GetOrCreateGauge(`lilackeel_routed_requests_in_flight`, func() float64 { return float64(m.inFlight.Load()) })
 	return m
 }
 
-// refused counts a request that was not taken on.
+// refused counts a request that was rejected before processing.
 func (m *serverMetrics) refused(v *call.Verdict) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`lilackeel_routed_refusals_total{kind=%q,status="%d"}`, string(v.Fault.Kind), v.HTTPStatus())).Inc()
 }
 
-// ended counts a request that was taken on.
+// ended counts a request that was processed.
 func (m *serverMetrics) ended(pool, outcome string, took time.Duration) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`lilackeel_routed_requests_total{pool=%q,outcome=%q}`, pool, outcome)).Inc()
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`lilackeel_routed_request_seconds{pool=%q}`, pool)).Update(took.Seconds())
--- a/routed/paths.go
+++ b/routed/paths.go
@@ -6,34 +6,35 @@
 	"time"
 )
 
-// pathDelays learns, for each availability zone, how much longer parts of streams take from there
-// than the passes of their groups: what the way loses and sends again. Its lock is a leaf. The zero
-// value is ready.
+// pathDelays estimates, for each availability zone, how much longer the gaps between chunks
+// are than the step time of the group: the delay caused by packet loss and retransmission on
+// the network path. No other lock is acquired while its lock is held. The zero value is ready
+// for use.
 type pathDelays struct {
 	mu    sync.Mutex
 	zones map[string]*pathDelay
 }
 
-// pathDelay is what is known of one zone, fading with pathMemory.
+// pathDelay is the statistics of one zone, which decay with pathDecayTime.
 type pathDelay struct {
-	// parts counts the parts, and late adds up by how much they were late, in seconds.
-	parts, late float64
-	at          time.Duration
+	// chunks is the number of chunks, and lateSeconds is the sum of their delays.
+	chunks, lateSeconds float64
+	updatedAt           time.Duration
 }
 
 const (
-	// pathMemory is the time over which delays are measured.
-	pathMemory = 3 * time.Second
-	// assumedParts is how many parts in time are assumed besides those that came: a zone that gets
-	// no calls any more counts as sound again after a while.
-	assumedParts = 50
-	// leastDelay is the delay of an answer below which calls are not taken elsewhere: uneven load
-	// costs more.
-	leastDelay = 20 * time.Millisecond
+	// pathDecayTime is the time constant of the statistics.
+	pathDecayTime = 3 * time.Second
+	// priorChunks is how many chunks without delay are assumed in addition to the observed
+	// ones. A zone that no longer gets calls therefore counts as healthy again after a while.
+	priorChunks = 50
+	// minPathDelay is the delay of a response below which calls are not sent elsewhere,
+	// because uneven load costs more.
+	minPathDelay = 20 * time.Millisecond
 )
 
-// observe takes in by how much a part of a stream was late, zero if it was not.
-func (p *pathDelays) observe(zone string, now, late time.Duration) {
+// observe records the delay of a chunk; zero if it was on time.
+func (p *pathDelays) observe(zone string, now, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	d := p.zones[zone]
@@ -41,39 +42,39 @@
 		if p.zones == nil {
 			p.zones = map[string]*pathDelay{}
 		}
-		d = &pathDelay{at: now}
+		d = &pathDelay{updatedAt: now}
 		p.zones[zone] = d
 	}
-	kept := d.kept(now)
-	d.parts, d.late, d.at = d.parts*kept+1, d.late*kept+late.Seconds(), max(now, d.at)
+	decay := d.decay(now)
+	d.chunks, d.lateSeconds, d.updatedAt = d.chunks*decay+1, d.lateSeconds*decay+delay.Seconds(), max(now, d.updatedAt)
 }
 
-// kept is the part that is left of what was counted.
-func (d *pathDelay) kept(now time.Duration) float64 {
-	return math.Exp(-float64(max(now-d.at, 0)) / float64(pathMemory))
+// decay returns the fraction of the statistics that remains at now.
+func (d *pathDelay) decay(now time.Duration) float64 {
+	return math.Exp(-float64(max(now-d.updatedAt, 0)) / float64(pathDecayTime))
 }
 
-// delays returns by how much more than leastDelay an answer of so many parts is expected to be late
-// on the way, by zone.
-func (p *pathDelays) delays(now time.Duration, parts float64) map[string]time.Duration {
+// delays returns, for each zone, by how much the expected path delay of a response with the
+// given number of chunks exceeds minPathDelay.
+func (p *pathDelays) delays(now time.Duration, chunks float64) map[string]time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delays := make(map[string]time.Duration, len(p.zones))
 	for zone, d := range p.zones {
-		kept := d.kept(now)
-		each := d.late * kept / (d.parts*kept + assumedParts)
-		delays[zone] = max(time.Duration(parts*each*float64(time.Second))-leastDelay, 0)
+		decay := d.decay(now)
+		meanDelay := d.lateSeconds * decay / (d.chunks*decay + priorChunks)
+		delays[zone] = max(time.Duration(chunks*meanDelay*float64(time.Second))-minPathDelay, 0)
 	}
 	return delays
 }
 
-// observePath takes in how late a part of a stream was beyond what its group takes for a pass, and
-// beyond what its caller was promised.
-func (a *attempt) observePath(now, pause time.Duration) {
+// observePath records how late a chunk was compared to both the step time of its group and the
+// gap promised to the caller.
+func (a *attempt) observePath(now, gap time.Duration) {
 	promised := time.Duration(a.request.route.GetGapMs()) * time.Millisecond
-	if promised <= 0 || isLoose(a.group) {
+	if promised <= 0 || isUngrouped(a.group) {
 		return
 	}
-	usual := max(promised, a.server.Groups.RecentStepTime(a.group))
-	a.server.paths.observe(a.target.Zone, now, max(pause-usual, 0))
+	expected := max(promised, a.server.Groups.RecentStepTime(a.group))
+	a.server.pathDelays.observe(a.target.Zone, now, max(gap-expected, 0))
 }
--- a/routed/paths_test.go
+++ b/routed/paths_test.go
@@ -15,52 +15,53 @@
 	"github.com/lilackeel/lilackeel/endpoint/prefix"
 )
 
-// pathWorld is one entry in zone a before engines in three zones, in virtual time.
-type pathWorld struct {
+// pathSimulation simulates one entry in zone a and engines in three zones, in virtual time.
+type pathSimulation struct {
 	rng    *rand.Rand
 	paths  pathDelays
 	loads  *load.Tracker
 	picker *pick.Picker
-	// learns is false for an entry that does not look at the ways.
-	learns bool
-	// late counts the answers with a late part, sent and byZone all of them.
+	// measuresDelays is false for an entry that ignores path delays.
+	measuresDelays bool
+	// late is the number of responses with a late chunk, sent the number of all responses, and
+	// byZone the latter by zone.
 	late, sent int
 	byZone     map[string]int
 	running    []runningStream
 }
 
 type runningStream struct {
-	begun time.Duration
-	call  load.Call
+	startedAt time.Duration
+	call      load.Call
 }
 
-func newPathWorld(learns bool) *pathWorld {
+func newPathSimulation(measures bool) *pathSimulation {
 	table := endpoint.NewTable()
 	for i := range 48 {
 		table.Apply([]endpoint.Endpoint{{ID: fmt.Sprint("e", i), Pool: "pool", Zone: string(rune('a' + i%3)), Addr: fmt.Sprint("10.0.0.", i, ":80"), Slots: 12, Revision: 1}}, nil)
 	}
 	loads := load.New(load.Config{}, table)
-	return &pathWorld{
-		rng: rand.New(rand.NewPCG(1, 1)), learns: learns, loads: loads, byZone: map[string]int{},
+	return &pathSimulation{
+		rng: rand.New(rand.NewPCG(1, 1)), measuresDelays: measures, loads: loads, byZone: map[string]int{},
 		picker: pick.New(pick.DirectConfig(), table, loads, prefix.New(prefix.Config{}), outlier.New(outlier.Config{})),
 	}
 }
 
-// play sends 160 streams of 24 parts a second, which last for 1.2 s and whose parts from a zone are
-// late by chance.
-func (w *pathWorld) play(from, until time.Duration, lateChance func(zone string) float64) {
+// run sends 160 streams per second. Each has 24 chunks and lasts 1.2 s; its chunks are late
+// with the probability given for the zone.
+func (w *pathSimulation) run(from, until time.Duration, lateChance func(zone string) float64) {
 	const parts = 24
 	w.late, w.sent, w.byZone = 0, 0, map[string]int{}
 	for now := from; now < until; now += time.Second / 160 {
-		for len(w.running) > 0 && now-w.running[0].begun >= 1200*time.Millisecond {
+		for len(w.running) > 0 && now-w.running[0].startedAt >= 1200*time.Millisecond {
 			w.loads.Done(now, &w.running[0].call, load.Result{Tokens: parts})
 			w.running = w.running[1:]
 		}
-		wanted := pick.Request{Pool: "pool", Zone: "a"}
-		if w.learns {
-			wanted.PathDelays = w.paths.delays(now, parts)
+		want := pick.Request{Pool: "pool", Zone: "a"}
+		if w.measuresDelays {
+			want.PathDelays = w.paths.delays(now, parts)
 		}
-		chosen, _, err := w.picker.Pick(now, w.rng, &wanted)
+		chosen, _, err := w.picker.Pick(now, w.rng, &want)
 		if err != nil {
 			panic(err)
 		}
@@ -81,8 +82,8 @@
 	}
 }
 
-// Guards against calls that go by ways which lose packets while others do not.
-func TestCallsAvoidWaysThatLosePackets(t *testing.T) {
+// Guards against calls that use lossy network paths although paths without loss exist.
+func TestCallsAvoidLossyPaths(t *testing.T) {
 	is := is.New(t)
 	calm := func(string) float64 { return 0.001 }
 	lossy := func(zone string) float64 {
@@ -92,25 +93,25 @@
 		return 0.001
 	}
 	all := func(string) float64 { return 0.04 }
-	for _, learns := range []bool{false, true} {
-		w := newPathWorld(learns)
-		w.play(0, 10*time.Second, calm)
-		t.Logf("learns %v, calm: %v", learns, w.byZone)
-		w.play(10*time.Second, 20*time.Second, lossy)
-		t.Logf("learns %v, zone c lossy: %d of %d late, %v", learns, w.late, w.sent, w.byZone)
-		is.True(!learns || w.late <= w.sent/20) // what it takes to find out, and what is late anyway
-		w.play(60*time.Second, 70*time.Second, calm)
-		t.Logf("learns %v, calm again: %v", learns, w.byZone)
-		is.True(w.byZone["c"] >= w.sent/6) // it is used again
-		w.play(70*time.Second, 80*time.Second, all)
-		t.Logf("learns %v, all lossy: %v", learns, w.byZone)
+	for _, measures := range []bool{false, true} {
+		w := newPathSimulation(measures)
+		w.run(0, 10*time.Second, calm)
+		t.Logf("measures %v, calm: %v", measures, w.byZone)
+		w.run(10*time.Second, 20*time.Second, lossy)
+		t.Logf("measures %v, zone c lossy: %d of %d late, %v", measures, w.late, w.sent, w.byZone)
+		is.True(!measures || w.late <= w.sent/20) // calls before detection, and chunks that are late anyway
+		w.run(60*time.Second, 70*time.Second, calm)
+		t.Logf("measures %v, calm again: %v", measures, w.byZone)
+		is.True(w.byZone["c"] >= w.sent/6) // the zone is used again
+		w.run(70*time.Second, 80*time.Second, all)
+		t.Logf("measures %v, all lossy: %v", measures, w.byZone)
 		for _, zone := range []string{"a", "b", "c"} {
-			is.True(w.byZone[zone] >= w.sent/6) // no zone is emptied for what all have
+			is.True(w.byZone[zone] >= w.sent/6) // no zone is avoided if all are equally lossy
 		}
 	}
 }
 
-// BenchmarkPathDelays is what the ways cost the choice of an endpoint, with 16 zones.
+// BenchmarkPathDelays measures the cost of path delays per endpoint selection, with 16 zones.
 func BenchmarkPathDelays(b *testing.B) {
 	var p pathDelays
 	for i := range 16 {
--- a/routed/pause_test.go
+++ b/routed/pause_test.go
@@ -11,55 +11,55 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// Guards against requests that are let in for endpoints that have asked for a pause: they would
-// find none.
-func TestPlacesLeaveOutEndpointsInAPause(t *testing.T) {
+// Guards against admitting requests for endpoints that have asked for a pause, which would
+// then find no endpoint.
+func TestCallLimitExcludesPausedEndpoints(t *testing.T) {
 	is := is.New(t)
 	const limit, entries = 40, 1
-	load := func(paused, trials int) poolLoad {
-		var l poolLoad
+	load := func(paused, probes int) groupLoad {
+		var l groupLoad
 		for i := range 4 {
 			opens := 5 * time.Second
 			if i >= paused {
 				opens = 0
 			}
-			l.note(10, 2, i < paused+trials, opens)
+			l.addEndpoint(10, 2, i < paused+probes, opens)
 		}
-		l.own = 8
+		l.ownCalls = 8
 		return l
 	}
-	is.Equal(load(0, 0).places(limit, entries), 40)
-	is.Equal(load(2, 0).places(limit, entries), 8+20-4) // what the two others hold
-	is.Equal(load(2, 2).places(limit, entries), 8+2)    // one each to try the two that are back
+	is.Equal(load(0, 0).callLimit(limit, entries), 40)
+	is.Equal(load(2, 0).callLimit(limit, entries), 8+20-4) // the slots of the two others
+	is.Equal(load(2, 2).callLimit(limit, entries), 8+2)    // one probe for each of the two that may be probed
 	name := poolGroup{"pool", "g"}
-	is.Equal(len(reopenings(map[poolGroup]poolLoad{name: load(3, 0)})), 0)
-	is.Equal(len(reopenings(map[poolGroup]poolLoad{name: load(3, 1)})), 0)
-	all := map[poolGroup]poolLoad{name: load(4, 0)}
-	is.Equal(reopenings(all)["pool"], 5*time.Second)
+	is.Equal(len(reopenTimes(map[poolGroup]groupLoad{name: load(3, 0)})), 0)
+	is.Equal(len(reopenTimes(map[poolGroup]groupLoad{name: load(3, 1)})), 0)
+	all := map[poolGroup]groupLoad{name: load(4, 0)}
+	is.Equal(reopenTimes(all)["pool"], 5*time.Second)
 	all[poolGroup{"pool", "h"}] = load(0, 0)
-	is.Equal(len(reopenings(all)), 0)
-	closed := room{state: lockstep.Closed, places: load(4, 0).places(limit, entries)}
-	is.Equal(total([]room{closed}), PoolCapacity{AfterReopen: 40}) // so many may wait for its end
+	is.Equal(len(reopenTimes(all)), 0)
+	closed := groupCapacity{state: lockstep.Closed, limit: load(4, 0).callLimit(limit, entries)}
+	is.Equal(poolCapacity([]groupCapacity{closed}), PoolCapacity{AfterReopen: 40}) // that many may wait for the pause to end
 }
 
-// pausedMeanwhile admits every request and knows then that an endpoint is in a pause.
-type pausedMeanwhile struct {
+// pausedBeforeSend admits every request and then reports that an endpoint is paused.
+type pausedBeforeSend struct {
 	unlimited
 	id string
 }
 
-func (p pausedMeanwhile) InPause(id string) bool { return id == p.id }
+func (p pausedBeforeSend) InPause(id string) bool { return id == p.id }
 
-// Guards against a request that is written although its endpoint has asked for a pause while the
-// connection was set up: it goes elsewhere, also where it may run at most once.
+// Guards against a request that is sent although its endpoint asked for a pause while the
+// connection was being established. It is retried elsewhere, even if it may run at most once.
 func TestAPauseMeanwhileSendsTheRequestElsewhere(t *testing.T) {
 	for _, target := range []string{"/read/x", "/once/x"} {
 		is := is.New(t)
 		asked := 0
-		b := newBed(t, func(http.ResponseWriter, *http.Request) { asked++ }, answerOK)
-		b.server.RateLimits = pausedMeanwhile{id: "e1"}
+		b := newTestEntry(t, func(http.ResponseWriter, *http.Request) { asked++ }, answerOK)
+		b.server.RateLimits = pausedBeforeSend{id: "e1"}
 		for range 20 {
-			code, _, text := status(t, b, target, nil)
+			code, _, text := post(t, b, target, nil)
 			is.Equal(code, http.StatusOK)
 			is.Equal(text, "done")
 		}
@@ -74,17 +74,18 @@
 	return fault.New(fault.RateLimited, "closed", "wait").RetryIn(9 * time.Second)
 }
 
-// Guards against requests that queue for a pool whose pause they cannot wait out: with those that
-// can, they would be refused only after their patience. The route allows 2 s, half of it for waiting.
-func TestWhoCannotWaitForAPauseDoesNotQueue(t *testing.T) {
+// Guards against queueing requests for a pool whose pause lasts longer than they can wait: in
+// the queue they would be refused only after their maximum wait. The route allows 2 s, half of
+// it for waiting.
+func TestRequestThatCannotOutwaitPauseIsNotQueued(t *testing.T) {
 	for left, queued := range map[time.Duration]int{500 * time.Millisecond: 1, 5 * time.Second: 0} {
 		is := is.New(t)
-		b := newBed(t, answerOK)
+		b := newTestEntry(t, answerOK)
 		admitter := &countingAdmitter{}
 		b.server.Admitter, b.server.RateLimits = admitter, closedPool{}
-		b.server.placement.Store(&placement{reopens: map[string]time.Duration{"pool": b.server.clock() + left}})
-		code, response, _ := status(t, b, "/read/x", nil)
-		is.Equal(int(admitter.asked.Load()), queued)
+		b.server.placement.Store(&placement{reopensAt: map[string]time.Duration{"pool": b.server.clock() + left}})
+		code, response, _ := post(t, b, "/read/x", nil)
+		is.Equal(int(admitter.calls.Load()), queued)
 		is.Equal(code == http.StatusOK, queued == 1)
 		if queued == 0 {
 			is.Equal(response.Header.Get("Retry-After"), "9")
--- a/routed/placement.go
+++ b/routed/placement.go
@@ -8,141 +8,142 @@
 	"github.com/lilackeel/lilackeel/endpoint/lockstep"
 )
 
-// looseGroup begins the name of the endpoints of a pool that run their steps each by
-// itself, as far as is known. A name of a group has no such sign.
-const looseGroup = "\x00"
+// ungroupedPrefix begins the group name for the endpoints of a pool that, as far as is known,
+// do not run in lock-step. Names of lock-step groups cannot contain this character.
+const ungroupedPrefix = "\x00"
 
-// groupOf returns the lock-step group of an endpoint or, for one of none, a name for all
-// such endpoints of its pool.
+// groupOf returns the lock-step group of an endpoint. Endpoints without one share a name per
+// pool.
 func groupOf(groups *lockstep.Tracker, e *endpoint.Endpoint) string {
 	if name := groups.GroupOf(e.Addr); name != "" {
 		return name
 	}
-	return looseGroup + e.Pool
+	return ungroupedPrefix + e.Pool
 }
 
-// isLoose reports whether a name stands for endpoints that do not run in lock-step: the
-// silence of one says nothing about the others.
-func isLoose(group string) bool { return strings.HasPrefix(group, looseGroup) }
+// isUngrouped reports whether a name stands for endpoints that do not run in lock-step. The
+// silence of one of them is no evidence about the others.
+func isUngrouped(group string) bool { return strings.HasPrefix(group, ungroupedPrefix) }
 
-// placement says how many calls this entry may have in flight in each group of each
-// pool. It does not change.
+// placement states how many calls this entry may have in flight in each group of each pool. It
+// is immutable.
 type placement struct {
-	pools map[string][]room
-	// reopens is when the first endpoint of each pool takes a request again, of those pools in
-	// which none does now.
-	reopens map[string]time.Duration
-	// sizes is how many endpoints each pool has.
+	pools map[string][]groupCapacity
+	// reopensAt is, for each pool in which no endpoint accepts requests, when the first one
+	// accepts requests again.
+	reopensAt map[string]time.Duration
+	// sizes is the number of endpoints of each pool.
 	sizes map[string]int
 }
 
-// room is what there is for this entry in one group.
-type room struct {
+// groupCapacity is the capacity of one group that is available to this entry.
+type groupCapacity struct {
 	group string
 	state lockstep.State
-	// places is how many calls it may have in flight, held how many of these only after the
-	// next look, own how many it has.
-	places, held, own int
+	// limit is how many calls may be in flight, deferred is how many of these may start only
+	// after the next update, and ownCalls is how many are in flight.
+	limit, deferred, ownCalls int
 }
 
-// Room is what there is for an entry in a pool.
+// PoolCapacity is the capacity of a pool that is available to an entry.
 type PoolCapacity struct {
-	// InTime is how many calls may be in flight where answers come in time.
+	// OnTime is how many calls may be in flight in groups that respond on time.
 	OnTime int
-	// Stuck is how many calls are in flight elsewhere.
+	// OtherInFlight is how many calls are in flight in other groups.
 	OtherInFlight int
-	// Late is how many more calls may begin where answers come late.
+	// LateSlots is how many more calls may start in groups that respond late.
 	LateSlots int
-	// Opening is how many calls may be in flight once groups run again, while none does:
-	// so many may wait for that.
+	// AfterReopen is, while no group runs, how many calls may be in flight once groups run
+	// again. That many calls may queue.
 	AfterReopen int
 }
 
-// total adds up the groups of a pool. Where none keeps the pace, those that are behind
-// are the best there are. One that has stopped takes nothing new: what waits for it
-// would wait as long, and another may be free sooner. Where all have stopped one more call
-// is let through to each at a time, which shows whether it runs again: the silence may be
-// that of a single endpoint that holds this entry's only call.
-func total(rooms []room) PoolCapacity {
-	var sum PoolCapacity
-	if len(rooms) > 0 && best(rooms) >= lockstep.Stalled {
-		for _, r := range rooms {
-			sum.AfterReopen += r.places
+// poolCapacity sums the groups of a pool. If no group is paced, the groups that are behind
+// count as on time. A stalled group gets no new calls: a queued call would wait as long there,
+// and another group may become available sooner. If no group runs, one more call at a
+// time is let through to each to find out whether it runs again: the group may only seem
+// stalled because a single endpoint holds this entry's only call.
+func poolCapacity(capacities []groupCapacity) PoolCapacity {
+	var capacity PoolCapacity
+	if len(capacities) > 0 && bestState(capacities) >= lockstep.Stalled {
+		for _, r := range capacities {
+			capacity.AfterReopen += r.limit
 		}
 	}
-	if best(rooms) == lockstep.Stalled {
-		for _, r := range rooms {
-			if sum.OtherInFlight += r.own; r.state == lockstep.Stalled {
-				sum.OnTime++
+	if bestState(capacities) == lockstep.Stalled {
+		for _, r := range capacities {
+			if capacity.OtherInFlight += r.ownCalls; r.state == lockstep.Stalled {
+				capacity.OnTime++
 			}
 		}
-		return sum
+		return capacity
 	}
-	wanted := max(min(best(rooms), lockstep.Behind), lockstep.Paced)
-	for _, r := range rooms {
+	wantedState := max(min(bestState(capacities), lockstep.Behind), lockstep.Paced)
+	for _, r := range capacities {
 		switch {
-		case r.state == wanted:
-			sum.OnTime += r.places - r.held
+		case r.state == wantedState:
+			capacity.OnTime += r.limit - r.deferred
 		case r.state == lockstep.Behind:
-			sum.LateSlots += max(r.places-r.held-r.own, 0)
-			sum.OtherInFlight += r.own
+			capacity.LateSlots += max(r.limit-r.deferred-r.ownCalls, 0)
+			capacity.OtherInFlight += r.ownCalls
 		default:
-			sum.OtherInFlight += r.own
+			capacity.OtherInFlight += r.ownCalls
 		}
 	}
-	return sum
+	return capacity
 }
 
-// best is the best state of any group.
-func best(rooms []room) lockstep.State {
+// bestState returns the best state of any group.
+func bestState(capacities []groupCapacity) lockstep.State {
 	state := lockstep.Closed
-	for _, r := range rooms {
+	for _, r := range capacities {
 		state = min(state, r.state)
 	}
 	return state
 }
 
-// allow returns which endpoints a call may go to: those of the group that has most room
-// left. A call that can be in time goes to a group that keeps the pace; one that is late
-// anyway leaves those places to others while a group is behind. nil allows all.
-func (p *placement) allow(groups *lockstep.Tracker, pool string, inTime bool) func(e *endpoint.Endpoint) bool {
-	rooms := p.pools[pool]
-	if len(rooms) < 2 {
+// allow returns which endpoints a call may use: those of the group with the largest fraction
+// of free capacity. A call that can be on time uses a paced group. While a group is behind, a
+// call that is late anyway uses that group and leaves the paced capacity to others. nil allows
+// all endpoints.
+func (p *placement) allow(groups *lockstep.Tracker, pool string, onTime bool) func(e *endpoint.Endpoint) bool {
+	capacities := p.pools[pool]
+	if len(capacities) < 2 {
 		return nil
 	}
 	order := [...]lockstep.State{lockstep.Paced, lockstep.Behind}
-	if !inTime {
+	if !onTime {
 		order = [...]lockstep.State{lockstep.Behind, lockstep.Paced}
 	}
 	for _, state := range order {
-		if group, ok := roomiest(rooms, groups, state); ok {
+		if group, ok := leastLoaded(capacities, groups, state); ok {
 			return func(e *endpoint.Endpoint) bool { return groupOf(groups, e) == group }
 		}
 	}
-	if best(rooms) >= lockstep.Stalled {
+	if bestState(capacities) >= lockstep.Stalled {
 		return nil
 	}
-	// All are full: one that runs is better than one that does not.
-	return func(e *endpoint.Endpoint) bool { return runs(rooms, groupOf(groups, e)) }
+	// All groups are full; one that runs is better than one that does not.
+	return func(e *endpoint.Endpoint) bool { return isRunning(capacities, groupOf(groups, e)) }
 }
 
-// roomiest returns the group in a state with the largest part of its places left; ok is
-// false if none has any.
-func roomiest(rooms []room, groups *lockstep.Tracker, state lockstep.State) (group string, ok bool) {
-	most := 0.0
-	for _, r := range rooms {
-		if r.state != state || r.places <= 0 {
+// leastLoaded returns the group in the given state with the largest fraction of free capacity;
+// ok is false if none has any.
+func leastLoaded(capacities []groupCapacity, groups *lockstep.Tracker, state lockstep.State) (group string, ok bool) {
+	mostFree := 0.0
+	for _, r := range capacities {
+		if r.state != state || r.limit <= 0 {
 			continue
 		}
-		if left := 1 - float64(groups.InFlight(r.group))/float64(r.places); left > most {
-			group, most, ok = r.group, left, true
+		if free := 1 - float64(groups.InFlight(r.group))/float64(r.limit); free > mostFree {
+			group, mostFree, ok = r.group, free, true
 		}
 	}
 	return group, ok
 }
 
-func runs(rooms []room, group string) bool {
-	for _, r := range rooms {
+func isRunning(capacities []groupCapacity, group string) bool {
+	for _, r := range capacities {
 		if r.group == group {
 			return r.state < lockstep.Stalled
 		}
--- a/routed/quarantine_test.go
+++ b/routed/quarantine_test.go
@@ -14,133 +14,133 @@
 	"github.com/lilackeel/lilackeel/workspace"
 )
 
-// ending is the body of a request that ends each endpoint which begins to run it.
-const ending = "ends what runs it"
+// crashBody is the body of a request that crashes every endpoint that runs it.
+const crashBody = "crashes the endpoint"
 
-// mortals are endpoints whose process ends under the body ending.
-type mortals struct {
-	*bed
-	mu    sync.Mutex
-	ended int
+// crashingEntry has endpoints whose process ends when they receive crashBody.
+type crashingEntry struct {
+	*testEntry
+	mu      sync.Mutex
+	crashes int
 }
 
-func newMortals(t *testing.T, count int) *mortals {
-	m := &mortals{}
+func newCrashingEntry(t *testing.T, count int) *crashingEntry {
+	m := &crashingEntry{}
 	handlers := make([]http.HandlerFunc, count)
 	for i := range handlers {
 		handlers[i] = func(w http.ResponseWriter, r *http.Request) {
-			if r.Header.Get("X-Body") != ending {
+			if r.Header.Get("X-Body") != crashBody {
 				answerOK(w, r)
 				return
 			}
-			m.end(i)
+			m.crash(i)
 			panic(http.ErrAbortHandler)
 		}
 	}
-	m.bed = newBed(t, handlers...)
+	m.testEntry = newTestEntry(t, handlers...)
 	return m
 }
 
-// end ends the process of an endpoint: nothing listens there any more, all of its
-// connections are closed, and it leaves the table.
-func (m *mortals) end(i int) {
+// crash ends the process of an endpoint: its listener and all its connections are closed, and
+// it is removed from the table.
+func (m *crashingEntry) crash(i int) {
 	m.mu.Lock()
-	m.ended++
+	m.crashes++
 	m.mu.Unlock()
-	back := m.backs[i]
-	_ = back.Listener.Close()
-	go back.CloseClientConnections()
+	backend := m.backends[i]
+	_ = backend.Listener.Close()
+	go backend.CloseClientConnections()
 	m.table.Apply(nil, []string{"e" + string(rune('1'+i))})
 }
 
-func (m *mortals) count() int {
+func (m *crashingEntry) crashCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.ended
+	return m.crashes
 }
 
-// send asks with a body under an id of its own.
-func (m *mortals) send(target, body string, id int) *http.Response {
+// send sends a body under a distinct request id.
+func (m *crashingEntry) send(target, body string, id int) *http.Response {
 	m.t.Helper()
-	response, _, err := m.ask(http.MethodPost, target, body, http.Header{"X-Body": {body}, "X-Request-Id": {"r" + strconv.Itoa(id)}})
+	response, _, err := m.do(http.MethodPost, target, body, http.Header{"X-Body": {body}, "X-Request-Id": {"r" + strconv.Itoa(id)}})
 	if err != nil && err != io.ErrUnexpectedEOF {
 		m.t.Fatal(err)
 	}
 	return response
 }
 
-// Guards against a request that is sent to endpoint after endpoint although those that ran it ended.
-func TestARequestThatEndsItsEndpointsIsKeptFromThem(t *testing.T) {
+// Guards against sending a request to one endpoint after another although it crashes them.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for _, target := range []string{"/read/x", "/once/x", "/resumable/x"} {
 		t.Run(target, func(t *testing.T) {
 			is := is.New(t)
-			m := newMortals(t, 12)
+			m := newCrashingEntry(t, 12)
 			for id := range 10 {
-				m.send(target, ending, id)
-				is.Equal(m.send(target, "another", 100+id).StatusCode, http.StatusOK) // others are served all the while
+				m.send(target, crashBody, id)
+				is.Equal(m.send(target, "another", 100+id).StatusCode, http.StatusOK) // other requests are served throughout
 			}
-			is.Equal(m.count(), 3) // three ends are proof
-			refused := m.send(target, ending, 1000)
+			is.Equal(m.crashCount(), 3) // three crashes suffice as evidence
+			refused := m.send(target, crashBody, 1000)
 			is.Equal(refused.StatusCode, http.StatusServiceUnavailable)
 			is.Equal(refused.Header.Get("Lilackeel-Outcome"), "not-run")
-			is.True(refused.Header.Get("Retry-After") != "") // a mistaken suspicion ends
+			is.True(refused.Header.Get("Retry-After") != "") // a wrong suspicion expires
 		})
 	}
 }
 
-// Guards against a request that is held for crashes that it did not cause.
-func TestARequestThatMetOtherEndsIsServed(t *testing.T) {
+// Guards against quarantining a request because of crashes that it did not cause.
+func TestRequestPresentAtUnrelatedCrashesIsServed(t *testing.T) {
 	is := is.New(t)
-	const unlucky = "was there"
-	var m *mortals
+	const presentAtCrash = "present at crash"
+	var m *crashingEntry
 	var runs atomic.Int32
 	handlers := make([]http.HandlerFunc, 6)
 	for i := range handlers {
 		handlers[i] = func(w http.ResponseWriter, r *http.Request) {
-			if r.Header.Get("X-Body") == unlucky && runs.Add(1) <= 2 {
-				m.end(i)
+			if r.Header.Get("X-Body") == presentAtCrash && runs.Add(1) <= 2 {
+				m.crash(i)
 				panic(http.ErrAbortHandler)
 			}
 			answerOK(w, r)
 		}
 	}
-	m = &mortals{}
-	m.bed = newBed(t, handlers...)
-	is.Equal(m.send("/read/x", unlucky, 1).StatusCode, http.StatusBadGateway)
-	is.Equal(m.count(), 2)
-	is.Equal(m.send("/read/x", unlucky, 2).StatusCode, http.StatusOK)
+	m = &crashingEntry{}
+	m.testEntry = newTestEntry(t, handlers...)
+	is.Equal(m.send("/read/x", presentAtCrash, 1).StatusCode, http.StatusBadGateway)
+	is.Equal(m.crashCount(), 2)
+	is.Equal(m.send("/read/x", presentAtCrash, 2).StatusCode, http.StatusOK)
 	requests, held := m.server.Quarantine.Len(m.server.clock())
 	is.Equal(requests, 1)
 	is.Equal(held, 0)
-	// Two further ends are the first two again.
+	// Two further crashes are the first two endpoints again.
 	runs.Store(0)
-	is.Equal(m.send("/read/x", unlucky, 3).StatusCode, http.StatusBadGateway)
-	is.Equal(m.send("/read/x", unlucky, 4).StatusCode, http.StatusOK)
+	is.Equal(m.send("/read/x", presentAtCrash, 3).StatusCode, http.StatusBadGateway)
+	is.Equal(m.send("/read/x", presentAtCrash, 4).StatusCode, http.StatusOK)
 }
 
-// countingAdmitter counts who asks for a place.
+// countingAdmitter counts admission requests.
 type countingAdmitter struct {
-	open
-	asked atomic.Int32
+	admitAll
+	calls atomic.Int32
 }
 
 func (a *countingAdmitter) AdmitTo(ctx context.Context, pool string, r workspace.Request) (func(), error) {
-	a.asked.Add(1)
-	return a.open.AdmitTo(ctx, pool, r)
+	a.calls.Add(1)
+	return a.admitAll.AdmitTo(ctx, pool, r)
 }
 
-// Guards against a held request that waits for a place, which others need, only to be refused:
-// the check at admission.
-func TestAHeldRequestAsksForNoPlace(t *testing.T) {
+// Guards against a quarantined request that queues for capacity only to be refused; it must be
+// rejected before admission.
+func TestQuarantinedRequestIsNotQueued(t *testing.T) {
 	is := is.New(t)
-	m := newMortals(t, 6)
+	m := newCrashingEntry(t, 6)
 	admitter := &countingAdmitter{}
 	m.server.Admitter = admitter
 	for id := range 2 {
-		m.send("/read/x", ending, id)
+		m.send("/read/x", crashBody, id)
 	}
-	is.Equal(m.count(), 3)
-	before := admitter.asked.Load()
-	is.Equal(m.send("/read/x", ending, 3).StatusCode, http.StatusServiceUnavailable)
-	is.Equal(admitter.asked.Load(), before)
+	is.Equal(m.crashCount(), 3)
+	before := admitter.calls.Load()
+	is.Equal(m.send("/read/x", crashBody, 3).StatusCode, http.StatusServiceUnavailable)
+	is.Equal(admitter.calls.Load(), before)
 }
--- /dev/null
+++ b/routed/rampup.go
@@ -0,0 +1,44 @@
+package routed
+
+import (
+	"math"
+	"time"
+
+	fleetv1 "github.com/lilackeel/lilackeel/api/fleet/v1"
+	"github.com/lilackeel/lilackeel/endpoint/concurrency"
+)
+
+const (
+	// initialSkew is the load of the busiest rank relative to the mean under a group's first
+	// map, which distributes the experts round-robin.
+	initialSkew = 3
+	// initialGapShare is the fraction of the maximum gap that is used while a group ramps up.
+	initialGapShare = 0.92
+)
+
+// initialLimit returns how many calls a group may run while it ramps up, based on the engine
+// model. With that many calls, steps meet the promised gap under the first map while every
+// engine prefills at its maximum rate. Zero means that the engine model lacks the data.
+func initialLimit(engine *fleetv1.EngineModel, cfg concurrency.Config, engines int) float64 {
+	stride := float64(max(engine.GetStride(), 1))
+	perCall := engine.GetPerRequestMs() * stride * (1 - engine.GetExpertShare() + engine.GetExpertShare()*initialSkew)
+	if cfg.MaxGap <= 0 || perCall <= 0 || engine.GetSets() == 0 || engine.GetPrefillRate() <= 0 {
+		return 0
+	}
+	prompts := float64(engine.GetChunk()) * stride / engine.GetPrefillRate() * 1000
+	available := initialGapShare*float64(cfg.MaxGap.Milliseconds()) - engine.GetStepMs()*stride - prompts
+	return max(available/perCall, 1) * float64(engines)
+}
+
+// maxGrowth returns by how many calls this entry may grow in a group until the next update:
+// its share of one new prompt per engine and maximum gap. An engine prefills prompts between
+// the decode steps of its streams, and all engines of the group wait for it. A burst that
+// starts at once, as after a restart, makes every running stream late, whereas callers that
+// are late already lose nothing by starting a few tenths of a second later.
+func (p groupLoad) maxGrowth(maxGap time.Duration, entries int) int {
+	if maxGap <= 0 {
+		return math.MaxInt
+	}
+	prompts := float64(p.engines) * float64(CapacityUpdateInterval) / float64(maxGap)
+	return int(math.Ceil(prompts * p.share(entries)))
+}
--- a/routed/request.go
+++ b/routed/request.go
@@ -18,30 +18,29 @@
 	"github.com/lilackeel/lilackeel/wait"
 )
 
-// request is one parsed request.
+// request is a parsed request.
 type request struct {
 	id      string
 	version uint64
 	arrived time.Duration
-	// deadline is when the caller must have the final answer.
+	// deadline is when the caller must have the complete response.
 	deadline  time.Duration
 	route     *fleetv1.Route
 	workspace *fleetv1.Workspace
 	pool      string
 	priority  int
-	// target is path and query as they stood in the request line.
+	// target is the path and query as they stood in the request line.
 	method, target, host string
 	header               http.Header
 	body                 []byte
 	work                 load.Work
-	// late is true for a caller who has asked before and waited beyond the objective.
+	// late is true if the caller is retrying and has already waited beyond the objective.
 	late bool
-	// fingerprint is the same for a request that comes again under another id.
+	// fingerprint is equal for requests that are sent again under another id.
 	fingerprint call.Fingerprint
 }
 
-// parse reads a request. What it returns beside a verdict names the request as
-// far as it was read.
+// parse reads a request. With a verdict, it returns the request as far as it was parsed.
 func (s *Server) parse(w http.ResponseWriter, r *http.Request) (*request, *call.Verdict) {
 	table := s.table.Load()
 	q := &request{
@@ -51,7 +50,7 @@
 	if mixedFraming(r) {
 		return q, call.Refuse(errMixedFraming)
 	}
-	if s.refusing.Load() {
+	if s.rejecting.Load() {
 		return q, call.Refuse(errStopping)
 	}
 	if !table.Published() {
@@ -60,17 +59,17 @@
 		}
 		q.version = table.Version()
 	}
-	if v := s.checkHead(r, table); v != nil {
+	if v := s.checkHeadSize(r, table); v != nil {
 		return q, v
 	}
-	if v := q.find(r, table); v != nil {
+	if v := q.resolve(r, table); v != nil {
 		return q, v
 	}
 	q.deadline = q.arrived + time.Duration(q.route.GetTimeoutMs())*time.Millisecond
 	if wait := readMillis(r.Header, s.config.Headers.Deadline); wait > 0 {
 		q.deadline = min(q.deadline, q.arrived+wait)
 	}
-	s.noteWait(q)
+	s.recordWait(q)
 	q.pool = site.PoolOf(q.route, xxhash.Sum64String(q.id))
 	q.priority = site.Priority(q.route, q.workspace)
 	if s.config.Headers.Size != nil {
@@ -79,77 +78,77 @@
 	if v := s.readBody(w, r, q, table); v != nil {
 		return q, v
 	}
-	q.fingerprint = call.FingerprintOf(q.caller(), q.method, q.target, q.body)
+	q.fingerprint = call.FingerprintOf(q.callerName(), q.method, q.target, q.body)
 	return q, nil
 }
 
-// caller names who sent the request.
-func (q *request) caller() string { return q.workspace.GetName() }
+// callerName returns the name of the request's workspace.
+func (q *request) callerName() string { return q.workspace.GetName() }
 
 const (
-	// sitePatience bounds how long a request waits for the first site of an entry that
-	// has just started: that comes within some tenths of a second of the replicas'
-	// election, and a caller who is refused instead may have no further try.
-	sitePatience = time.Second
-	// sitePart is the part of the time that the caller allows, as a divisor.
-	sitePart = 4
-	// sitePoll is the time between two looks.
-	sitePoll = 10 * time.Millisecond
+	// maxSiteWait limits how long a request waits for the first site of an entry that has just
+	// started. The site arrives within some tenths of a second of the replicas' election, and
+	// a caller that is refused may not retry.
+	maxSiteWait = time.Second
+	// siteWaitDivisor limits the wait to this fraction of the time that the caller allows.
+	siteWaitDivisor = 4
+	// sitePollInterval is the interval between two checks.
+	sitePollInterval = 10 * time.Millisecond
 )
 
-// awaitSite waits a moment for the first site, and returns what is in force then.
+// awaitSite waits briefly for the first site, and returns the effective site.
 func (s *Server) awaitSite(r *http.Request) *site.Table {
-	patience := sitePatience
+	maxWait := maxSiteWait
 	if allowed := readMillis(r.Header, s.config.Headers.Deadline); allowed > 0 {
-		patience = min(patience, allowed/sitePart)
+		maxWait = min(maxWait, allowed/siteWaitDivisor)
 	}
-	until := s.clock() + patience
+	until := s.clock() + maxWait
 	table := s.table.Load()
 	for !table.Published() && s.clock() < until && r.Context().Err() == nil {
-		wait.For(r.Context(), sitePoll)
+		wait.For(r.Context(), sitePollInterval)
 		table = s.table.Load()
 	}
 	return table
 }
 
-// noteWait compares what the caller allows with what others do.
-func (s *Server) noteWait(q *request) {
+// recordWait compares the time that the caller allows with that of other callers.
+func (s *Server) recordWait(q *request) {
 	timeout := time.Duration(q.route.GetTimeoutMs()) * time.Millisecond
 	objective := time.Duration(q.route.GetObjectiveMs()) * time.Millisecond
 	allowed := q.deadline - q.arrived
-	q.late = s.usual.late(allowed, timeout, objective)
+	q.late = s.firstAttemptWait.late(allowed, timeout, objective)
 	if timeout > 0 {
-		s.usual.observe(float64(allowed) / float64(timeout))
+		s.firstAttemptWait.observe(float64(allowed) / float64(timeout))
 	}
 }
 
-// inTime reports whether the request can still be answered within its route's
-// objective: its caller has not waited elsewhere for longer than that.
-func (q *request) inTime() bool { return !q.late }
+// onTime reports whether the request can still be served within its route's objective, that
+// is, whether its caller has not already waited longer than that.
+func (q *request) onTime() bool { return !q.late }
 
-// patience is how long a request that is late already may wait for a place: it
-// loses nothing by waiting, if there is time enough left for its answer, and if
-// its caller does not take the silence for a failure.
-func (q *request) patience() time.Duration {
-	patience := (q.deadline - q.arrived) / latePatience
+// lateQueueWait returns how long a request that is already late may queue. It loses nothing by
+// waiting, as long as enough time is left for its response and its caller does not take the
+// silence for a failure.
+func (q *request) lateQueueWait() time.Duration {
+	maxWait := (q.deadline - q.arrived) / lateWaitDivisor
 	if q.route.GetKind() == fleetv1.CallKind_CALL_KIND_STREAM {
-		silence := time.Duration(lateObjectives * float64(q.route.GetObjectiveMs()) * float64(time.Millisecond))
-		patience = min(patience, silence)
+		maxSilence := time.Duration(lateWaitObjectives * float64(q.route.GetObjectiveMs()) * float64(time.Millisecond))
+		maxWait = min(maxWait, maxSilence)
 	}
-	return max(patience, 1)
+	return max(maxWait, 1)
 }
 
 const (
-	// latePatience is the part of the time left, as a divisor, that a late request
-	// may wait for a place.
-	latePatience = 2
-	// lateObjectives is how many objectives of a route a late stream may wait:
-	// callers leave a stream that is silent for some four of them, and its first
-	// event takes up to one.
-	lateObjectives = 3.0
+	// lateWaitDivisor limits the queueing time of a late request to this fraction of the time
+	// left.
+	lateWaitDivisor = 2
+	// lateWaitObjectives is how many objectives of its route a late stream may queue. Callers
+	// abandon a stream after a silence of about four objectives, and its first event takes up
+	// to one.
+	lateWaitObjectives = 3.0
 )
 
-// target returns path and query byte for byte.
+// target returns the path and query unchanged.
 func target(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -157,8 +156,8 @@
 	return r.URL.RequestURI()
 }
 
-// checkHead bounds the head of a request.
-func (s *Server) checkHead(r *http.Request, table *site.Table) *call.Verdict {
+// checkHeadSize enforces the limit on the request head.
+func (s *Server) checkHeadSize(r *http.Request, table *site.Table) *call.Verdict {
 	limit := orDefault(table.Limits().GetHeaderBytes(), s.config.MaxHeaderBytes)
 	size := int64(len(r.Method) + len(r.RequestURI) + len(r.Host))
 	for name, values := range r.Header {
@@ -180,12 +179,12 @@
 	return fallback
 }
 
-// find looks up the route and the workspace.
-func (q *request) find(r *http.Request, table *site.Table) *call.Verdict {
+// resolve looks up the route and the workspace.
+func (q *request) resolve(r *http.Request, table *site.Table) *call.Verdict {
 	path, _, _ := strings.Cut(q.target, "?")
 	q.route = table.Route(q.host, path)
 	if q.route == nil {
-		return call.Refuse(fault.Newf(fault.NotFound, "use the host and path of a route", "no route leads to %s%s", q.host, path))
+		return call.Refuse(fault.Newf(fault.NotFound, "use the host and path of a route", "no route matches %s%s", q.host, path))
 	}
 	scheme, key, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	key = strings.TrimSpace(key)
@@ -199,12 +198,12 @@
 	if known || q.route.GetPublic() || !table.HasWorkspaces() {
 		return nil
 	}
-	return call.Refuse(fault.New(fault.Unauthenticated, "the workspace key is missing or not known",
+	return call.Refuse(fault.New(fault.Unauthenticated, "the workspace key is missing or unknown",
 		"send Authorization: Bearer with a key of your workspace"))
 }
 
-// readBody reads the whole body, so that what is forwarded is whole and can be
-// sent again.
+// readBody reads the whole body, so that an incomplete body is never forwarded and a retry is
+// possible.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, q *request, table *site.Table) *call.Verdict {
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
 		return nil
@@ -214,11 +213,11 @@
 		return errBodyTooLarge(limit)
 	}
 	control := http.NewResponseController(w)
-	left := min(s.config.BodyTimeout, max(q.deadline-s.clock(), time.Millisecond))
-	_ = control.SetReadDeadline(time.Now().Add(left))
+	bodyTimeout := min(s.config.BodyTimeout, max(q.deadline-s.clock(), time.Millisecond))
+	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err == nil {
-		// After a fault it stays, or the server would wait for the rest of the body.
+		// On an error the deadline is kept, or the server would wait for the rest of the body.
 		_ = control.SetReadDeadline(time.Time{})
 	}
 	var tooLarge *http.MaxBytesError
@@ -230,11 +229,11 @@
 	case errors.As(err, &tooLarge):
 		return errBodyTooLarge(limit)
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return call.RefuseWith(http.StatusRequestTimeout, fault.New(fault.Invalid, "the body did not come in time", "send it again").WithCause(err))
+		return call.RefuseWith(http.StatusRequestTimeout, fault.New(fault.Invalid, "timed out reading the request body", "retry the request").WithCause(err))
 	}
-	return call.RefuseWith(http.StatusBadRequest, fault.New(fault.Invalid, "the body is not whole", "send it again").WithCause(err))
+	return call.RefuseWith(http.StatusBadRequest, fault.New(fault.Invalid, "the request body is incomplete", "retry the request").WithCause(err))
 }
 
 func errBodyTooLarge(limit int64) *call.Verdict {
-	return call.RefuseWith(http.StatusRequestEntityTooLarge, fault.Newf(fault.Invalid, "send a smaller body", "the body is over the limit of %d bytes", limit))
+	return call.RefuseWith(http.StatusRequestEntityTooLarge, fault.Newf(fault.Invalid, "send a smaller body", "the body exceeds the limit of %d bytes", limit))
 }
--- a/routed/server.go
+++ b/routed/server.go
@@ -26,68 +26,68 @@
 	"github.com/lilackeel/lilackeel/workspace"
 )
 
-// Admitter lets requests in. The error is a fault and means that the request has
-// not run; release must be called once after success.
+// Admitter controls admission. An error is a fault and means that the request has not run.
+// After success, release must be called once.
 type Admitter interface {
-	// AdmitTo waits for a place in a pool at most until ctx ends.
+	// AdmitTo waits for capacity in a pool until ctx is done.
 	AdmitTo(ctx context.Context, pool string, r workspace.Request) (release func(), err error)
-	// AdmitLate waits up to patience for a place that nobody else waits for, or for one
-	// where answers come late.
-	AdmitLate(ctx context.Context, pool string, r workspace.Request, patience time.Duration) (release func(), err error)
+	// AdmitLate waits up to maxWait for capacity that no other request waits for, or for
+	// capacity in a group that responds late.
+	AdmitLate(ctx context.Context, pool string, r workspace.Request, maxWait time.Duration) (release func(), err error)
 }
 
-// Picker chooses the endpoint of a call; pick.Picker is one.
+// Picker chooses the endpoint of a call. It is implemented by pick.Picker.
 type Picker interface {
-	// Pick returns the endpoint and how it was chosen. The error is a fault.
+	// Pick returns the endpoint and how it was chosen. An error is a fault.
 	Pick(now time.Duration, rng *rand.Rand, r *pick.Request) (endpoint.Endpoint, pick.Explain, error)
 }
 
-// RateLimits knows what endpoints say of the requests that they take.
+// RateLimits tracks the rate limits and pauses that endpoints state.
 type RateLimits interface {
-	// Answered takes in what an answer of an endpoint says of the requests that it takes.
+	// RecordAnswer records what a response states about its endpoint's rate limit and state.
 	RecordAnswer(e *endpoint.Endpoint, f ratelimit.Feedback)
-	// Admit reports whether one more request may be sent to an endpoint now, and counts it;
-	// again is true for a further attempt. It may ask a host.
+	// Admit reports whether another request may be sent to an endpoint now, and counts it;
+	// again is true for a retry. It may ask a host for a permit.
 	Admit(ctx context.Context, e *endpoint.Endpoint, again bool) bool
-	// Limited returns the endpoints that name a limit, Closed those to which nothing may be
-	// sent now.
+	// Limited returns the endpoints that state a rate limit; Blocked returns those to which
+	// nothing may be sent now.
 	Limited() []string
 	Blocked() []string
-	// InPause reports whether an endpoint has asked for a pause that has not ended.
+	// InPause reports whether an endpoint has asked for a pause that has not ended yet.
 	InPause(id string) bool
-	// Reserves returns the endpoints that leave or have asked for a pause, with times of the
-	// server's clock.
+	// Restrictions returns the endpoints that are leaving or have asked for a pause, with
+	// times of the server's clock.
 	Restrictions() map[string]ratelimit.Reserve
-	// Refusal returns the fault of a request for which no endpoint of a pool is left, if some
-	// take requests again later; nil otherwise.
+	// Refusal returns the fault of a request for which a pool has no endpoint left, if some
+	// accept requests again later; nil otherwise.
 	Refusal(pool string) *fault.Error
 }
 
-// Config is how a Server answers.
+// Config is the configuration of a Server.
 type Config struct {
-	// Name names the entry and Zone its availability zone.
+	// Name is the name of the entry and Zone its availability zone.
 	Name, Zone string
-	// Headers are the names of the headers that it acts on.
+	// Headers are the names of the headers that the server interprets.
 	Headers Headers
-	// RetryStyle is how callers are told when to come back.
+	// RetryAfterFormat is the format of the Retry-After header.
 	RetryAfterFormat answer.RetryAfterFormat
-	// MaxHeaderBytes and MaxBodyBytes bound requests where the site says nothing.
+	// MaxHeaderBytes and MaxBodyBytes limit requests if the site sets no limits.
 	MaxHeaderBytes, MaxBodyBytes int64
-	// BodyTimeout bounds the time in which a caller sends the body, WriteTimeout
-	// the time in which it takes one part of the answer.
+	// BodyTimeout limits the time in which a caller must send the body, and WriteTimeout the
+	// time of one write of the response.
 	BodyTimeout, WriteTimeout time.Duration
-	// HoldBytes is how much of an answer that is not a stream is held back until
-	// it is whole.
+	// MaxBufferedBytes is how much of a response that is not a stream is buffered until it is
+	// complete.
 	MaxBufferedBytes int
-	// Backoff is the wait before a retry, RetryAfter what callers are told when
-	// nothing better is known.
+	// Backoff is the delay before a retry, and RetryAfter the delay that callers are told if
+	// no better value is known.
 	Backoff    call.Backoff
 	RetryAfter time.Duration
-	// AccessLog writes a line for every answered request, too.
+	// AccessLog also logs requests that were answered.
 	AccessLog bool
 }
 
-// Parts are the dependencies of a Server.
+// Dependencies are the dependencies of a Server.
 type Dependencies struct {
 	Admitter  Admitter
 	Picker    Picker
@@ -96,72 +96,75 @@
 	Outliers  *outlier.Detector
 	Reach     *reach.Tracker
 	Groups    *lockstep.Tracker
-	// Quarantine knows the requests under which endpoints have ended.
+	// Quarantine tracks the requests during which endpoints crashed.
 	Quarantine *quarantine.Tracker
 	RateLimits RateLimits
-	// Suspects are endpoints that do not answer, on the evidence of all entries.
+	// Suspects tracks endpoints that do not respond, based on the reports of all entries.
 	Suspects *suspicion.Tracker
 	Client   *direct.Client
 	Budget   *call.Budget
 	Logger   *slog.Logger
 }
 
-// Server answers callers. It is an http.Handler.
+// Server serves requests. It implements http.Handler.
 type Server struct {
 	Dependencies
-	config  Config
-	private map[string]bool
-	metrics *serverMetrics
-	// throttle keeps the pace of the pools.
-	throttle *throttle
-	// usual is how long callers allow when they first ask.
-	usual usualWait
-	// firsts is how long first parts take once a request has its place.
-	firsts firstParts
-	// lengths is how many parts streams have.
-	lengths streamLengths
-	// paths is how late parts come on the way from each zone.
-	paths pathDelays
-	// placement says which groups calls go to.
+	config          Config
+	consumedHeaders map[string]bool
+	metrics         *serverMetrics
+	// groupLimits limits the calls in flight in each group.
+	groupLimits *groupLimits
+	// usualWait estimates how long callers allow in their first attempt.
+	firstAttemptWait waitEstimator
+	// firstChunkTimes estimates the time to the first chunk.
+	firstChunkTimes firstChunkTimes
+	// streamLengths estimates the number of chunks of streams.
+	streamLengths streamLengths
+	// pathDelays estimates the delay of chunks on the path from each zone.
+	pathDelays pathDelays
+	// placement is the latest capacity of the groups.
 	placement atomic.Pointer[placement]
 	clock     func() time.Duration
 	name      string
-	// start tells the ids made by this process from those of others of its name.
-	start    uint64
-	sequence atomic.Uint64
-	table    atomic.Pointer[site.Table]
-	// since is when the first site came, in nanoseconds of the clock; zero before.
-	since    atomic.Int64
-	stopping atomic.Bool
-	refusing atomic.Bool
+	// startNonce distinguishes the ids generated by this process from those of other processes
+	// with the same name.
+	startNonce uint64
+	sequence   atomic.Uint64
+	table      atomic.Pointer[site.Table]
+	// firstSiteAt is when the first site was received, in nanoseconds of the clock; zero
+	// before.
+	firstSiteAt        atomic.Int64
+	keepAlivesDisabled atomic.Bool
+	rejecting          atomic.Bool
 }
 
-// NewServer returns a server without a site. The clock returns the time since an
-// arbitrary start, the same as for the parts.
-func NewServer(cfg Config, parts Dependencies, clock func() time.Duration) *Server {
+// NewServer returns a server without a site. The clock returns the time since an arbitrary
+// start and must be the clock of the dependencies.
+func NewServer(cfg Config, deps Dependencies, clock func() time.Duration) *Server {
 	s := &Server{
-		Dependencies: parts, config: cfg, private: cfg.Headers.private(), metrics: newServerMetrics(), throttle: newThrottle(),
-		clock: clock, name: cfg.Name, start: rand.Uint64() >> 16,
+		Dependencies: deps, config: cfg, consumedHeaders: cfg.Headers.consumed(), metrics: newServerMetrics(), groupLimits: newGroupLimits(),
+		clock: clock, name: cfg.Name, startNonce: rand.Uint64() >> 16,
 	}
 	s.table.Store(site.NewTable(nil))
 	s.placement.Store(&placement{})
 	return s
 }
 
-// Publish puts a site in force for the requests that come from now on.
+// Publish makes a site effective for subsequent requests.
 func (s *Server) Publish(table *site.Table) { s.table.Store(table) }
 
-// Published reports whether a site is in force.
+// Published reports whether a site is effective.
 func (s *Server) Published() bool { return s.table.Load().Published() }
 
-// Stop makes callers leave: each answer from now on closes its connection.
-func (s *Server) DisableKeepAlives() { s.stopping.Store(true) }
+// DisableKeepAlives makes each subsequent response close its connection, so that callers move
+// to other entries.
+func (s *Server) DisableKeepAlives() { s.keepAlivesDisabled.Store(true) }
 
-// Refuse ends the taking on of requests: those that still come on connections
-// kept from before are told that they have not run.
-func (s *Server) RejectRequests() { s.refusing.Store(true) }
+// RejectRequests rejects all subsequent requests. Requests that still arrive on open
+// connections are told that they have not run.
+func (s *Server) RejectRequests() { s.rejecting.Store(true) }
 
-// InFlight returns the number of requests that are being answered.
+// InFlight returns the number of requests in progress.
 func (s *Server) InFlight() int64 { return s.metrics.inFlight.Load() }
 
 // ServeHTTP implements http.Handler.
@@ -170,7 +173,7 @@
 	defer s.metrics.inFlight.Add(-1)
 	ctx, span := telemetry.Span(telemetry.Extract(r.Context(), r.Header), "entry")
 	defer span.End()
-	if s.stopping.Load() {
+	if s.keepAlivesDisabled.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	q, verdict := s.parse(w, r.WithContext(ctx))
@@ -178,16 +181,17 @@
 		s.refuse(w, r, q, verdict)
 		return
 	}
-	x := &exchange{server: s, request: q, w: w, control: http.NewResponseController(w), caller: ctx}
+	x := &exchange{server: s, request: q, w: w, control: http.NewResponseController(w), callerCtx: ctx}
 	if !x.run() {
-		// The connection is closed, so that a part is not taken for the whole.
+		// The connection is closed, so that a truncated response is not taken for a complete
+		// one.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// refuse answers a request that was not taken on.
+// refuse answers a request that was rejected before processing.
 func (s *Server) refuse(w http.ResponseWriter, r *http.Request, q *request, v *call.Verdict) {
-	if verdictCloses(v) {
+	if closesConnection(v) {
 		w.Header().Set("Connection", "close")
 	}
 	if q.id != "" {
@@ -202,8 +206,8 @@
 		slog.Duration("took", s.clock()-q.arrived), slog.Duration("up", s.clock()), slog.Any("write_error", err))
 }
 
-// verdictCloses reports whether the connection cannot be read on after a refusal.
-func verdictCloses(v *call.Verdict) bool {
+// closesConnection reports whether the connection must be closed after a refusal.
+func closesConnection(v *call.Verdict) bool {
 	switch v.HTTPStatus() {
 	case http.StatusRequestEntityTooLarge, http.StatusRequestTimeout, http.StatusRequestHeaderFieldsTooLarge:
 		return true
@@ -211,14 +215,14 @@
 	return v.Fault == errMixedFraming
 }
 
-// errNoSite refuses every request until a site is in force: before that no key,
-// host or path can be called wrong.
+// errNoSite rejects every request until a site is published. Until then a key, host or path
+// cannot be judged invalid.
 var errNoSite = fault.New(fault.Unavailable, "this entry has no accepted configuration yet",
-	"ask again after the time given; if it lasts, look for a quorum of control replicas").RetryIn(time.Second)
+	"retry after the stated delay; if the error persists, check that the control replicas have a quorum").RetryIn(time.Second)
 
-// errStopping refuses what comes to a stopping entry after its last moment. Other
-// entries take it at once.
-var errStopping = fault.New(fault.Leaving, "this entry is stopping", "ask again on a new connection").RetryIn(10 * time.Millisecond)
+// errStopping rejects requests that arrive after a stopping entry has ceased to accept them.
+// Other entries accept them at once.
+var errStopping = fault.New(fault.Leaving, "this entry is stopping", "retry on a new connection").RetryIn(10 * time.Millisecond)
 
-// errMixedFraming refuses a request that could be read as two.
-var errMixedFraming = fault.New(fault.Invalid, "the request states both a length and chunks", "send its body in one way")
+// errMixedFraming rejects a request that could be interpreted as two.
+var errMixedFraming = fault.New(fault.Invalid, "the request has both Content-Length and Transfer-Encoding", "send only one of them")
