--- a/control/expertmap/balancing.go
+++ b/control/expertmap/balancing.go
@@ -12,7 +12,7 @@
 
 // Balancing proposes maps by one balance.Balancer for each group. Operators set
 // the policies of the groups; a change of one starts its balancer anew.
-type Balancing struct {
+type BalancingProposer struct {
 	// Configs of the groups, without what a policy says.
 	Configs map[string]balance.Config
 	// Policy returns the present policy of a group, or nil.
@@ -37,7 +37,7 @@
 }
 
 // Observe implements Proposer.
-func (b *Balancing) Observe(_ time.Duration, load *agentv1.ExpertLoad) {
+func (b *BalancingProposer) Observe(_ time.Duration, load *agentv1.ExpertLoad) {
 	g := b.group(load.GetGroup())
 	if g == nil {
 		return
@@ -47,10 +47,10 @@
 
 // Switched implements Proposer. What a switch costs is a setting of these groups, whose
 // ranks ask for each step.
-func (b *Balancing) Switched(time.Duration, string, time.Duration) {}
+func (b *BalancingProposer) Switched(time.Duration, string, time.Duration) {}
 
 // Propose implements Proposer.
-func (b *Balancing) Propose(now time.Duration, name string, current group.Map) (next group.Map, ok bool) {
+func (b *BalancingProposer) Propose(now time.Duration, name string, current group.Map) (next group.Map, ok bool) {
 	g := b.group(name)
 	if g == nil || now-g.asked < g.config.Interval {
 		return group.Map{}, false
@@ -85,7 +85,7 @@
 }
 
 // group returns the balancer of a group that has a policy, else nil.
-func (b *Balancing) group(name string) *balanced {
+func (b *BalancingProposer) group(name string) *balanced {
 	config, known := b.Configs[name]
 	policy := b.Policy(name)
 	if !known || policy == nil {
--- a/control/expertmap/balancing_test.go
+++ b/control/expertmap/balancing_test.go
@@ -39,7 +39,7 @@
 	groups, err := ReadGroups(path)
 	is.NoErr(err)
 	var policy *fleetv1.BalancePolicy
-	b := &Balancing{Configs: groups.Configs, Logger: slog.New(slog.DiscardHandler),
+	b := &BalancingProposer{Configs: groups.Configs, Logger: slog.New(slog.DiscardHandler),
 		Policy: func(string) *fleetv1.BalancePolicy { return policy }}
 	shape := groups.Shapes[balancedGroup]
 	current := group.RoundRobin(shape)
--- a/control/expertmap/branches_test.go
+++ b/control/expertmap/branches_test.go
@@ -134,7 +134,7 @@
 	driver := NewDriver(Config{
 		State: f.state, Log: f, Transport: f, Shapes: func() map[string]group.Shape { return map[string]group.Shape{testGroup: largeGroup} },
 		Token: 1, LogTime: func() int64 { return 0 }, Logger: slog.New(slog.DiscardHandler), BranchSize: branch,
-		ObserveEvery: func(string) time.Duration { return 150 * time.Millisecond },
+		ObserveInterval: func(string) time.Duration { return 150 * time.Millisecond },
 	})
 	go driver.Run(ctx)
 }
--- a/control/expertmap/driver.go
+++ b/control/expertmap/driver.go
@@ -56,7 +56,7 @@
 	Shapes func() map[string]group.Shape
 	// ObserveEvery is the time between two observations that the Proposer wants
 	// of a group. Agents that count by themselves are called at least twice in that time.
-	ObserveEvery func(group string) time.Duration
+	ObserveInterval func(group string) time.Duration
 	// BranchSize is the number of agents that one call reaches through one of them,
 	// where agents pass requests on and count when they are asked; zero where they do not.
 	BranchSize int
--- a/control/expertmap/following.go
+++ b/control/expertmap/following.go
@@ -11,13 +11,13 @@
 
 // Following proposes maps by one balance.Follower for each group whose demand
 // shifts within seconds.
-type Following struct {
+type FollowingProposer struct {
 	// Config returns the settings of a group; ok is false for one that is not
 	// followed.
 	Config func(group string) (config balance.FollowConfig, ok bool)
 	// Pause returns the longest pause that the streams of a group are held to; nil, or
 	// zero, for none.
-	Pause func(group string) time.Duration
+	MaxGap func(group string) time.Duration
 	// Interval is the time between two observations.
 	Interval time.Duration
 	// Logger must be set.
@@ -46,7 +46,7 @@
 
 // Observe implements Proposer. Demand is followed during a switch as well, so that the next
 // decision is made on what was seen last.
-func (f *Following) Observe(now time.Duration, load *agentv1.ExpertLoad) {
+func (f *FollowingProposer) Observe(now time.Duration, load *agentv1.ExpertLoad) {
 	g := f.group(load.GetGroup())
 	if g == nil {
 		return
@@ -65,14 +65,14 @@
 }
 
 // Switched implements Proposer.
-func (f *Following) Switched(now time.Duration, name string, waited time.Duration) {
+func (f *FollowingProposer) Switched(now time.Duration, name string, waited time.Duration) {
 	if g := f.group(name); g != nil {
 		g.stalls.Switched(now, waited)
 	}
 }
 
 // Propose implements Proposer.
-func (f *Following) Propose(now time.Duration, name string, current group.Map) (next group.Map, ok bool) {
+func (f *FollowingProposer) Propose(now time.Duration, name string, current group.Map) (next group.Map, ok bool) {
 	g := f.group(name)
 	if g == nil || !g.fresh {
 		return group.Map{}, false
@@ -96,11 +96,11 @@
 	return decision.Map, true
 }
 
-func (f *Following) pause(name string) time.Duration {
-	if f.Pause == nil {
+func (f *FollowingProposer) pause(name string) time.Duration {
+	if f.MaxGap == nil {
 		return 0
 	}
-	return f.Pause(name)
+	return f.MaxGap(name)
 }
 
 // pass is how long a pass takes under a map; zero if that is not known.
@@ -109,7 +109,7 @@
 }
 
 // group returns the follower of a group, made at the first look.
-func (f *Following) group(name string) *followed {
+func (f *FollowingProposer) group(name string) *followed {
 	if g := f.groups[name]; g != nil {
 		return g
 	}
--- a/control/expertmap/following_test.go
+++ b/control/expertmap/following_test.go
@@ -17,7 +17,7 @@
 // watched is a group of 16 ranks whose demand is seen each 150 ms, with passes of a length.
 // Its first map leaves a skew of about three.
 type watched struct {
-	following *Following
+	following *FollowingProposer
 	shape     group.Shape
 	now       time.Duration
 	passes    float64
@@ -29,9 +29,9 @@
 		Shape: shape, Reach: balance.Reach{Spare: 2, Copies: 10}, Fixed: 2.8, CopySeconds: 0.037, CopySlow: 0.15,
 		OrderSeconds: 0.09, StallSeconds: 0.005, MoveSeconds: 0.0004, HoldSeconds: 2, Smoothing: 0.3, Jump: 0.12,
 	}
-	return &watched{shape: shape, following: &Following{
+	return &watched{shape: shape, following: &FollowingProposer{
 		Config: func(string) (balance.FollowConfig, bool) { return config, true },
-		Pause:  func(string) time.Duration { return pause }, Interval: 150 * time.Millisecond, Logger: slog.New(slog.DiscardHandler),
+		MaxGap: func(string) time.Duration { return pause }, Interval: 150 * time.Millisecond, Logger: slog.New(slog.DiscardHandler),
 	}}
 }
 
--- a/control/expertmap/polling.go
+++ b/control/expertmap/polling.go
@@ -78,8 +78,8 @@
 // many ranks it grows, so that the leader's calls stay within callBudget.
 func (d *Driver) pollInterval(name string) time.Duration {
 	interval, calls := restInterval, len(d.ranks)/max(d.cfg.BranchSize, 1)
-	if d.cfg.ObserveEvery != nil {
-		wanted := d.cfg.ObserveEvery(name)
+	if d.cfg.ObserveInterval != nil {
+		wanted := d.cfg.ObserveInterval(name)
 		if d.cfg.BranchSize == 0 {
 			wanted /= 2
 		}
--- a/control/expertmap/rescue.go
+++ b/control/expertmap/rescue.go
@@ -31,7 +31,7 @@
 	Engine func(id string) rankhost.Engine
 	// Read reads the record of a group through a quorum, and the fencing token of
 	// the coordinator that wrote it last.
-	Read func(ctx context.Context, group string) (*fleetv1.MapRecord, uint64, error)
+	ReadRecord func(ctx context.Context, group string) (*fleetv1.MapRecord, uint64, error)
 }
 
 // rescue looks at the engines of a group's silent hosts. They take part in no
@@ -105,7 +105,7 @@
 	if status.Name() != name || status.Rank != rank {
 		return // it has left the formation, of which nothing is known any more
 	}
-	stored, fence, err := d.cfg.Rescue.Read(ctx, name)
+	stored, fence, err := d.cfg.Rescue.ReadRecord(ctx, name)
 	if err != nil && !first {
 		return // logged before
 	}
--- a/control/expertmap/rescue_test.go
+++ b/control/expertmap/rescue_test.go
@@ -91,7 +91,7 @@
 				}
 				return nil
 			},
-			Read: func(context.Context, string) (*fleetv1.MapRecord, uint64, error) {
+			ReadRecord: func(context.Context, string) (*fleetv1.MapRecord, uint64, error) {
 				engine.mu.Lock()
 				inOrder = inOrder && engine.read
 				engine.read = false
@@ -134,7 +134,7 @@
 		want  time.Duration
 	}{{16, 75 * time.Millisecond}, {250, time.Second}, {2500, 10 * time.Second}} {
 		is := is.New(t)
-		d := NewDriver(Config{ObserveEvery: func(string) time.Duration { return 150 * time.Millisecond }})
+		d := NewDriver(Config{ObserveInterval: func(string) time.Duration { return 150 * time.Millisecond }})
 		d.ranks = addresses{}
 		for rank := range test.ranks {
 			d.ranks[rankName{"g", rank}] = "10.0.0.1:1"
--- a/control/formations.go
+++ b/control/formations.go
@@ -149,10 +149,10 @@
 	found := &formations{state: m.state, copyPrice: m.copyPrice}
 	return expertmap.Config{
 		State: m.state, Log: m.log, Transport: agentTransport{m.pool}, Shapes: found.all, Token: l.fence, LogTime: l.logTime, Logger: m.logger,
-		Rescue:       m.rescue(),
-		BranchSize:   branchSize,
-		Proposer:     &expertmap.Following{Config: found.config, Pause: found.pause, Interval: followInterval, Logger: m.logger},
-		ObserveEvery: func(string) time.Duration { return followInterval },
+		Rescue:          m.rescue(),
+		BranchSize:      branchSize,
+		Proposer:        &expertmap.FollowingProposer{Config: found.config, MaxGap: found.pause, Interval: followInterval, Logger: m.logger},
+		ObserveInterval: func(string) time.Duration { return followInterval },
 		Options: func(name string) mapswitch.Options {
 			return mapswitch.Options{
 				StepTime: shortestStep(found.engines[name]), MaxLead: maxLead, PromiseWindow: promiseWindow, PrepareTimeout: prepareTimeout,
--- a/control/maps.go
+++ b/control/maps.go
@@ -43,15 +43,15 @@
 // statedConfig sets up the driver of the groups of the file in one term.
 func (m *mapper) statedConfig(l *leadership) expertmap.Config {
 	return expertmap.Config{
-		State:        m.state,
-		Log:          m.log,
-		Transport:    agentTransport{m.pool},
-		Proposer:     &expertmap.Balancing{Configs: m.groups.Configs, Policy: m.policy, Logger: m.logger},
-		Shapes:       func() map[string]group.Shape { return m.groups.Shapes },
-		ObserveEvery: func(name string) time.Duration { return m.groups.Configs[name].Interval },
-		Token:        l.fence,
-		LogTime:      l.logTime,
-		Logger:       m.logger,
+		State:           m.state,
+		Log:             m.log,
+		Transport:       agentTransport{m.pool},
+		Proposer:        &expertmap.BalancingProposer{Configs: m.groups.Configs, Policy: m.policy, Logger: m.logger},
+		Shapes:          func() map[string]group.Shape { return m.groups.Shapes },
+		ObserveInterval: func(name string) time.Duration { return m.groups.Configs[name].Interval },
+		Token:           l.fence,
+		LogTime:         l.logTime,
+		Logger:          m.logger,
 	}
 }
 
@@ -67,7 +67,7 @@
 			}
 			return nil
 		},
-		Read: func(ctx context.Context, group string) (*fleetv1.MapRecord, uint64, error) {
+		ReadRecord: func(ctx context.Context, group string) (*fleetv1.MapRecord, uint64, error) {
 			if _, err := m.log.ReadIndex(ctx); err != nil {
 				return nil, 0, err
 			}
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -14,9 +14,9 @@
 	termsLed      = metrics.NewCounter("lilackeel_control_terms_led_total")
 
 	orderOutcomes = map[reconcile.Outcome]*metrics.Counter{
-		reconcile.Done:     metrics.NewCounter(`lilackeel_control_orders_total{outcome="done"}`),
-		reconcile.NotRun:   metrics.NewCounter(`lilackeel_control_orders_total{outcome="not_run"}`),
-		reconcile.CutShort: metrics.NewCounter(`lilackeel_control_orders_total{outcome="cut_short"}`),
+		reconcile.Done:        metrics.NewCounter(`lilackeel_control_orders_total{outcome="done"}`),
+		reconcile.NotRun:      metrics.NewCounter(`lilackeel_control_orders_total{outcome="not_run"}`),
+		reconcile.Interrupted: metrics.NewCounter(`lilackeel_control_orders_total{outcome="cut_short"}`),
 	}
 )
 
--- a/control/orders.go
+++ b/control/orders.go
@@ -172,7 +172,7 @@
 	case fault.Unavailable, fault.Invalid, fault.NotFound, fault.Fenced, fault.NoQuorum, fault.Leaving, fault.Overloaded, fault.Unauthenticated:
 		return reconcile.NotRun
 	}
-	return reconcile.CutShort
+	return reconcile.Interrupted
 }
 
 // end records what was read back.
@@ -180,8 +180,8 @@
 	endpoint := result.action.Endpoint
 	orderOutcomes[result.outcome].Inc()
 	observed := result.response.GetObserved()
-	record := reconciler.Ended(l.now(), result.action, result.outcome, result.response.GetHighestFence())
-	l.note(endpoint.ID, reconciler.Waiting(endpoint.ID), result.err)
+	record := reconciler.RecordOutcome(l.now(), result.action, result.outcome, result.response.GetHighestFence())
+	l.note(endpoint.ID, reconciler.Progress(endpoint.ID), result.err)
 	if result.err != nil {
 		c.logger.Warn("an endpoint did not take an order", "endpoint", endpoint.ID,
 			"kind", result.action.Request.GetKind().String(), "error", result.err)
--- a/control/providers.go
+++ b/control/providers.go
@@ -58,11 +58,11 @@
 // newDrivers returns what a leader does besides answering calls.
 func newDrivers(s *Settings, log Log, state *contract.State, pool *link.Pool, r *reports, logger *slog.Logger) []driver {
 	limits := reconcile.Limits{
-		Loads:      s.Loads,
-		LoadShare:  s.LoadShare,
-		FirstRetry: reconcile.DefaultFirstRetry,
-		LastRetry:  reconcile.DefaultLastRetry,
-		Audit:      reconcile.DefaultAudit,
+		MaxLoads:       s.Loads,
+		MaxLoadShare:   s.LoadShare,
+		InitialBackoff: reconcile.DefaultInitialBackoff,
+		MaxBackoff:     reconcile.DefaultMaxBackoff,
+		AuditInterval:  reconcile.DefaultAuditInterval,
 	}
 	orders := &orderDriver{state: state, log: log, pool: pool, limits: limits, logger: logger}
 	finish := &finisher{state: state, log: log, reports: r, logger: logger}
--- a/control/reconcile/loads.go
+++ b/control/reconcile/loads.go
@@ -12,9 +12,9 @@
 	for _, endpoint := range endpoints {
 		sizes[endpoint.Pool]++
 	}
-	budget := &loadBudget{fleet: r.limits.Loads, pools: map[string]int{}}
+	budget := &loadBudget{fleet: r.limits.MaxLoads, pools: map[string]int{}}
 	for pool, size := range sizes {
-		budget.pools[pool] = max(1, int(r.limits.LoadShare*float64(size)))
+		budget.pools[pool] = max(1, int(r.limits.MaxLoadShare*float64(size)))
 	}
 	for _, w := range r.endpoints {
 		if w.loading {
--- a/control/reconcile/reconciler.go
+++ b/control/reconcile/reconciler.go
@@ -11,22 +11,22 @@
 // Limits bound what is under way at the same time, and the pauses.
 type Limits struct {
 	// Loads is the number of loads in the fleet, at least 1.
-	Loads int
+	MaxLoads int
 	// LoadShare is the share of a pool's endpoints that load; one always may.
-	LoadShare float64
+	MaxLoadShare float64
 	// FirstRetry and LastRetry bound the pause after a failure, which doubles
 	// each time.
-	FirstRetry, LastRetry time.Duration
+	InitialBackoff, MaxBackoff time.Duration
 	// Audit is the time between two read-backs of an endpoint that nothing is
 	// wanted of. The first one in a term comes at a random time within it.
-	Audit time.Duration
+	AuditInterval time.Duration
 }
 
 // Defaults of the pauses in Limits.
 const (
-	DefaultFirstRetry = 500 * time.Millisecond
-	DefaultLastRetry  = 30 * time.Second
-	DefaultAudit      = 30 * time.Second
+	DefaultInitialBackoff = 500 * time.Millisecond
+	DefaultMaxBackoff     = 30 * time.Second
+	DefaultAuditInterval  = 30 * time.Second
 )
 
 // Endpoint is a live engine as the state knows it.
@@ -65,7 +65,7 @@
 	// NotRun: the order has not been carried out and never will be.
 	NotRun
 	// CutShort: the order may have been carried out, or may yet be.
-	CutShort
+	Interrupted
 )
 
 // endpointWork is what is known of one endpoint.
@@ -178,7 +178,7 @@
 func (r *Reconciler) workOf(now time.Duration, endpoint Endpoint) *endpointWork {
 	w := r.endpoints[endpoint.ID]
 	if w == nil {
-		w = &endpointWork{uncertain: true, after: r.opened, audit: now + time.Duration(r.rng.Int64N(int64(r.limits.Audit)+1))}
+		w = &endpointWork{uncertain: true, after: r.opened, audit: now + time.Duration(r.rng.Int64N(int64(r.limits.AuditInterval)+1))}
 		r.endpoints[endpoint.ID] = w
 	}
 	w.pool = endpoint.Pool
@@ -200,7 +200,7 @@
 // Ended takes in how an action ended. highest is the highest fencing token that
 // the agent had seen, as it said with Done. It reports whether what was read
 // back of the endpoint may be recorded.
-func (r *Reconciler) Ended(now time.Duration, action Action, outcome Outcome, highest uint64) (observed bool) {
+func (r *Reconciler) RecordOutcome(now time.Duration, action Action, outcome Outcome, highest uint64) (observed bool) {
 	w := r.endpoints[action.Endpoint.ID]
 	if w == nil || !w.busy {
 		return false
@@ -209,17 +209,17 @@
 	if outcome == Done && (!action.ReadBack() || highest >= action.after) {
 		w.uncertain, w.loading = false, false
 		w.failures, w.retry = 0, 0
-		w.audit = now + r.spread(r.limits.Audit)
+		w.audit = now + r.spread(r.limits.AuditInterval)
 		return true
 	}
-	if outcome == CutShort && !action.ReadBack() {
+	if outcome == Interrupted && !action.ReadBack() {
 		w.uncertain = true
 		w.audit = now
 	}
 	if outcome == NotRun && !action.ReadBack() {
 		w.loading = false
 	}
-	w.retry = now + r.spread(min(r.limits.FirstRetry<<min(w.failures, 16), r.limits.LastRetry))
+	w.retry = now + r.spread(min(r.limits.InitialBackoff<<min(w.failures, 16), r.limits.MaxBackoff))
 	w.failures++
 	return false
 }
@@ -231,7 +231,7 @@
 
 // Waiting says what the reconciler is doing about an endpoint; empty for
 // nothing.
-func (r *Reconciler) Waiting(endpoint string) string {
+func (r *Reconciler) Progress(endpoint string) string {
 	w := r.endpoints[endpoint]
 	switch {
 	case w == nil:
--- a/control/reconcile/reconciler_test.go
+++ b/control/reconcile/reconciler_test.go
@@ -55,7 +55,7 @@
 func trial(t *testing.T, seed uint64) {
 	is := is.NewRelaxed(t)
 	rng := rand.New(rand.NewPCG(seed, 1))
-	limits := Limits{Loads: 3, LoadShare: 0.25, FirstRetry: 100 * time.Millisecond, LastRetry: time.Second, Audit: 2 * time.Second}
+	limits := Limits{MaxLoads: 3, MaxLoadShare: 0.25, InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second, AuditInterval: 2 * time.Second}
 	const count = 8
 	engines := map[string]*engine{}
 	known := map[string]string{} // what the state has observed
@@ -108,8 +108,8 @@
 				is.True(!open[id]) // an order whose fate is open is read back first
 			}
 			outcome, highest := act(rng, e, action, calm)
-			open[id] = open[id] || outcome == CutShort && !action.ReadBack()
-			if reconciler.Ended(now, action, outcome, highest) {
+			open[id] = open[id] || outcome == Interrupted && !action.ReadBack()
+			if reconciler.RecordOutcome(now, action, outcome, highest) {
 				known[id] = e.version
 				open[id] = false
 				is.True(e.late == nil || e.late.fence < e.highest) // it can no longer take effect
@@ -135,12 +135,12 @@
 		if !action.ReadBack() {
 			e.late = &lateOrder{version: action.Request.GetVersion(), fence: action.Request.GetFence()}
 		}
-		return CutShort, 0
+		return Interrupted, 0
 	case fate == 2:
 		if !action.ReadBack() {
 			e.carryOut(action.Request.GetVersion(), action.Request.GetFence())
 		}
-		return CutShort, 0
+		return Interrupted, 0
 	}
 	if !action.ReadBack() {
 		e.carryOut(action.Request.GetVersion(), action.Request.GetFence())
