--- a/control/reconcile/doc.go
+++ b/control/reconcile/doc.go
@@ -1,24 +1,22 @@
-// Package reconcile decides which orders to send to endpoints so that they come
-// to what operators accepted.
+// Package reconcile decides which orders to send to endpoints so that their state converges to
+// the configuration that operators have confirmed.
 //
-// A [Reconciler] belongs to one term of one leader. It is pure: it takes the
-// time, what the replicated state still wants and what became of earlier
-// actions, and returns the actions to begin. Times are durations since an
-// arbitrary start and never go back. It is not safe for concurrent use.
+// A [Reconciler] belongs to one term of one leader. It performs no I/O and reads no clock: it
+// is given the time, the changes that the replicated state still requires and the outcomes of
+// earlier actions, and returns the actions to start. Times are monotonic durations since an
+// arbitrary start. It is not safe for concurrent use.
 //
-// # Orders cut short
+// # Interrupted orders
 //
-// An order whose answer was lost may have been carried out, or may yet be: a
-// frozen agent finds it in its socket when it wakes up. So an endpoint is read
-// back before it gets another order, and the reading counts only if the agent
-// had by then seen a fencing token younger than the lost order, which makes it
-// refuse that order for good. A new leader knows nothing of its predecessor's
-// orders and treats every endpoint in this way first.
+// An order whose response was lost may have been carried out, or may still be: a frozen agent
+// finds it in its socket buffer when it resumes. An endpoint is therefore read back before it
+// gets another order, and the result counts only if the agent had by then seen a fencing token
+// newer than that of the lost order, which makes it reject that order from then on. A new
+// leader does not know its predecessor's orders, so it first treats every endpoint in this way.
 //
 // # Loads
 //
-// Models and adapters come through a rate-limited weight store, and an endpoint
-// that loads serves little. Limits bound how many endpoints load at the same
-// time, in the fleet and in each pool. An order that was cut short counts until
-// its endpoint is read back.
+// Models and adapters are loaded through a rate-limited weight store, and an endpoint has
+// little serving capacity while it loads. Limits bound the number of concurrent loads, in the
+// fleet and in each pool. An interrupted load counts until its endpoint has been read back.
 package reconcile
--- a/control/reconcile/loads.go
+++ b/control/reconcile/loads.go
@@ -1,13 +1,13 @@
 package reconcile
 
-// loadBudget is how many more loads may begin.
+// loadBudget is the number of loads that may still be started.
 type loadBudget struct {
 	fleet int
 	pools map[string]int
 }
 
-// loads returns the budget that the loads under way leave.
-func (r *Reconciler) loads(endpoints []Endpoint) *loadBudget {
+// remainingLoads returns the budget that the loads in progress leave.
+func (r *Reconciler) remainingLoads(endpoints []Endpoint) *loadBudget {
 	sizes := map[string]int{}
 	for _, endpoint := range endpoints {
 		sizes[endpoint.Pool]++
@@ -24,7 +24,7 @@
 	return budget
 }
 
-// take uses the budget for one more load if it allows one.
+// take consumes one load of the budget and reports whether the budget allowed it.
 func (b *loadBudget) take(pool string) bool {
 	if b.fleet <= 0 || b.pools[pool] <= 0 {
 		return false
--- a/control/reconcile/reconciler.go
+++ b/control/reconcile/reconciler.go
@@ -8,102 +8,103 @@
 	agentv1 "github.com/lilackeel/lilackeel/api/agent/v1"
 )
 
-// Limits bound what is under way at the same time, and the pauses.
+// Limits bound the concurrent loads and set the retry and audit intervals.
 type Limits struct {
-	// Loads is the number of loads in the fleet, at least 1.
+	// MaxLoads is the number of concurrent loads in the fleet, at least 1.
 	MaxLoads int
-	// LoadShare is the share of a pool's endpoints that load; one always may.
+	// MaxLoadShare is the share of a pool's endpoints that may load concurrently; one always
+	// may.
 	MaxLoadShare float64
-	// FirstRetry and LastRetry bound the pause after a failure, which doubles
-	// each time.
+	// InitialBackoff and MaxBackoff bound the delay after a failure, which doubles with each
+	// failure in a row.
 	InitialBackoff, MaxBackoff time.Duration
-	// Audit is the time between two read-backs of an endpoint that nothing is
-	// wanted of. The first one in a term comes at a random time within it.
+	// AuditInterval is the time between two read-backs of an endpoint that has no pending
+	// order. The first one in a term is at a random time within the interval.
 	AuditInterval time.Duration
 }
 
-// Defaults of the pauses in Limits.
+// Default intervals of Limits.
 const (
 	DefaultInitialBackoff = 500 * time.Millisecond
 	DefaultMaxBackoff     = 30 * time.Second
 	DefaultAuditInterval  = 30 * time.Second
 )
 
-// Endpoint is a live engine as the state knows it.
+// Endpoint is a live engine as recorded in the replicated state.
 type Endpoint struct {
-	// ID and Pool are those that its agent announced.
+	// ID and Pool are as announced by the agent.
 	ID, Pool string
-	// Addr is where its agent listens, Incarnation the one that gates it.
+	// Addr is the address of the endpoint's agent, and Incarnation the incarnation of the agent
+	// that gates it.
 	Addr        string
 	Incarnation uint64
-	// Order is what the state wants next; nil for nothing.
+	// Order is the next order that the state requires, or nil.
 	Order *agentv1.OrderRequest
 }
 
-// Action is a request to begin: either an order or a read-back.
+// Action is an order or a read-back to start.
 type Action struct {
-	// Endpoint is the engine that the action is for.
 	Endpoint Endpoint
-	// Request lacks the order id. Its fencing token is set for an order.
+	// Request is the request without its order ID. The fencing token is set for orders only.
 	Request *agentv1.OrderRequest
-	// after is the lowest fencing token that the agent must have seen for a
-	// reading to count.
-	after uint64
+	// minSeenFence is the lowest fencing token that the agent must have seen for a read-back to
+	// count.
+	minSeenFence uint64
 }
 
-// ReadBack reports whether the endpoint is only to be read back.
+// ReadBack reports whether the action is a read-back.
 func (a Action) ReadBack() bool {
 	return a.Request.GetKind() == agentv1.OrderKind_ORDER_KIND_READ_BACK
 }
 
-// Outcome is how an action ended.
+// Outcome is the outcome of an action.
 type Outcome int
 
 const (
-	// Done: the endpoint was read back after the action.
+	// Done means that the endpoint was read back after the action.
 	Done Outcome = iota
-	// NotRun: the order has not been carried out and never will be.
+	// NotRun means that the order was not carried out and never will be.
 	NotRun
-	// CutShort: the order may have been carried out, or may yet be.
+	// Interrupted means that the order may have been carried out, or may still be.
 	Interrupted
 )
 
-// endpointWork is what is known of one endpoint.
-type endpointWork struct {
+// endpointState is the reconciler's state of one endpoint.
+type endpointState struct {
 	pool string
-	// busy is set while an action is under way.
+	// busy is set while an action is in progress.
 	busy bool
-	// uncertain is set until the endpoint has been read back in this term, and
-	// again when an order was cut short.
+	// uncertain is set until the endpoint has been read back in this term, and again after an
+	// order was interrupted.
 	uncertain bool
-	// loading is set from the sending of a load until it is known to have ended.
+	// loading is set from when a load is sent until it is known to have ended.
 	loading bool
-	// after is the lowest token that an agent must have seen to refuse all
-	// earlier orders to the endpoint.
-	after    uint64
-	failures int
-	// retry is when the next action may begin after a failure, audit when the
-	// endpoint is read back though nothing is wanted of it.
-	retry, audit time.Duration
+	// minSeenFence is the lowest token that an agent must have seen to reject all earlier
+	// orders to the endpoint.
+	minSeenFence uint64
+	failures     int
+	// retryAt is when the next action may start after a failure, auditAt when the endpoint is
+	// read back even though it has no pending order.
+	retryAt, auditAt time.Duration
 }
 
-// Reconciler holds what one leader knows of its actions.
+// Reconciler holds the actions of one leader.
 type Reconciler struct {
 	limits    Limits
 	rng       *rand.Rand
-	opened    uint64
-	endpoints map[string]*endpointWork
+	termFence uint64
+	endpoints map[string]*endpointState
 }
 
-// New returns the reconciler of a term. opened is the fencing token that the log
-// gave out at the beginning of the term, above those of all earlier orders.
-func New(limits Limits, rng *rand.Rand, opened uint64) *Reconciler {
-	return &Reconciler{limits: limits, rng: rng, opened: opened, endpoints: map[string]*endpointWork{}}
+// New returns the reconciler of a term. termFence is the fencing token that the log issued at
+// the beginning of the term; it is higher than those of all earlier orders.
+func New(limits Limits, rng *rand.Rand, termFence uint64) *Reconciler {
+	return &Reconciler{limits: limits, rng: rng, termFence: termFence, endpoints: map[string]*endpointState{}}
 }
 
-// Tick returns the read-backs and the orders to begin at now, given all live
-// engines. token is called at most once, if there are orders; it returns a
-// fencing token that the log has given out after the call began.
+// Tick returns the read-backs and orders to start at now, given all live engines. token is
+// called at most once, and only if there are orders; it returns a fencing token that the log
+// has issued after the call began.
 func (r *Reconciler) Tick(now time.Duration, endpoints []Endpoint, token func() (uint64, error)) ([]Action, error) {
 	actions := r.readBacks(now, endpoints)
 	ready := r.ready(now, endpoints)
@@ -115,45 +116,45 @@
 		return actions, err
 	}
 	for _, endpoint := range ready {
-		actions = append(actions, r.order(endpoint, fence))
+		actions = append(actions, r.startOrder(endpoint, fence))
 	}
 	return actions, nil
 }
 
-// readBacks begins the readings that are due.
+// readBacks starts the read-backs that are due.
 func (r *Reconciler) readBacks(now time.Duration, endpoints []Endpoint) []Action {
 	var actions []Action
 	for _, endpoint := range endpoints {
-		w := r.workOf(now, endpoint)
-		if w.busy || now < w.retry {
+		w := r.stateOf(now, endpoint)
+		if w.busy || now < w.retryAt {
 			continue
 		}
 		urgent := w.uncertain && (endpoint.Order != nil || w.loading)
-		if !urgent && now < w.audit {
+		if !urgent && now < w.auditAt {
 			continue
 		}
 		w.busy = true
 		request := &agentv1.OrderRequest{
 			Endpoint: endpoint.ID, Incarnation: endpoint.Incarnation, Kind: agentv1.OrderKind_ORDER_KIND_READ_BACK,
 		}
-		actions = append(actions, Action{Endpoint: endpoint, Request: request, after: w.after})
+		actions = append(actions, Action{Endpoint: endpoint, Request: request, minSeenFence: w.minSeenFence})
 	}
 	return actions
 }
 
-// ready returns the endpoints that may get their order now. Those that failed
-// least come first, so that a broken one does not keep the others from loading.
+// ready returns the endpoints that may get their order now, those with the fewest failures
+// first, so that a broken endpoint does not keep the others from loading.
 func (r *Reconciler) ready(now time.Duration, endpoints []Endpoint) []Endpoint {
-	loads := r.loads(endpoints)
-	wanting := slices.DeleteFunc(slices.Clone(endpoints), func(e Endpoint) bool { return e.Order == nil })
-	slices.SortStableFunc(wanting, func(a, b Endpoint) int { return r.endpoints[a.ID].failures - r.endpoints[b.ID].failures })
+	budget := r.remainingLoads(endpoints)
+	pending := slices.DeleteFunc(slices.Clone(endpoints), func(e Endpoint) bool { return e.Order == nil })
+	slices.SortStableFunc(pending, func(a, b Endpoint) int { return r.endpoints[a.ID].failures - r.endpoints[b.ID].failures })
 	var ready []Endpoint
-	for _, endpoint := range wanting {
+	for _, endpoint := range pending {
 		w := r.endpoints[endpoint.ID]
-		if w.busy || w.uncertain || now < w.retry {
+		if w.busy || w.uncertain || now < w.retryAt {
 			continue
 		}
-		if isLoad(endpoint.Order) && !loads.take(endpoint.Pool) {
+		if isLoad(endpoint.Order) && !budget.take(endpoint.Pool) {
 			continue
 		}
 		ready = append(ready, endpoint)
@@ -161,11 +162,11 @@
 	return ready
 }
 
-// order begins an order under the token.
-func (r *Reconciler) order(endpoint Endpoint, fence uint64) Action {
+// startOrder starts the pending order of an endpoint with a fencing token.
+func (r *Reconciler) startOrder(endpoint Endpoint, fence uint64) Action {
 	w := r.endpoints[endpoint.ID]
 	w.busy = true
-	w.after = fence + 1
+	w.minSeenFence = fence + 1
 	w.loading = isLoad(endpoint.Order)
 	request := &agentv1.OrderRequest{
 		Endpoint: endpoint.ID, Incarnation: endpoint.Incarnation, Fence: fence,
@@ -175,62 +176,62 @@
 	return Action{Endpoint: endpoint, Request: request}
 }
 
-func (r *Reconciler) workOf(now time.Duration, endpoint Endpoint) *endpointWork {
+func (r *Reconciler) stateOf(now time.Duration, endpoint Endpoint) *endpointState {
 	w := r.endpoints[endpoint.ID]
 	if w == nil {
-		w = &endpointWork{uncertain: true, after: r.opened, audit: now + time.Duration(r.rng.Int64N(int64(r.limits.AuditInterval)+1))}
+		w = &endpointState{uncertain: true, minSeenFence: r.termFence, auditAt: now + time.Duration(r.rng.Int64N(int64(r.limits.AuditInterval)+1))}
 		r.endpoints[endpoint.ID] = w
 	}
 	w.pool = endpoint.Pool
 	return w
 }
 
-// NeedsToken reports whether orders wait for a younger token than the given one
-// to have been given out: an endpoint counts as read back only after its agent
-// has seen a token younger than the order that was cut short.
+// NeedsToken reports whether an order waits for a fencing token newer than latest to be issued:
+// an endpoint counts as read back only after its agent has seen a token newer than that of the
+// interrupted order.
 func (r *Reconciler) NeedsToken(latest uint64) bool {
 	for _, w := range r.endpoints {
-		if w.uncertain && w.after > latest {
+		if w.uncertain && w.minSeenFence > latest {
 			return true
 		}
 	}
 	return false
 }
 
-// Ended takes in how an action ended. highest is the highest fencing token that
-// the agent had seen, as it said with Done. It reports whether what was read
-// back of the endpoint may be recorded.
-func (r *Reconciler) RecordOutcome(now time.Duration, action Action, outcome Outcome, highest uint64) (observed bool) {
+// RecordOutcome records the outcome of an action. highest is the highest fencing token that the
+// agent had seen, which it reports with Done. It reports whether the state that was read back
+// may be recorded.
+func (r *Reconciler) RecordOutcome(now time.Duration, action Action, outcome Outcome, highest uint64) (accepted bool) {
 	w := r.endpoints[action.Endpoint.ID]
 	if w == nil || !w.busy {
 		return false
 	}
 	w.busy = false
-	if outcome == Done && (!action.ReadBack() || highest >= action.after) {
+	if outcome == Done && (!action.ReadBack() || highest >= action.minSeenFence) {
 		w.uncertain, w.loading = false, false
-		w.failures, w.retry = 0, 0
-		w.audit = now + r.spread(r.limits.AuditInterval)
+		w.failures, w.retryAt = 0, 0
+		w.auditAt = now + r.jitter(r.limits.AuditInterval)
 		return true
 	}
 	if outcome == Interrupted && !action.ReadBack() {
 		w.uncertain = true
-		w.audit = now
+		w.auditAt = now
 	}
 	if outcome == NotRun && !action.ReadBack() {
 		w.loading = false
 	}
-	w.retry = now + r.spread(min(r.limits.InitialBackoff<<min(w.failures, 16), r.limits.MaxBackoff))
+	w.retryAt = now + r.jitter(min(r.limits.InitialBackoff<<min(w.failures, 16), r.limits.MaxBackoff))
 	w.failures++
 	return false
 }
 
-// spread returns between half of d and d.
-func (r *Reconciler) spread(d time.Duration) time.Duration {
+// jitter returns a random duration between d/2 and d.
+func (r *Reconciler) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(r.rng.Int64N(int64(d/2)+1))
 }
 
-// Waiting says what the reconciler is doing about an endpoint; empty for
-// nothing.
+// Progress describes what the reconciler is doing about an endpoint, or returns an empty
+// string.
 func (r *Reconciler) Progress(endpoint string) string {
 	w := r.endpoints[endpoint]
 	switch {
@@ -239,11 +240,11 @@
 	case w.busy && w.uncertain:
 		return "being read back"
 	case w.busy:
-		return "an order is under way"
+		return "an order is in progress"
 	case w.uncertain && w.failures > 0:
-		return "to be read back after a failure"
+		return "waiting to read back after a failure"
 	case w.failures > 0:
-		return "to be tried again after a failure"
+		return "waiting to retry after a failure"
 	}
 	return ""
 }
--- a/control/reconcile/reconciler_test.go
+++ b/control/reconcile/reconciler_test.go
@@ -12,54 +12,55 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// engine is a model engine behind an agent that checks fencing tokens.
+// engine simulates a model engine behind an agent that checks fencing tokens.
 type engine struct {
 	version string
 	highest uint64
-	// late is an order that lies in the socket of the frozen agent.
-	late *lateOrder
+	// delayed is an order in the socket buffer of the frozen agent.
+	delayed *delayedOrder
 }
 
-type lateOrder struct {
+type delayedOrder struct {
 	version string
 	fence   uint64
 }
 
-// thaw lets the late order arrive, if the fencing token still allows it.
-func (e *engine) thaw() {
-	if e.late != nil && e.late.fence >= e.highest {
-		e.carryOut(e.late.version, e.late.fence)
+// deliverDelayed delivers the delayed order, which takes effect if its fencing token is still
+// valid.
+func (e *engine) deliverDelayed() {
+	if e.delayed != nil && e.delayed.fence >= e.highest {
+		e.apply(e.delayed.version, e.delayed.fence)
 	}
-	e.late = nil
+	e.delayed = nil
 }
 
-func (e *engine) carryOut(version string, fence uint64) {
+func (e *engine) apply(version string, fence uint64) {
 	e.version, e.highest = version, fence
 }
 
-// Orders are lost before or after they take effect, arrive late, and leaders and
-// wishes change. Every endpoint comes to what is wanted, an order is repeated
-// only after a read-back, no old order takes effect once a reading has counted,
-// and never more endpoints load than allowed.
-func TestReconcilerReadsBackBeforeItRepeats(t *testing.T) {
+// Orders are lost before or after they take effect or arrive late, while leaders and the wanted
+// version change. Every endpoint converges to the wanted version, an order is repeated only
+// after a read-back, no old order takes effect after a read-back has counted, and no more
+// endpoints load concurrently than allowed.
+func TestReconcilerReadsBackBeforeRetry(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.Freeze, proof.Late, proof.Lost}, Step: "orders to engines", Together: true,
 		Guard: "each alone: reading back after a cut and at a new leader, a reading counts only after a younger token"}.Log(t)
 	for seed := uint64(1); seed <= 60; seed++ {
-		trial(t, seed)
+		runTrial(t, seed)
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
 	}
 }
 
-func trial(t *testing.T, seed uint64) {
+func runTrial(t *testing.T, seed uint64) {
 	is := is.NewRelaxed(t)
 	rng := rand.New(rand.NewPCG(seed, 1))
 	limits := Limits{MaxLoads: 3, MaxLoadShare: 0.25, InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second, AuditInterval: 2 * time.Second}
 	const count = 8
 	engines := map[string]*engine{}
-	known := map[string]string{} // what the state has observed
-	open := map[string]bool{}    // an order's fate is open
+	known := map[string]string{}   // as recorded in the replicated state
+	uncertain := map[string]bool{} // an order may or may not have been carried out
 	for i := range count {
 		id := fmt.Sprint("e", i)
 		engines[id] = &engine{version: "v0"}
@@ -71,13 +72,13 @@
 	var now time.Duration
 	for step := range 6000 {
 		now += 20 * time.Millisecond
-		calm := step > 3000
-		if !calm && rng.IntN(200) == 0 {
+		faultFree := step > 3000
+		if !faultFree && rng.IntN(200) == 0 {
 			wanted = fmt.Sprint("v", rng.IntN(3))
 		}
-		if !calm && rng.IntN(300) == 0 {
+		if !faultFree && rng.IntN(300) == 0 {
 			fence++
-			reconciler = New(limits, rng, fence) // another leader
+			reconciler = New(limits, rng, fence) // a new leader takes over
 		}
 		var endpoints []Endpoint
 		for i := range count {
@@ -88,10 +89,10 @@
 			}
 			endpoints = append(endpoints, endpoint)
 			if rng.IntN(20) == 0 {
-				engines[id].highest = max(engines[id].highest, fence) // by an announcement
+				engines[id].highest = max(engines[id].highest, fence) // through an announcement
 			}
 			if rng.IntN(30) == 0 {
-				engines[id].thaw()
+				engines[id].deliverDelayed()
 			}
 		}
 		if reconciler.NeedsToken(fence) {
@@ -105,45 +106,45 @@
 			e := engines[id]
 			if !action.ReadBack() {
 				loads++
-				is.True(!open[id]) // an order whose fate is open is read back first
+				is.True(!uncertain[id]) // an uncertain endpoint is read back first
 			}
-			outcome, highest := act(rng, e, action, calm)
-			open[id] = open[id] || outcome == Interrupted && !action.ReadBack()
+			outcome, highest := execute(rng, e, action, faultFree)
+			uncertain[id] = uncertain[id] || outcome == Interrupted && !action.ReadBack()
 			if reconciler.RecordOutcome(now, action, outcome, highest) {
 				known[id] = e.version
-				open[id] = false
-				is.True(e.late == nil || e.late.fence < e.highest) // it can no longer take effect
+				uncertain[id] = false
+				is.True(e.delayed == nil || e.delayed.fence < e.highest) // the agent will reject it
 			}
 		}
 		is.True(loads <= 2) // a quarter of the pool
 	}
 	for id, e := range engines {
-		e.thaw()
+		e.deliverDelayed()
 		is.Equal(e.version, wanted)
 		is.Equal(known[id], wanted)
 	}
 }
 
-// act carries an action out on an engine, with faults unless it is calm.
-func act(rng *rand.Rand, e *engine, action Action, calm bool) (outcome Outcome, highest uint64) {
-	fate := rng.IntN(10)
+// execute carries out an action on an engine, with random faults unless faultFree is set.
+func execute(rng *rand.Rand, e *engine, action Action, faultFree bool) (outcome Outcome, highest uint64) {
+	roll := rng.IntN(10)
 	switch {
-	case calm:
-	case fate == 0:
+	case faultFree:
+	case roll == 0:
 		return NotRun, 0
-	case fate == 1:
+	case roll == 1:
 		if !action.ReadBack() {
-			e.late = &lateOrder{version: action.Request.GetVersion(), fence: action.Request.GetFence()}
+			e.delayed = &delayedOrder{version: action.Request.GetVersion(), fence: action.Request.GetFence()}
 		}
 		return Interrupted, 0
-	case fate == 2:
+	case roll == 2:
 		if !action.ReadBack() {
-			e.carryOut(action.Request.GetVersion(), action.Request.GetFence())
+			e.apply(action.Request.GetVersion(), action.Request.GetFence())
 		}
 		return Interrupted, 0
 	}
 	if !action.ReadBack() {
-		e.carryOut(action.Request.GetVersion(), action.Request.GetFence())
+		e.apply(action.Request.GetVersion(), action.Request.GetFence())
 	}
 	return Done, e.highest
 }
