--- a/control/expertmap/balancing.go
+++ b/control/expertmap/balancing.go
@@ -10,30 +10,30 @@
 	"github.com/lilackeel/lilackeel/group/balance"
 )
 
-// Balancing proposes maps by one balance.Balancer for each group. Operators set
-// the policies of the groups; a change of one starts its balancer anew.
+// BalancingProposer proposes maps with one balance.Balancer for each group. Operators set the
+// policies of the groups; a change of a group's policy resets its balancer.
 type BalancingProposer struct {
-	// Configs of the groups, without what a policy says.
+	// Configs are the balancer configurations of the groups, before policies are applied.
 	Configs map[string]balance.Config
-	// Policy returns the present policy of a group, or nil.
+	// Policy returns the current policy of a group, or nil.
 	Policy func(group string) *fleetv1.BalancePolicy
 	// Logger must be set.
 	Logger *slog.Logger
 
-	groups map[string]*balanced
+	groups map[string]*balancerState
 }
 
-// balanced is one group.
-type balanced struct {
+// balancerState is the balancer of one group.
+type balancerState struct {
 	balancer *balance.Balancer
 	config   balance.Config
 	policy   uint64
 	counts   counts
-	// asked is when the balancer was last asked; decision what it last proposed
-	// and from which map.
-	asked    time.Duration
-	decision *balance.Decision
-	from     group.Map
+	// decidedAt is when the balancer was last asked for a decision; decision is the last
+	// switch that it proposed and base the map that it started from.
+	decidedAt time.Duration
+	decision  *balance.Decision
+	base      group.Map
 }
 
 // Observe implements Proposer.
@@ -45,18 +45,18 @@
 	g.counts.add(g.config.Shape, load)
 }
 
-// Switched implements Proposer. What a switch costs is a setting of these groups, whose
-// ranks ask for each step.
+// Switched implements Proposer. It ignores the time waited: the cost of a switch is a setting
+// of these groups, whose ranks request permission for each step.
 func (b *BalancingProposer) Switched(time.Duration, string, time.Duration) {}
 
 // Propose implements Proposer.
 func (b *BalancingProposer) Propose(now time.Duration, name string, current group.Map) (next group.Map, ok bool) {
 	g := b.group(name)
-	if g == nil || now-g.asked < g.config.Interval {
+	if g == nil || now-g.decidedAt < g.config.Interval {
 		return group.Map{}, false
 	}
-	g.asked = now
-	g.noticeSwitch(current)
+	g.decidedAt = now
+	g.recordSwitch(current)
 	load, complete := g.counts.mean(g.config.Shape)
 	if !complete {
 		return group.Map{}, false
@@ -67,25 +67,25 @@
 	if !decision.Switch {
 		return group.Map{}, false
 	}
-	g.decision, g.from = &decision, current
+	g.decision, g.base = &decision, current
 	b.Logger.Info("switching an expert map", "group", name, "moves", decision.Moves,
 		"saving_s_per_step", decision.Saving, "gain_s", decision.Gain, "cost_s", decision.Cost)
 	return decision.Map, true
 }
 
-// noticeSwitch notifies the balancer once the map that it proposed is in force.
-func (g *balanced) noticeSwitch(current group.Map) {
+// recordSwitch notifies the balancer once the map that it proposed is in force.
+func (g *balancerState) recordSwitch(current group.Map) {
 	if g.decision == nil {
 		return
 	}
 	if g.decision.Map.Digest() == current.Digest() {
-		g.balancer.Switched(g.from, *g.decision)
+		g.balancer.Switched(g.base, *g.decision)
 	}
 	g.decision = nil
 }
 
-// group returns the balancer of a group that has a policy, else nil.
-func (b *BalancingProposer) group(name string) *balanced {
+// group returns the balancer of a group, or nil if the group has no policy.
+func (b *BalancingProposer) group(name string) *balancerState {
 	config, known := b.Configs[name]
 	policy := b.Policy(name)
 	if !known || policy == nil {
@@ -103,13 +103,13 @@
 	}
 	balancer, err := balance.New(config)
 	if err != nil {
-		b.Logger.Error("a group cannot be balanced", "group", name, "error", err)
+		b.Logger.Error("cannot create the balancer of a group", "group", name, "error", err)
 		return nil
 	}
 	if b.groups == nil {
-		b.groups = map[string]*balanced{}
+		b.groups = map[string]*balancerState{}
 	}
-	g := &balanced{balancer: balancer, config: config, policy: policy.GetRevision(), counts: newCounts(config.Shape)}
+	g := &balancerState{balancer: balancer, config: config, policy: policy.GetRevision(), counts: newCounts(config.Shape)}
 	b.groups[name] = g
 	return g
 }
--- a/control/expertmap/balancing_test.go
+++ b/control/expertmap/balancing_test.go
@@ -27,12 +27,12 @@
   storeBytesPerSecond: 1e9
 `
 
-// balancedGroup is the group of the file.
+// balancedGroup is the group in groupsFile.
 const balancedGroup = "lilackeel-pool"
 
-// Counted loads that stay uneven lead to a map that evens the ranks out, and
-// without a policy nothing is proposed.
-func TestBalancingProposesAMoreEvenMap(t *testing.T) {
+// A persistent imbalance of the counted loads leads to a more even map. Without a policy
+// nothing is proposed.
+func TestBalancingProposesMoreEvenMap(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "groups.yaml")
 	is.NoErr(os.WriteFile(path, []byte(groupsFile), 0o600))
@@ -70,5 +70,5 @@
 	is.True(after < before)
 	is.NoErr(os.WriteFile(path, []byte(groupsFile+"  colour: red\n"), 0o600))
 	_, err = ReadGroups(path)
-	is.True(err != nil) // unknown fields are refused
+	is.True(err != nil) // unknown fields are rejected
 }
--- a/control/expertmap/branches_test.go
+++ b/control/expertmap/branches_test.go
@@ -22,28 +22,29 @@
 	"github.com/lilackeel/lilackeel/group/mapwire"
 )
 
-// fleet is the hosts of a large group, of which one may be frozen.
-type fleet struct {
+// testFleet simulates the hosts of a large group, one of which may be frozen.
+type testFleet struct {
 	mu     sync.Mutex
 	state  *contract.State
 	index  uint64
 	frozen string
-	// calls are the leader's own, reached when each host was last reached.
+	// calls counts the calls made by the leader itself; reached is when each host was last
+	// reached.
 	calls   int
 	reached map[string]time.Time
-	// counted are the hosts asked for counts since they were last cleared.
+	// counted are the hosts asked for counts since the last reset.
 	counted map[string]bool
 }
 
-func (f *fleet) Propose(_ context.Context, data []byte) (any, error) {
+func (f *testFleet) Propose(_ context.Context, data []byte) (any, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.index++
 	return f.state.Apply(f.index, 1, data), nil
 }
 
-// Group lets a host pass requests on, within the time that hosts take for that.
-func (f *fleet) Group(ctx context.Context, addr string, request *agentv1.GroupRequest) (*agentv1.GroupResponse, error) {
+// Group simulates a host that forwards requests, with realistic delays.
+func (f *testFleet) Group(ctx context.Context, addr string, request *agentv1.GroupRequest) (*agentv1.GroupResponse, error) {
 	f.mu.Lock()
 	f.calls++
 	frozen := f.frozen
@@ -62,18 +63,18 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	response := &agentv1.GroupResponse{}
-	f.reach(addr, request, response)
+	f.handle(addr, request, response)
 	for _, forward := range request.GetForwards() {
 		if forward.GetAddr() != frozen {
-			f.reach(forward.GetAddr(), forward.GetRequest(), response)
+			f.handle(forward.GetAddr(), forward.GetRequest(), response)
 			response.Answered = append(response.Answered, forward.GetAddr())
 		}
 	}
 	return response, nil
 }
 
-// reach lets a host acknowledge what is decided.
-func (f *fleet) reach(addr string, request *agentv1.GroupRequest, response *agentv1.GroupResponse) {
+// handle simulates a host that acknowledges decisions.
+func (f *testFleet) handle(addr string, request *agentv1.GroupRequest, response *agentv1.GroupResponse) {
 	f.reached[addr] = time.Now()
 	for _, message := range request.GetMessages() {
 		m, err := mapwire.FromProto(message)
@@ -87,8 +88,9 @@
 	}
 }
 
-// take returns the leader's calls and the hosts that were asked for counts since the last time.
-func (f *fleet) take() (calls, counted int) {
+// resetCounters returns the number of the leader's calls and of the hosts asked for counts
+// since the last call.
+func (f *testFleet) resetCounters() (calls, counted int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	calls, counted = f.calls, len(f.counted)
@@ -97,8 +99,9 @@
 	return calls, counted
 }
 
-// silentFor returns how long the hosts of a group have not been reached, but for the frozen one.
-func (f *fleet) silentFor() time.Duration {
+// longestSilence returns the longest time for which a host other than the frozen one has not
+// been reached.
+func (f *testFleet) longestSilence() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var longest time.Duration
@@ -112,8 +115,8 @@
 
 var largeGroup = group.Shape{Layers: 2, Experts: 384, Ranks: 192, Slots: 3}
 
-func largeFleet(t *testing.T) *fleet {
-	f := &fleet{state: contract.NewState(), reached: map[string]time.Time{}, counted: map[string]bool{}}
+func newLargeFleet(t *testing.T) *testFleet {
+	f := &testFleet{state: contract.NewState(), reached: map[string]time.Time{}, counted: map[string]bool{}}
 	for rank := range largeGroup.Ranks {
 		name := fmt.Sprintf("agent-%03d", rank)
 		data, err := contract.EncodeAnnounce(0, &controlv1.AnnounceRequest{
@@ -130,7 +133,7 @@
 	return f
 }
 
-func (f *fleet) lead(ctx context.Context, branch int) {
+func (f *testFleet) lead(ctx context.Context, branch int) {
 	driver := NewDriver(Config{
 		State: f.state, Log: f, Transport: f, Shapes: func() map[string]group.Shape { return map[string]group.Shape{testGroup: largeGroup} },
 		Token: 1, LogTime: func() int64 { return 0 }, Logger: slog.New(slog.DiscardHandler), BranchSize: branch,
@@ -139,38 +142,38 @@
 	go driver.Run(ctx)
 }
 
-// TestALargeGroupIsLookedAtInTime looks at the demand of 192 ranks each 150 ms, a quarter of them
-// at a time, and hears all of them in each look, for 25 calls of the leader. Called one by
-// one, they are reached each 0.77 s.
-func TestALargeGroupIsLookedAtInTime(t *testing.T) {
+// The demand on 192 ranks is polled every 150 ms. Each poll asks a quarter of them for counts
+// and reaches all of them, with about 25 calls of the leader. With one call per agent, each
+// would be reached only every 0.77 s.
+func TestLargeGroupIsPolledInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := largeFleet(t)
+		f := newLargeFleet(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		f.lead(ctx, 8)
 		time.Sleep(time.Second)
-		f.take()
+		f.resetCounters()
 		time.Sleep(1600 * time.Millisecond)
-		calls, all := f.take()
-		silent := f.silentFor()
+		calls, counted := f.resetCounters()
+		silence := f.longestSilence()
 		time.Sleep(150 * time.Millisecond)
-		_, once := f.take()
+		_, countedPerPoll := f.resetCounters()
 		cancel()
 		time.Sleep(time.Second)
 		is.True(calls <= 11*25)
-		is.Equal(all, 192)
-		is.True(once <= 2*lookRanks)
-		is.True(silent < 200*time.Millisecond)
+		is.Equal(counted, 192)
+		is.True(countedPerPoll <= 2*maxRanksPerPoll)
+		is.True(silence < 200*time.Millisecond)
 	})
 }
 
-// TestAFrozenRelayIsReplaced freezes a host, first one that passes requests on and then one that
-// they are passed on to: the other hosts are heard again before they count as silent.
-func TestAFrozenRelayIsReplaced(t *testing.T) {
+// After a host freezes, first a relay and then an agent behind one, the other hosts are reached
+// again before they count as unresponsive.
+func TestFrozenRelayIsReplaced(t *testing.T) {
 	for _, frozen := range []int{0, 3} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			f := largeFleet(t)
+			f := newLargeFleet(t)
 			ctx, cancel := context.WithCancel(t.Context())
 			f.lead(ctx, 8)
 			time.Sleep(time.Second)
@@ -181,7 +184,7 @@
 			var longest time.Duration
 			for range 60 {
 				time.Sleep(50 * time.Millisecond)
-				longest = max(longest, f.silentFor())
+				longest = max(longest, f.longestSilence())
 			}
 			cancel()
 			time.Sleep(2 * time.Second)
--- a/control/expertmap/calls.go
+++ b/control/expertmap/calls.go
@@ -12,28 +12,28 @@
 const (
 	// callTimeout bounds a call to a single agent.
 	callTimeout = time.Second
-	// relayTimeout bounds a call that others are reached by: another relay takes its
-	// place after that, before the others count as silent.
+	// relayTimeout bounds a call to a relay. After it another relay takes over, before the
+	// other agents of the branch count as unresponsive.
 	relayTimeout = 150 * time.Millisecond
 )
 
-// send calls the agents for which messages wait and that have no call under way, one call for each
-// branch. What is not sent is asked for again by the coordinator.
+// send calls the agents that have messages waiting and no call in progress, with one call per
+// branch. The coordinator asks again for anything that is not sent.
 func (d *Driver) send(ctx context.Context, out *outbox) {
 	due := func(addr string) bool { return out.byAddr[addr] != nil && !d.calling[addr] }
-	fit := func(addr string) bool { return !d.failing[addr] }
-	for _, branch := range d.plan.Branches(due, fit) {
+	healthy := func(addr string) bool { return !d.failing[addr] }
+	for _, branch := range d.plan.Branches(due, healthy) {
 		if d.calling[branch.Relay] {
 			continue
 		}
-		request := d.prepare(out, branch)
-		d.mark(branch, true)
+		request := d.branchRequest(out, branch)
+		d.setCalling(branch, true)
 		go d.call(ctx, branch, request)
 	}
 }
 
-// mark notes whether a call to a branch is under way.
-func (d *Driver) mark(branch fanout.Branch, calling bool) {
+// setCalling records whether a call to a branch is in progress.
+func (d *Driver) setCalling(branch fanout.Branch, calling bool) {
 	for _, addr := range append([]string{branch.Relay}, branch.Others...) {
 		if calling {
 			d.calling[addr] = true
@@ -43,22 +43,22 @@
 	}
 }
 
-// prepare returns the request to the relay of a branch.
-func (d *Driver) prepare(out *outbox, branch fanout.Branch) *agentv1.GroupRequest {
-	request := out.own(branch.Relay)
+// branchRequest returns the request to the relay of a branch.
+func (d *Driver) branchRequest(out *outbox, branch fanout.Branch) *agentv1.GroupRequest {
+	request := out.requestFor(branch.Relay)
 	for _, addr := range branch.Others {
-		request.Forwards = append(request.Forwards, &agentv1.Forward{Addr: addr, Request: out.own(addr)})
+		request.Forwards = append(request.Forwards, &agentv1.Forward{Addr: addr, Request: out.requestFor(addr)})
 	}
 	for name := range out.preparing {
-		if g := d.groups[name]; g != nil && g.change != nil {
-			request.Maps = append(request.Maps, g.change)
+		if g := d.groups[name]; g != nil && g.mapChange != nil {
+			request.Maps = append(request.Maps, g.mapChange)
 		}
 	}
 	return request
 }
 
-// own returns the request to one agent.
-func (o *outbox) own(addr string) *agentv1.GroupRequest {
+// requestFor returns the request to one agent.
+func (o *outbox) requestFor(addr string) *agentv1.GroupRequest {
 	request := o.byAddr[addr]
 	if request == nil {
 		request = &agentv1.GroupRequest{}
@@ -67,29 +67,29 @@
 	return request
 }
 
-// call makes one call and hands its result to Run.
+// call makes one call and posts its result to Run.
 func (d *Driver) call(ctx context.Context, branch fanout.Branch, request *agentv1.GroupRequest) {
 	timeout := callTimeout
 	if len(branch.Others) > 0 {
 		timeout = relayTimeout
 	}
-	limited, cancel := context.WithTimeout(ctx, timeout)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	response, err := d.cfg.Transport.Group(limited, branch.Relay, request)
-	d.post(ctx, func() { d.receive(ctx, branch, response, err) })
+	response, err := d.cfg.Transport.Group(callCtx, branch.Relay, request)
+	d.post(ctx, func() { d.handleResponse(ctx, branch, response, err) })
 }
 
-// receive takes in what a branch answered.
-func (d *Driver) receive(ctx context.Context, branch fanout.Branch, response *agentv1.GroupResponse, err error) {
-	d.mark(branch, false)
+// handleResponse processes the response of a branch.
+func (d *Driver) handleResponse(ctx context.Context, branch fanout.Branch, response *agentv1.GroupResponse, err error) {
+	d.setCalling(branch, false)
 	if err != nil {
-		d.cfg.Logger.Debug("an agent did not take messages of the map switch", "agent", branch.Relay, "error", err)
+		d.cfg.Logger.Debug("call to an agent for an expert map switch failed", "agent", branch.Relay, "error", err)
 		d.failing[branch.Relay] = true
-		d.askAgain(ctx, branch.Others)
+		d.retryThroughNextRelay(ctx, branch.Others)
 		return
 	}
-	d.noteHeard(branch, response)
-	out := newOutbox(d.agents())
+	d.recordAnswers(branch, response)
+	out := newOutbox(d.rankAgents())
 	for _, message := range response.GetMessages() {
 		m, err := mapwire.FromProto(message)
 		g := d.groups[message.GetGroup()]
@@ -97,8 +97,8 @@
 			continue
 		}
 		effects := g.coordinator.Step(d.now(), m)
-		g.noteStage(d.now(), m.Rank)
-		d.effects(ctx, g, effects, out)
+		g.recordPhase(d.now(), m.Rank)
+		d.applyEffects(ctx, g, effects, out)
 	}
 	if d.cfg.Proposer != nil {
 		for _, load := range response.GetLoads() {
@@ -108,22 +108,23 @@
 	d.send(ctx, out)
 }
 
-// askAgain asks agents whose relay has failed by the next one, before they count as silent.
-func (d *Driver) askAgain(ctx context.Context, addrs []string) {
-	out := newOutbox(d.agents())
+// retryThroughNextRelay calls agents whose relay has failed through the next one, before they
+// count as unresponsive.
+func (d *Driver) retryThroughNextRelay(ctx context.Context, addrs []string) {
+	out := newOutbox(d.rankAgents())
 	for _, addr := range addrs {
 		out.byAddr[addr] = &agentv1.GroupRequest{}
 	}
 	d.send(ctx, out)
 }
 
-// noteHeard notes which agents of a branch have answered.
-func (d *Driver) noteHeard(branch fanout.Branch, response *agentv1.GroupResponse) {
+// recordAnswers records which agents of a branch have answered.
+func (d *Driver) recordAnswers(branch fanout.Branch, response *agentv1.GroupResponse) {
 	for _, addr := range branch.Others {
 		d.failing[addr] = true
 	}
 	for _, addr := range append(response.GetAnswered(), branch.Relay) {
-		d.answered[addr] = d.now()
+		d.lastAnswer[addr] = d.now()
 		delete(d.failing, addr)
 	}
 }
--- a/control/expertmap/commands.go
+++ b/control/expertmap/commands.go
@@ -11,23 +11,22 @@
 	"github.com/lilackeel/lilackeel/group/mapwire"
 )
 
-// commit proposes an entry, unless one is under way already; the coordinator
-// asks again.
+// commit proposes an entry unless a proposal is in progress; the coordinator asks again.
 func (d *Driver) commit(ctx context.Context, g *groupState, entry mapswitch.Entry) {
 	if g.committing {
 		return
 	}
-	data, err := d.encode(g, entry)
+	data, err := d.encodeEntry(g, entry)
 	if err != nil {
-		d.cfg.Logger.Error("an entry of the map switch cannot be encoded", "group", g.name, "error", err)
+		d.cfg.Logger.Error("cannot encode a log entry of an expert map switch", "group", g.name, "error", err)
 		return
 	}
 	d.proposeAll(ctx, g, [][]byte{data}, entry.Epoch)
 }
 
-// ensureFirstMap gives a group its first map, in force from step 0: no rank has run a
-// step without one. It reports whether the group still lacks a map. A first map
-// that an earlier leader has begun is put in force as it is.
+// ensureFirstMap commits the first map of a group, in force from step 0, because no rank runs a
+// step without a map. It reports whether the group still lacks a map. A first map that an
+// earlier leader has begun is committed unchanged.
 func (d *Driver) ensureFirstMap(ctx context.Context, g *groupState, shape group.Shape) bool {
 	stored := d.cfg.State.MapRecord(g.name)
 	decided := stored.GetState() == fleetv1.MapState_MAP_STATE_COMMITTED
@@ -64,7 +63,7 @@
 				break
 			}
 		}
-		d.post(ctx, func() { d.proposalEnded(ctx, g, stored, epoch, err) })
+		d.post(ctx, func() { d.proposalDone(ctx, g, stored, epoch, err) })
 	}()
 }
 
@@ -83,8 +82,8 @@
 	return result.Map, nil
 }
 
-// proposalEnded takes in what came of a proposal.
-func (d *Driver) proposalEnded(ctx context.Context, g *groupState, stored *fleetv1.MapRecord, epoch uint64, err error) {
+// proposalDone handles the result of a proposal.
+func (d *Driver) proposalDone(ctx context.Context, g *groupState, stored *fleetv1.MapRecord, epoch uint64, err error) {
 	g.committing = false
 	if fault.Is(err, fault.Fenced) {
 		g.fenced = true
@@ -92,17 +91,17 @@
 		return
 	}
 	if err != nil {
-		d.cfg.Logger.Info("an entry of the map switch was not committed", "group", g.name, "error", err)
+		d.cfg.Logger.Info("log entry of an expert map switch was not committed", "group", g.name, "error", err)
 		return
 	}
-	g.owned = epoch
-	out := newOutbox(d.agents())
-	d.committed(ctx, g, stored, out)
+	g.ownedEpoch = epoch
+	out := newOutbox(d.rankAgents())
+	d.applyRecord(ctx, g, stored, out)
 	d.send(ctx, out)
 }
 
-// encode returns the command for an entry.
-func (d *Driver) encode(g *groupState, entry mapswitch.Entry) ([]byte, error) {
+// encodeEntry returns the command for an entry.
+func (d *Driver) encodeEntry(g *groupState, entry mapswitch.Entry) ([]byte, error) {
 	logTime, token := d.cfg.LogTime(), d.cfg.Token
 	switch entry.Kind {
 	case mapswitch.EntryBegin:
@@ -115,7 +114,8 @@
 		}
 		return contract.EncodeMapBegin(logTime, g.name, entry.Epoch, token, stored.Encode())
 	case mapswitch.EntryAdopt:
-		// Beginning the pending epoch again, under a higher token, hands it over.
+		// Beginning the pending epoch again with a higher token transfers it to this
+		// coordinator.
 		return contract.EncodeMapBegin(logTime, g.name, entry.Epoch, token, d.cfg.State.MapRecord(g.name).GetMap())
 	case mapswitch.EntryCommit:
 		return contract.EncodeMapDecide(logTime, g.name, entry.Epoch, token, true, entry.Step)
--- a/control/expertmap/counts.go
+++ b/control/expertmap/counts.go
@@ -6,16 +6,16 @@
 	"github.com/lilackeel/lilackeel/group"
 )
 
-// counts sums up what each rank counted since the last observation. Ranks report
-// at moments of their own, so that each rank's tokens are divided by its own
-// steps.
+// counts accumulates what each rank has counted since the last observation. Ranks report at
+// different times, so each rank's tokens are divided by its own steps.
 type counts []rankCounts
 
 // rankCounts are the counts of one rank.
 type rankCounts struct {
-	// tokens are by layer and expert, numbered on; a rank handles few of them.
+	// tokens is indexed by layer*experts+expert. It is sparse, because a rank handles few
+	// experts.
 	tokens map[int]float64
-	// steps are by layer.
+	// steps is indexed by layer.
 	steps []float64
 }
 
@@ -27,7 +27,7 @@
 	return c
 }
 
-// add takes in a report that fits the shape.
+// add adds a report; one that does not fit the shape is ignored.
 func (c counts) add(shape group.Shape, load *agentv1.ExpertLoad) {
 	if load.GetLayer() == tally.AllLayers {
 		c.addAll(shape, load)
@@ -48,7 +48,7 @@
 	c[rank].steps[layer] += float64(load.GetToStep() - load.GetFromStep())
 }
 
-// addAll takes in a report of all layers together.
+// addAll adds a report that covers all layers.
 func (c counts) addAll(shape group.Shape, load *agentv1.ExpertLoad) {
 	if len(load.GetTokens()) != shape.Layers*shape.Experts {
 		return
@@ -62,8 +62,8 @@
 	}
 }
 
-// mean returns the tokens that each expert handled in a step, on all ranks
-// together; it is complete when every rank has counted every layer.
+// mean returns the mean number of tokens per step of each expert, summed over all ranks. It is
+// complete once every rank has counted every layer.
 func (c counts) mean(shape group.Shape) (load []float64, complete bool) {
 	load = make([]float64, shape.Layers*shape.Experts)
 	for _, rank := range c {
@@ -72,8 +72,8 @@
 				return nil, false
 			}
 		}
-		for number, tokens := range rank.tokens {
-			load[number] += tokens / rank.steps[number/shape.Experts]
+		for index, tokens := range rank.tokens {
+			load[index] += tokens / rank.steps[index/shape.Experts]
 		}
 	}
 	return load, true
--- a/control/expertmap/doc.go
+++ b/control/expertmap/doc.go
@@ -1,8 +1,7 @@
-// Package expertmap drives the switch of expert maps on the leader: one
-// mapswitch.Coordinator for each group of ranks, whose records are committed in
-// the replicated log and whose messages agents carry to the ranks. Package
-// mapwire fixes how records and messages are encoded.
+// Package expertmap drives expert map switches on the leader. It runs one mapswitch.Coordinator
+// per group of ranks; the records of the coordinators are committed in the replicated log, and
+// agents pass their messages on to the ranks. Package mapwire defines the encoding of records
+// and messages.
 //
-// [Driver] owns one goroutine's worth of state and no lock: Run is the only
-// goroutine that touches the coordinators.
+// [Driver] needs no lock: only the goroutine of Run accesses the coordinators.
 package expertmap
--- a/control/expertmap/driver.go
+++ b/control/expertmap/driver.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// tickInterval is the time between two looks at the coordinators.
+	// tickInterval is the interval at which the coordinators are run.
 	tickInterval = 10 * time.Millisecond
-	// queueSize bounds the results that wait for the driver.
+	// queueSize bounds the queue of results for the driver.
 	queueSize = 256
 )
 
@@ -27,46 +27,47 @@
 	Propose(ctx context.Context, data []byte) (any, error)
 }
 
-// Transport passes messages to the ranks that an agent serves.
+// Transport sends messages to the agents that serve the ranks.
 type Transport interface {
 	// Group sends one request to the agent at addr, host:port.
 	Group(ctx context.Context, addr string, request *agentv1.GroupRequest) (*agentv1.GroupResponse, error)
 }
 
-// Proposer is asked for the next map of a group that has no switch under way.
+// Proposer proposes the next map of a group that has no switch in progress.
 type Proposer interface {
 	// Propose returns a map worth switching to at now, and whether there is one.
 	Propose(now time.Duration, group string, current group.Map) (next group.Map, ok bool)
-	// Observe takes in what the ranks of a group counted.
+	// Observe records what the ranks of a group have counted.
 	Observe(now time.Duration, load *agentv1.ExpertLoad)
-	// Switched takes in how long a group may have waited at the step of a switch.
-	Switched(now time.Duration, group string, waited time.Duration)
+	// Switched records how long a group may have waited at the step of a switch.
+	Switched(now time.Duration, group string, overrun time.Duration)
 }
 
-// Config sets up a Driver for one term.
+// Config configures a Driver for one term.
 type Config struct {
-	// State is the replicated state of this replica.
+	// State is this replica's copy of the replicated state.
 	State *contract.State
 	// Log commits the decisions; Transport reaches the agents.
 	Log       Log
 	Transport Transport
-	// Proposer may be nil: no switch then begins here.
+	// Proposer may be nil; this driver then begins no switches, but still completes pending
+	// ones.
 	Proposer Proposer
-	// Shapes returns the shapes of the groups. A group without one is left alone.
+	// Shapes returns the shapes of the groups. Groups without a shape are not driven.
 	Shapes func() map[string]group.Shape
-	// ObserveEvery is the time between two observations that the Proposer wants
-	// of a group. Agents that count by themselves are called at least twice in that time.
+	// ObserveInterval returns the interval at which the Proposer wants to observe a group.
+	// Agents that count on their own are called at least twice per interval.
 	ObserveInterval func(group string) time.Duration
-	// BranchSize is the number of agents that one call reaches through one of them,
-	// where agents pass requests on and count when they are asked; zero where they do not.
+	// BranchSize is the number of agents that one call reaches through a relay, for agents that
+	// forward requests and count on request; zero for agents that do not.
 	BranchSize int
-	// Token is the fencing token that the log gave out for the term.
+	// Token is the fencing token that the log issued for the term.
 	Token uint64
 	// LogTime returns the log time of a command proposed now, in nanoseconds.
 	LogTime func() int64
-	// Options returns those of a group's coordinator; nil for the defaults.
+	// Options returns the options of a group's coordinator; nil for the defaults.
 	Options func(group string) mapswitch.Options
-	// Rescue may be zero: hosts that are silent are then waited for.
+	// Rescue may be zero; the driver then waits for unresponsive hosts.
 	Rescue Rescue
 	// Logger must be set.
 	Logger *slog.Logger
@@ -77,43 +78,46 @@
 	cfg     Config
 	started time.Time
 	groups  map[string]*groupState
-	// calling names the agents with a call under way, failing those that have left the
-	// last one unanswered.
+	// calling holds the agents with a call in progress, failing those that did not answer the
+	// last one.
 	calling, failing map[string]bool
 	results          chan func()
-	// answered is when each agent answered last, or was first called.
-	answered map[string]time.Duration
-	// ranks says which agents serve the ranks at the revision, plan how they are called.
-	ranks    addresses
+	// lastAnswer is when each agent last answered, or was first called.
+	lastAnswer map[string]time.Duration
+	// ranks maps the ranks to their agents as of revision; plan divides the agents into
+	// branches.
+	ranks    rankAgents
 	plan     fanout.Plan
 	revision uint64
 }
 
-// groupState is what the driver keeps of one group.
+// groupState is the driver's state of one group.
 type groupState struct {
 	name        string
 	coordinator *mapswitch.Coordinator
-	// owned is the epoch that this term has begun or adopted.
-	owned uint64
-	// proposed is the map that is being begun.
+	// ownedEpoch is the epoch that this term has begun or adopted.
+	ownedEpoch uint64
+	// proposed is the map of the switch being begun.
 	proposed group.Map
-	// committing is set while a command is under way.
+	// committing is set while a proposal is in progress.
 	committing bool
-	// seen is the log's record that the coordinator was last given.
-	seen *fleetv1.MapRecord
-	// began is when the pending switch was first seen here, stages where its time goes.
-	began  time.Duration
-	stages *stages
-	// polled is when all agents of the group were last called.
-	polled time.Duration
-	// change describes the pending map to the ranks; nil if none is.
-	change *agentv1.MapChange
-	// rescuedAt is when the engines of silent hosts were looked at last.
-	rescuedAt time.Duration
-	// rescued are the ranks whose engines were looked at in the present silence.
-	rescued map[int]bool
-	// looked is the last look at the group's demand.
-	looked look
+	// lastRecord is the committed record that was last given to the coordinator.
+	lastRecord *fleetv1.MapRecord
+	// pendingSince is when the pending switch was first seen here, phases the time spent in
+	// each of its phases.
+	pendingSince time.Duration
+	phases       *phaseTimes
+	// lastPoll is when all agents of the group were last called.
+	lastPoll time.Duration
+	// mapChange describes the pending map to the ranks; nil if there is none.
+	mapChange *agentv1.MapChange
+	// lastRescue is when the engines of unresponsive hosts were last checked.
+	lastRescue time.Duration
+	// rescueTried holds the ranks whose engines have been checked since their hosts became
+	// unresponsive.
+	rescueTried map[int]bool
+	// lastDemandPoll is the last poll of the group's demand.
+	lastDemandPoll demandPoll
 	// fenced is set once another coordinator has taken over.
 	fenced bool
 }
@@ -121,17 +125,17 @@
 // NewDriver returns the driver of a term.
 func NewDriver(cfg Config) *Driver {
 	return &Driver{
-		cfg:      cfg,
-		started:  time.Now(),
-		groups:   map[string]*groupState{},
-		calling:  map[string]bool{},
-		failing:  map[string]bool{},
-		answered: map[string]time.Duration{},
-		results:  make(chan func(), queueSize),
+		cfg:        cfg,
+		started:    time.Now(),
+		groups:     map[string]*groupState{},
+		calling:    map[string]bool{},
+		failing:    map[string]bool{},
+		lastAnswer: map[string]time.Duration{},
+		results:    make(chan func(), queueSize),
 	}
 }
 
-// Run drives until ctx ends.
+// Run runs the driver until ctx ends.
 func (d *Driver) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -149,7 +153,7 @@
 
 func (d *Driver) now() time.Duration { return time.Since(d.started) }
 
-// post hands a result to Run.
+// post passes a result to Run.
 func (d *Driver) post(ctx context.Context, result func()) {
 	select {
 	case d.results <- result:
@@ -157,9 +161,9 @@
 	}
 }
 
-// tick looks at every group and sends what is due, one call for each agent.
+// tick runs the coordinators of all groups and sends what is due, in one call per branch.
 func (d *Driver) tick(ctx context.Context) {
-	agents := d.agents()
+	agents := d.rankAgents()
 	out := newOutbox(agents)
 	for name, shape := range d.cfg.Shapes() {
 		g := d.group(name, shape)
@@ -169,8 +173,8 @@
 		if d.ensureFirstMap(ctx, g, shape) {
 			continue
 		}
-		d.learn(ctx, g, out)
-		d.effects(ctx, g, g.coordinator.Tick(d.now()), out)
+		d.syncRecord(ctx, g, out)
+		d.applyEffects(ctx, g, g.coordinator.Tick(d.now()), out)
 		d.propose(ctx, g, shape, out)
 		d.rescue(ctx, g, shape, out)
 		d.poll(g, shape, out)
@@ -178,17 +182,17 @@
 	d.send(ctx, out)
 }
 
-// noRank stands for something else than the answer of a rank.
+// noRank is passed in place of a rank for events other than a rank's answer.
 const noRank = -1
 
-// noteStage notes in which phase the pending switch is, after the answer of a rank.
-func (g *groupState) noteStage(now time.Duration, rank int) {
-	if g.stages != nil {
-		g.stages.note(now, g.coordinator.Phase(), rank)
+// recordPhase records the phase of the pending switch after the answer of a rank.
+func (g *groupState) recordPhase(now time.Duration, rank int) {
+	if g.phases != nil {
+		g.phases.record(now, g.coordinator.Phase(), rank)
 	}
 }
 
-// group returns the group's coordinator, made at the first look.
+// group returns the state of a group and creates it on first use.
 func (d *Driver) group(name string, shape group.Shape) *groupState {
 	if g := d.groups[name]; g != nil {
 		return g
@@ -205,25 +209,25 @@
 	g := &groupState{
 		name:        name,
 		coordinator: mapswitch.NewCoordinator(name, shape.Ranks, d.cfg.Token, record, options),
-		rescued:     map[int]bool{},
+		rescueTried: map[int]bool{},
 	}
 	d.groups[name] = g
 	return g
 }
 
-// learn passes on to the coordinator what the log has committed.
-func (d *Driver) learn(ctx context.Context, g *groupState, out *outbox) {
+// syncRecord gives the coordinator the latest committed record if it has changed.
+func (d *Driver) syncRecord(ctx context.Context, g *groupState, out *outbox) {
 	stored := d.cfg.State.MapRecord(g.name)
-	if g.committing || stored == g.seen {
+	if g.committing || stored == g.lastRecord {
 		return
 	}
-	d.committed(ctx, g, stored, out)
+	d.applyRecord(ctx, g, stored, out)
 }
 
-func (d *Driver) committed(ctx context.Context, g *groupState, stored *fleetv1.MapRecord, out *outbox) {
-	g.seen = stored
+func (d *Driver) applyRecord(ctx context.Context, g *groupState, stored *fleetv1.MapRecord, out *outbox) {
+	g.lastRecord = stored
 	var token uint64
-	if stored.GetEpoch() == g.owned {
+	if stored.GetEpoch() == g.ownedEpoch {
 		token = d.cfg.Token
 	}
 	record, err := mapwire.RecordOf(stored, token)
@@ -234,25 +238,25 @@
 	if token != 0 && record.PendingEpoch != 0 {
 		record.Revision += mapwire.RevisionAdopted
 	}
-	g.change = d.change(g.name, record.PendingEpoch != 0, stored)
+	g.mapChange = d.describeChange(g.name, record.PendingEpoch != 0, stored)
 	before := g.coordinator.Record()
 	if before.PendingEpoch == 0 && record.PendingEpoch != 0 {
-		g.began = d.now()
+		g.pendingSince = d.now()
 	}
-	d.effects(ctx, g, g.coordinator.Committed(d.now(), record), out)
+	d.applyEffects(ctx, g, g.coordinator.Committed(d.now(), record), out)
 	d.logDecision(g, before, g.coordinator.Record())
 }
 
-// change describes the pending map of a record by its difference to the one in force; nil where
-// there is none, or where agents do not pass requests on.
-func (d *Driver) change(name string, pending bool, stored *fleetv1.MapRecord) *agentv1.MapChange {
+// describeChange describes the pending map of a record by its difference from the map in force.
+// It returns nil if there is no such map, or if agents do not forward requests.
+func (d *Driver) describeChange(name string, pending bool, stored *fleetv1.MapRecord) *agentv1.MapChange {
 	shape, known := d.cfg.Shapes()[name]
 	if !pending || !known || d.cfg.BranchSize == 0 || stored.GetBaseEpoch() == 0 {
 		return nil
 	}
 	next, err := mapwire.DecodeStored(stored.GetMap())
 	if err != nil {
-		return nil // the ranks read the record, and say what is wrong with it
+		return nil // the ranks read the record themselves and report the error
 	}
 	base, err := mapwire.DecodeStored(stored.GetBaseMap())
 	if err != nil {
@@ -261,20 +265,20 @@
 	return mapwire.ChangeOf(name, shape, stored.GetBaseEpoch(), base.Map, stored.GetEpoch(), next.Map)
 }
 
-// propose begins the next switch, if the group is at rest and there is a map
-// worth it.
+// propose begins the next switch if the group is idle and the proposer has a map worth
+// switching to.
 func (d *Driver) propose(ctx context.Context, g *groupState, shape group.Shape, out *outbox) {
 	pending := g.coordinator.Record().PendingEpoch != 0
 	if d.cfg.Proposer == nil || g.committing || pending || g.coordinator.Phase() != mapswitch.PhaseIdle {
 		return
 	}
-	if len(g.coordinator.Unacknowledged()) > 0 || len(d.silent(g.name, shape)) > 0 {
+	if len(g.coordinator.Unacknowledged()) > 0 || len(d.unresponsive(g.name, shape)) > 0 {
 		return
 	}
-	if waited, ok := g.coordinator.TakeOverrun(); ok {
-		d.cfg.Proposer.Switched(d.now(), g.name, waited)
+	if overrun, ok := g.coordinator.TakeOverrun(); ok {
+		d.cfg.Proposer.Switched(d.now(), g.name, overrun)
 	}
-	current, err := d.current(g)
+	current, err := d.currentMap(g)
 	if err != nil {
 		return
 	}
@@ -287,16 +291,16 @@
 		return
 	}
 	g.proposed = next
-	g.stages = newStages(d.now())
+	g.phases = newPhaseTimes(d.now())
 	effects, err := g.coordinator.Propose(d.now(), next)
 	if err != nil {
 		return
 	}
-	d.effects(ctx, g, effects, out)
+	d.applyEffects(ctx, g, effects, out)
 }
 
-// current returns the map in force.
-func (d *Driver) current(g *groupState) (group.Map, error) {
+// currentMap returns the map in force.
+func (d *Driver) currentMap(g *groupState) (group.Map, error) {
 	stored := d.cfg.State.MapRecord(g.name)
 	encoded := stored.GetMap()
 	if stored.GetState() != fleetv1.MapState_MAP_STATE_COMMITTED {
@@ -306,9 +310,9 @@
 	return latest.Map, err
 }
 
-// effects carries out what a coordinator asks for.
-func (d *Driver) effects(ctx context.Context, g *groupState, effects []mapswitch.Effect, out *outbox) {
-	g.noteStage(d.now(), noRank)
+// applyEffects carries out the effects that a coordinator has returned.
+func (d *Driver) applyEffects(ctx context.Context, g *groupState, effects []mapswitch.Effect, out *outbox) {
+	g.recordPhase(d.now(), noRank)
 	for _, effect := range effects {
 		switch effect.Kind {
 		case mapswitch.Send:
--- a/control/expertmap/driver_test.go
+++ b/control/expertmap/driver_test.go
@@ -27,81 +27,82 @@
 
 var testShape = group.Shape{Layers: 2, Experts: 4, Ranks: 4, Slots: 2}
 
-// site is a group of ranks beside the replicated state, with lossy calls.
-type site struct {
+// testCluster simulates a group of ranks and the replicated state, with lossy calls.
+type testCluster struct {
 	mu    sync.Mutex
 	rng   *rand.Rand
 	state *contract.State
 	index uint64
 	ranks []*mapswitch.Rank
 	step  uint64
-	// epochs that ran so far, and how often the group held.
-	epochs map[uint64]bool
-	held   int
-	mixed  bool
-	began  time.Time
-	// losing is set while calls and commands may be lost.
-	losing bool
-	// branch is how many agents one call reaches.
+	// epochs are the epochs that have run so far; heldTicks counts the ticks at which the group
+	// was held.
+	epochs    map[uint64]bool
+	heldTicks int
+	mixed     bool
+	began     time.Time
+	// lossy is set while calls and commands may be lost.
+	lossy bool
+	// branch is the number of agents that one call reaches.
 	branch int
 }
 
-func (s *site) now() time.Duration { return time.Since(s.began) }
+func (s *testCluster) now() time.Duration { return time.Since(s.began) }
 
-// Propose commits after a while; the answer may be lost.
-func (s *site) Propose(_ context.Context, data []byte) (any, error) {
+// Propose commits after a delay; the command or its response may be lost.
+func (s *testCluster) Propose(_ context.Context, data []byte) (any, error) {
 	s.mu.Lock()
 	var delay time.Duration
-	if s.losing {
+	if s.lossy {
 		delay = time.Duration(s.rng.IntN(150)) * time.Millisecond
 	}
 	s.mu.Unlock()
 	time.Sleep(delay)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.losing && s.rng.IntN(8) == 0 {
+	if s.lossy && s.rng.IntN(8) == 0 {
 		return nil, fault.New(fault.Unavailable, "not proposed", "")
 	}
 	s.index++
 	result := s.state.Apply(s.index, 1, data)
-	if s.losing && s.rng.IntN(8) == 0 {
+	if s.lossy && s.rng.IntN(8) == 0 {
 		return nil, fault.New(fault.Unknown, "the answer was lost", "")
 	}
 	return result, nil
 }
 
-// Group carries messages to the ranks; the request or the answer may be lost.
-func (s *site) Group(_ context.Context, _ string, request *agentv1.GroupRequest) (*agentv1.GroupResponse, error) {
+// Group delivers messages to the ranks; the request or the response may be lost.
+func (s *testCluster) Group(_ context.Context, _ string, request *agentv1.GroupRequest) (*agentv1.GroupResponse, error) {
 	time.Sleep(time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.losing && s.rng.IntN(6) == 0 {
+	if s.lossy && s.rng.IntN(6) == 0 {
 		return nil, fault.New(fault.Unavailable, "not sent", "")
 	}
 	response := &agentv1.GroupResponse{}
-	if err := s.take(request, response); err != nil {
+	if err := s.deliver(request, response); err != nil {
 		return nil, err
 	}
 	for _, forward := range request.GetForwards() {
-		if s.losing && s.rng.IntN(6) == 0 {
+		if s.lossy && s.rng.IntN(6) == 0 {
 			continue // the request did not reach the other host
 		}
-		passed := &agentv1.GroupResponse{Answered: []string{forward.GetAddr()}}
-		if err := s.take(forward.GetRequest(), passed); err != nil {
+		forwarded := &agentv1.GroupResponse{Answered: []string{forward.GetAddr()}}
+		if err := s.deliver(forward.GetRequest(), forwarded); err != nil {
 			return nil, err
 		}
-		if !s.losing || s.rng.IntN(6) > 0 {
-			fanout.Merge(response, passed)
+		if !s.lossy || s.rng.IntN(6) > 0 {
+			fanout.Merge(response, forwarded)
 		}
 	}
-	if s.losing && s.rng.IntN(6) == 0 {
+	if s.lossy && s.rng.IntN(6) == 0 {
 		return nil, fault.New(fault.Unknown, "the answer was lost", "")
 	}
 	return response, nil
 }
 
-// take hands messages to the ranks.
-func (s *site) take(request *agentv1.GroupRequest, response *agentv1.GroupResponse) error {
+// deliver passes messages to the ranks.
+func (s *testCluster) deliver(request *agentv1.GroupRequest, response *agentv1.GroupResponse) error {
 	for _, message := range request.GetMessages() {
 		m, err := mapwire.FromProto(message)
 		if err != nil {
@@ -112,9 +113,9 @@
 	return nil
 }
 
-// emit carries out what a rank asks for: its engine loads at once, and reads of
-// the record go to a quorum.
-func (s *site) emit(out []mapswitch.Message, response *agentv1.GroupResponse) {
+// emit handles the messages that a rank sends: its engine loads immediately, and reads of the
+// record return the committed one.
+func (s *testCluster) emit(out []mapswitch.Message, response *agentv1.GroupResponse) {
 	for _, m := range out {
 		switch m.Kind.Destination() {
 		case mapswitch.ToEngine:
@@ -133,8 +134,8 @@
 	}
 }
 
-// advance lets the group run its next step if all ranks may.
-func (s *site) advance() {
+// advance runs the group's next step if all ranks permit it.
+func (s *testCluster) advance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	permits := map[uint64]bool{}
@@ -146,7 +147,7 @@
 		all = all && ok
 	}
 	if !all {
-		s.held++
+		s.heldTicks++
 		return
 	}
 	s.mixed = s.mixed || len(permits) != 1
@@ -156,21 +157,21 @@
 	s.step++
 }
 
-// restart puts a new process beside a rank, which knows nothing.
-func (s *site) restart(rank int, incarnation uint64) {
+// restart replaces the process of a rank by a new one without state.
+func (s *testCluster) restart(rank int, incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ranks[rank] = mapswitch.NewRank(rank, testGroup, incarnation)
 }
 
-// shuffler always proposes another map.
-type shuffler struct{ rng *rand.Rand }
+// shuffleProposer always proposes a different map.
+type shuffleProposer struct{ rng *rand.Rand }
 
-func (p shuffler) Observe(time.Duration, *agentv1.ExpertLoad) {}
+func (p shuffleProposer) Observe(time.Duration, *agentv1.ExpertLoad) {}
 
-func (p shuffler) Switched(time.Duration, string, time.Duration) {}
+func (p shuffleProposer) Switched(time.Duration, string, time.Duration) {}
 
-func (p shuffler) Propose(_ time.Duration, _ string, current group.Map) (group.Map, bool) {
+func (p shuffleProposer) Propose(_ time.Duration, _ string, current group.Map) (group.Map, bool) {
 	next := current.Clone()
 	for layer := range next.Layers {
 		slots := next.Layer(layer)
@@ -179,7 +180,7 @@
 	return next, next.Validate(testShape) == nil && next.Digest() != current.Digest()
 }
 
-func (s *site) lead(ctx context.Context, t *testing.T) {
+func (s *testCluster) lead(ctx context.Context, t *testing.T) {
 	data, err := contract.EncodeIssueFence(0)
 	is.New(t).NoErr(err)
 	s.mu.Lock()
@@ -187,22 +188,22 @@
 	token := s.state.Apply(s.index, 1, data).(*contract.Result).Fence
 	s.mu.Unlock()
 	driver := NewDriver(Config{
-		State: s.state, Log: s, Transport: s, Proposer: shuffler{rand.New(rand.NewPCG(token, 1))},
+		State: s.state, Log: s, Transport: s, Proposer: shuffleProposer{rand.New(rand.NewPCG(token, 1))},
 		Shapes: func() map[string]group.Shape { return map[string]group.Shape{testGroup: testShape} }, Token: token,
 		LogTime: func() int64 { return 0 }, Logger: slog.New(slog.DiscardHandler), BranchSize: s.branch,
 	})
 	go driver.Run(ctx)
 }
 
-// Maps switch again and again while calls and answers are lost, leaders are
-// replaced without knowing it and processes beside ranks restart: every step
-// runs with one map on all ranks, and the group goes on once it is calm.
-func TestEveryStepHasOneMap(t *testing.T) {
+// Maps are switched repeatedly while calls and responses are lost, leaders are replaced without
+// noticing and the processes of ranks restart. Every step runs with the same map on all ranks,
+// and the group continues once the faults end.
+func TestEveryStepRunsWithOneMap(t *testing.T) {
 	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Restart, proof.Late, proof.Lost}, Step: "every step of a switch, driven over the replicated state", Together: true,
 		Guard: "each alone: the promise, the fencing token of the record, adoption, the step of the base map"}.Log(t)
 	for _, branch := range []int{0, 3} {
 		for seed := uint64(1); seed <= 8; seed++ {
-			synctest.Test(t, func(t *testing.T) { runSite(t, seed, branch) })
+			synctest.Test(t, func(t *testing.T) { runCluster(t, seed, branch) })
 			if t.Failed() {
 				t.Fatalf("seed %d, branches of %d", seed, branch)
 			}
@@ -210,11 +211,11 @@
 	}
 }
 
-func runSite(t *testing.T, seed uint64, branch int) {
+func runCluster(t *testing.T, seed uint64, branch int) {
 	is := is.NewRelaxed(t)
-	s := &site{
+	s := &testCluster{
 		rng: rand.New(rand.NewPCG(seed, 1)), state: contract.NewState(), step: 1,
-		epochs: map[uint64]bool{}, began: time.Now(), losing: true, branch: branch,
+		epochs: map[uint64]bool{}, began: time.Now(), lossy: true, branch: branch,
 	}
 	for rank := range testShape.Ranks {
 		s.ranks = append(s.ranks, mapswitch.NewRank(rank, testGroup, 1))
@@ -231,23 +232,23 @@
 		time.Sleep(5 * time.Millisecond)
 		s.advance()
 		if tick < 3000 && rng.IntN(300) == 0 {
-			s.lead(ctx, t) // the one before goes on as well
+			s.lead(ctx, t) // the previous leader continues as well
 		}
 		if tick < 3000 && rng.IntN(300) == 0 {
 			s.restart(rng.IntN(len(s.ranks)), uint64(tick+2))
 		}
 		if tick == 3000 {
 			s.mu.Lock()
-			s.losing, s.held = false, 0
+			s.lossy, s.heldTicks = false, 0
 			s.mu.Unlock()
 		}
 	}
 	cancel()
-	time.Sleep(time.Second) // calls under way end
+	time.Sleep(time.Second) // calls in progress end
 	is.True(!s.mixed)
-	is.True(len(s.epochs) > 5) // maps did change
-	is.True(s.held < 500)      // and the group went on
-	t.Logf("seed %d: %d steps, %d epochs, %d holds at the end", seed, s.step, len(s.epochs), s.held)
+	is.True(len(s.epochs) > 5) // maps were switched
+	is.True(s.heldTicks < 500) // the group continued
+	t.Logf("seed %d: %d steps, %d epochs, %d holds at the end", seed, s.step, len(s.epochs), s.heldTicks)
 }
 
 func announcement(rank int) *controlv1.AnnounceRequest {
--- a/control/expertmap/following.go
+++ b/control/expertmap/following.go
@@ -9,107 +9,108 @@
 	"github.com/lilackeel/lilackeel/group/balance"
 )
 
-// Following proposes maps by one balance.Follower for each group whose demand
-// shifts within seconds.
+// FollowingProposer proposes maps with one balance.Follower for each group whose demand shifts
+// within seconds.
 type FollowingProposer struct {
-	// Config returns the settings of a group; ok is false for one that is not
-	// followed.
+	// Config returns the follower configuration of a group; ok is false for a group that has
+	// none.
 	Config func(group string) (config balance.FollowConfig, ok bool)
-	// Pause returns the longest pause that the streams of a group are held to; nil, or
-	// zero, for none.
+	// MaxGap returns the longest gap between tokens promised to the streams of a group; MaxGap
+	// may be nil, and zero stands for no promise.
 	MaxGap func(group string) time.Duration
 	// Interval is the time between two observations.
 	Interval time.Duration
 	// Logger must be set.
 	Logger *slog.Logger
 
-	groups map[string]*followed
+	groups map[string]*followerState
 }
 
-// followed is one group.
-type followed struct {
+// followerState is the follower of one group.
+type followerState struct {
 	follower *balance.Follower
 	shape    group.Shape
 	totals   *totals
-	// observed is when the follower last got the demand, fresh is true until
-	// a decision has been made on it.
-	observed time.Duration
-	fresh    bool
-	// spell is how long demand stays.
-	spell balance.Spell
-	// stalls is what switches have cost beside their copies.
+	// lastObservation is when the follower last received the demand. undecided is set from then
+	// until a decision has been made on it.
+	lastObservation time.Duration
+	undecided       bool
+	// shiftInterval estimates how long demand stays the same.
+	shiftInterval balance.Spell
+	// stalls estimates the cost of switches apart from their copies.
 	stalls balance.Stalls
-	// pace is how long the passes take, step the furthest that was counted.
-	pace balance.Pace
-	step uint64
+	// pace estimates the duration of a forward pass. maxStep is the highest step counted so far.
+	pace    balance.Pace
+	maxStep uint64
 }
 
-// Observe implements Proposer. Demand is followed during a switch as well, so that the next
-// decision is made on what was seen last.
+// Observe implements Proposer. It follows demand during a switch as well, so that the next
+// decision uses the latest observation.
 func (f *FollowingProposer) Observe(now time.Duration, load *agentv1.ExpertLoad) {
 	g := f.group(load.GetGroup())
 	if g == nil {
 		return
 	}
 	g.totals.add(now, load)
-	g.step = max(g.step, load.GetToStep())
-	if now-g.observed < f.Interval/2 || !g.totals.enough(now, f.Interval) {
+	g.maxStep = max(g.maxStep, load.GetToStep())
+	if now-g.lastObservation < f.Interval/2 || !g.totals.sufficient(now, f.Interval) {
 		return
 	}
-	g.observed, g.fresh = now, true
+	g.lastObservation, g.undecided = now, true
 	g.follower.Observe(g.totals.tokens)
 	g.totals = newTotals(g.shape)
 	if g.follower.Jumped() {
-		g.spell.Jumped(now)
+		g.shiftInterval.Jumped(now)
 	}
 }
 
 // Switched implements Proposer.
-func (f *FollowingProposer) Switched(now time.Duration, name string, waited time.Duration) {
+func (f *FollowingProposer) Switched(now time.Duration, name string, overrun time.Duration) {
 	if g := f.group(name); g != nil {
-		g.stalls.Switched(now, waited)
+		g.stalls.Switched(now, overrun)
 	}
 }
 
 // Propose implements Proposer.
 func (f *FollowingProposer) Propose(now time.Duration, name string, current group.Map) (next group.Map, ok bool) {
 	g := f.group(name)
-	if g == nil || !g.fresh {
+	if g == nil || !g.undecided {
 		return group.Map{}, false
 	}
-	g.fresh = false
-	g.pace.Counted(now, g.step, g.follower.Relative(current))
-	g.follower.SetPace(g.pace.Unit(), f.pause(name))
-	g.follower.SetHold(g.spell.Left(now).Seconds())
-	// A held step harms the streams that are in time, and no others: while all are late by
-	// the map in force, nothing is lost by a switch that may be held.
-	harmed := 1 - balance.Late(g.pass(current), f.pause(name))
-	g.follower.SetStall(g.stalls.Expected(now).Seconds() * harmed)
+	g.undecided = false
+	g.pace.Counted(now, g.maxStep, g.follower.Relative(current))
+	g.follower.SetPace(g.pace.Unit(), f.maxGap(name))
+	g.follower.SetHold(g.shiftInterval.Left(now).Seconds())
+	// A held step delays only the streams that are on time. If all are already late with the
+	// map in force, a switch that may be held costs nothing.
+	onTimeShare := 1 - balance.Late(g.passTime(current), f.maxGap(name))
+	g.follower.SetStall(g.stalls.Expected(now).Seconds() * onTimeShare)
 	decision := g.follower.Decide(current)
 	if !decision.Switch {
 		return group.Map{}, false
 	}
 	f.Logger.Info("switching an expert map", slog.String("group", name),
 		slog.Float64("skew", g.follower.Skew(current)), slog.Float64("expected", g.follower.Skew(decision.Map)), slog.Int("moves", decision.Moves),
-		slog.Float64("saving", decision.Saving), slog.Duration("pass", g.pass(current)),
+		slog.Float64("saving", decision.Saving), slog.Duration("pass", g.passTime(current)),
 		slog.Float64("gain_s", decision.Gain), slog.Float64("cost_s", decision.Cost))
 	return decision.Map, true
 }
 
-func (f *FollowingProposer) pause(name string) time.Duration {
+func (f *FollowingProposer) maxGap(name string) time.Duration {
 	if f.MaxGap == nil {
 		return 0
 	}
 	return f.MaxGap(name)
 }
 
-// pass is how long a pass takes under a map; zero if that is not known.
-func (g *followed) pass(m group.Map) time.Duration {
+// passTime returns the expected duration of a forward pass with a map; zero if it is not known.
+func (g *followerState) passTime(m group.Map) time.Duration {
 	return time.Duration(g.follower.Relative(m) * float64(g.pace.Unit()))
 }
 
-// group returns the follower of a group, made at the first look.
-func (f *FollowingProposer) group(name string) *followed {
+// group returns the follower of a group and creates it on first use. It returns nil for a group
+// without a configuration.
+func (f *FollowingProposer) group(name string) *followerState {
 	if g := f.groups[name]; g != nil {
 		return g
 	}
@@ -118,9 +119,9 @@
 		return nil
 	}
 	if f.groups == nil {
-		f.groups = map[string]*followed{}
+		f.groups = map[string]*followerState{}
 	}
-	g := &followed{follower: balance.NewFollower(config), shape: config.Shape, totals: newTotals(config.Shape)}
+	g := &followerState{follower: balance.NewFollower(config), shape: config.Shape, totals: newTotals(config.Shape)}
 	f.groups[name] = g
 	return g
 }
--- a/control/expertmap/following_test.go
+++ b/control/expertmap/following_test.go
@@ -14,29 +14,29 @@
 	"github.com/lilackeel/lilackeel/group/balance"
 )
 
-// watched is a group of 16 ranks whose demand is seen each 150 ms, with passes of a length.
-// Its first map leaves a skew of about three.
-type watched struct {
+// followHarness observes a group of 16 ranks every 150 ms, with passes of a given duration. The
+// initial map has a skew of about three.
+type followHarness struct {
 	following *FollowingProposer
 	shape     group.Shape
 	now       time.Duration
 	passes    float64
 }
 
-func newWatched(pause time.Duration) *watched {
+func newFollowHarness(pause time.Duration) *followHarness {
 	shape := group.Shape{Layers: 4, Experts: 64, Ranks: 16, Slots: 5}
 	config := balance.FollowConfig{
 		Shape: shape, Reach: balance.Reach{Spare: 2, Copies: 10}, Fixed: 2.8, CopySeconds: 0.037, CopySlow: 0.15,
 		OrderSeconds: 0.09, StallSeconds: 0.005, MoveSeconds: 0.0004, HoldSeconds: 2, Smoothing: 0.3, Jump: 0.12,
 	}
-	return &watched{shape: shape, following: &FollowingProposer{
+	return &followHarness{shape: shape, following: &FollowingProposer{
 		Config: func(string) (balance.FollowConfig, bool) { return config, true },
 		MaxGap: func(string) time.Duration { return pause }, Interval: 150 * time.Millisecond, Logger: slog.New(slog.DiscardHandler),
 	}}
 }
 
-// look lets 150 ms pass and reports whether a switch is proposed.
-func (w *watched) look(pass time.Duration) bool {
+// observe advances the time by 150 ms and reports whether a switch is proposed.
+func (w *followHarness) observe(pass time.Duration) bool {
 	w.now += 150 * time.Millisecond
 	w.passes += float64(150*time.Millisecond) / float64(pass)
 	tokens := make([]uint64, w.shape.Layers*w.shape.Experts)
@@ -52,19 +52,19 @@
 	return ok
 }
 
-// TestAGroupWhoseStreamsAreLateDoesNotWaitForCalm plays a group whose steps have been held for
-// long at its last two switches. While its passes are within the promised pause the next one
-// waits; where they are beyond it, all streams are late anyway.
-func TestAGroupWhoseStreamsAreLateDoesNotWaitForCalm(t *testing.T) {
+// The steps of a group were held for a long time at its last two switches. While its passes are
+// shorter than the promised gap, the next switch is postponed. If they are longer, all streams
+// are late anyway and the switch is proposed.
+func TestFollowingSwitchesWhileStreamsAreLate(t *testing.T) {
 	is := is.New(t)
 	proposed := func(pass time.Duration) bool {
-		w := newWatched(120 * time.Millisecond)
+		w := newFollowHarness(120 * time.Millisecond)
 		for range 8 {
-			w.look(pass)
+			w.observe(pass)
 		}
 		w.following.Switched(w.now, "g", 300*time.Millisecond)
 		w.following.Switched(w.now, "g", 300*time.Millisecond)
-		return w.look(pass)
+		return w.observe(pass)
 	}
 	is.True(!proposed(70 * time.Millisecond))
 	is.True(proposed(140 * time.Millisecond))
--- a/control/expertmap/outbox.go
+++ b/control/expertmap/outbox.go
@@ -7,62 +7,62 @@
 	"github.com/lilackeel/lilackeel/group/mapwire"
 )
 
-// rankName names one rank of one group.
-type rankName struct {
+// rankID identifies a rank of a group.
+type rankID struct {
 	group string
 	rank  int
 }
 
-// addresses says which agent serves each rank.
-type addresses map[rankName]string
+// rankAgents maps each rank to the address of its agent.
+type rankAgents map[rankID]string
 
-// agents returns the agents of all live ranks.
-func (d *Driver) agents() addresses {
+// rankAgents returns the agents of all live ranks.
+func (d *Driver) rankAgents() rankAgents {
 	configuration := d.cfg.State.Configuration()
 	if d.ranks != nil && d.revision == configuration.GetRevision() {
 		return d.ranks
 	}
-	known := addresses{}
-	var members []fanout.Agent
+	byRank := rankAgents{}
+	var agents []fanout.Agent
 	for _, endpoint := range configuration.GetEndpoints() {
 		if endpoint.GetGroup() == "" || !endpoint.GetLive() {
 			continue
 		}
-		known[rankName{endpoint.GetGroup(), int(endpoint.GetRank())}] = endpoint.GetAgentAddr()
-		members = append(members, fanout.Agent{Addr: endpoint.GetAgentAddr(), Zone: endpoint.GetZone()})
+		byRank[rankID{endpoint.GetGroup(), int(endpoint.GetRank())}] = endpoint.GetAgentAddr()
+		agents = append(agents, fanout.Agent{Addr: endpoint.GetAgentAddr(), Zone: endpoint.GetZone()})
 	}
-	d.ranks, d.revision = known, configuration.GetRevision()
-	d.plan = fanout.NewPlan(members, max(d.cfg.BranchSize, 1))
-	return known
+	d.ranks, d.revision = byRank, configuration.GetRevision()
+	d.plan = fanout.NewPlan(agents, max(d.cfg.BranchSize, 1))
+	return byRank
 }
 
 // complete reports whether every rank of the group has been announced.
-func (a addresses) complete(name string, ranks int) bool {
+func (a rankAgents) complete(name string, ranks int) bool {
 	for rank := range ranks {
-		if a[rankName{name, rank}] == "" {
+		if a[rankID{name, rank}] == "" {
 			return false
 		}
 	}
 	return true
 }
 
-// outbox gathers the messages of one moment by agent.
+// outbox collects messages by agent.
 type outbox struct {
-	agents addresses
+	agents rankAgents
 	byAddr map[string]*agentv1.GroupRequest
-	// counting names the agents whose counts are asked for, preparing the groups of
-	// which ranks are asked to prepare a map.
+	// counting holds the agents that are asked for their counts, preparing the groups with
+	// ranks that are asked to prepare a map.
 	counting, preparing map[string]bool
 }
 
-func newOutbox(agents addresses) *outbox {
+func newOutbox(agents rankAgents) *outbox {
 	return &outbox{agents: agents, byAddr: map[string]*agentv1.GroupRequest{}, counting: map[string]bool{}, preparing: map[string]bool{}}
 }
 
-// add puts a message in. One for a rank without an agent is lost; it is sent
-// again.
+// add adds a message. A message for a rank without an agent is dropped; the coordinator sends
+// it again.
 func (o *outbox) add(m mapswitch.Message) {
-	request := o.request(rankName{m.Group, m.Rank})
+	request := o.request(rankID{m.Group, m.Rank})
 	if request == nil {
 		return
 	}
@@ -73,14 +73,14 @@
 }
 
 // count asks the agent of a rank for its counts.
-func (o *outbox) count(rank rankName) {
+func (o *outbox) count(rank rankID) {
 	if o.request(rank) != nil {
 		o.counting[o.agents[rank]] = true
 	}
 }
 
-// request returns the request to the agent of a rank; nil if there is none.
-func (o *outbox) request(rank rankName) *agentv1.GroupRequest {
+// request returns the request to the agent of a rank, or nil if the rank has no agent.
+func (o *outbox) request(rank rankID) *agentv1.GroupRequest {
 	addr := o.agents[rank]
 	if addr == "" {
 		return nil
--- a/control/expertmap/stages.go
+++ b/control/expertmap/phases.go
@@ -7,24 +7,24 @@
 	"github.com/lilackeel/lilackeel/group/mapswitch"
 )
 
-// stages says where the time of one switch goes.
-type stages struct {
+// phaseTimes records how long the phases of one switch take.
+type phaseTimes struct {
 	phase mapswitch.Phase
-	// since is when the present phase began.
+	// since is when the current phase began.
 	since time.Duration
-	// took is the time in each phase.
+	// took is the time spent in each phase.
 	took map[mapswitch.Phase]time.Duration
-	// last is the rank whose answer ended a phase.
+	// last is the rank whose answer ended each phase.
 	last map[mapswitch.Phase]int
 }
 
-func newStages(now time.Duration) *stages {
-	return &stages{phase: mapswitch.PhaseBeginning, since: now, took: map[mapswitch.Phase]time.Duration{}, last: map[mapswitch.Phase]int{}}
+func newPhaseTimes(now time.Duration) *phaseTimes {
+	return &phaseTimes{phase: mapswitch.PhaseBeginning, since: now, took: map[mapswitch.Phase]time.Duration{}, last: map[mapswitch.Phase]int{}}
 }
 
-// note takes in the phase after a message of a rank, or after something else if rank is
+// record records the phase after the answer of a rank, or after another event if rank is
 // negative.
-func (s *stages) note(now time.Duration, phase mapswitch.Phase, rank int) {
+func (s *phaseTimes) record(now time.Duration, phase mapswitch.Phase, rank int) {
 	if phase == s.phase {
 		return
 	}
@@ -35,9 +35,9 @@
 	s.phase, s.since = phase, now
 }
 
-// LogValue implements slog.LogValuer: the time of each stage, and the ranks that were last. It is
-// empty for a switch that another leader began.
-func (s *stages) LogValue() slog.Value {
+// LogValue implements slog.LogValuer. It returns the duration of each phase and the ranks that
+// answered last, or an empty group for a switch that another leader began.
+func (s *phaseTimes) LogValue() slog.Value {
 	if s == nil {
 		return slog.GroupValue()
 	}
--- a/control/expertmap/polling.go
+++ b/control/expertmap/polling.go
@@ -8,83 +8,83 @@
 )
 
 const (
-	// restInterval and switchInterval are the times between two calls to all
-	// agents of a group, at rest and during a switch.
-	restInterval   = time.Second
+	// idleInterval and switchInterval are the intervals between two calls to all agents of a
+	// group, while it is idle and during a switch.
+	idleInterval   = time.Second
 	switchInterval = 50 * time.Millisecond
-	// callBudget is how many calls a second the leader makes to the agents of all
-	// groups at rest. In branches of eight that is enough to ask 300 ranks each 150 ms;
-	// 2,500 are asked each 1.25 s.
+	// callBudget bounds the rate of the leader's calls to the agents of all idle groups, per
+	// second. In branches of eight it suffices to poll 300 ranks every 150 ms; 2,500 ranks are
+	// polled every 1.25 s.
 	callBudget = 250
 )
 
-// lookRanks is how many ranks are asked for their counts in one look, about: all of a group of
-// so many, and a part of a larger one, in turn. All serve the same mixture of requests: 48
-// ranks of 192 tell the part of an expert to 5 in 100 in 150 ms, while the counts of all would
-// fill a third of the links of their relays, and hold up the orders of a switch.
-const lookRanks = 48
+// maxRanksPerPoll is the approximate number of ranks that one poll asks for counts: all ranks
+// of a group up to this size, and a part of a larger group in turn. All ranks serve the same
+// mixture of requests, so within 150 ms 48 of 192 ranks yield an expert's share of the demand
+// to within 5%. The counts of all ranks would fill a third of their relays' links and delay the
+// orders of a switch.
+const maxRanksPerPoll = 48
 
-// poll calls the agents of a group now and then, also those that have nothing to
-// hear: a rank that waits, and what ranks have counted, is only heard in an
-// answer.
+// poll calls the agents of a group periodically, even if there are no messages for them: only
+// the answers tell which ranks are waiting and what they have counted.
 func (d *Driver) poll(g *groupState, shape group.Shape, out *outbox) {
 	phase := g.coordinator.Phase()
-	waits := d.waits(phase) && d.now()-g.polled >= switchInterval
-	looks := d.now()-g.looked.at >= d.pollInterval(g.name) && phase != mapswitch.PhasePromising && phase != mapswitch.PhaseDeciding
-	if !waits && !looks {
+	pollSwitch := d.needsSwitchPoll(phase) && d.now()-g.lastPoll >= switchInterval
+	pollDemand := d.now()-g.lastDemandPoll.at >= d.pollInterval(g.name) && phase != mapswitch.PhasePromising && phase != mapswitch.PhaseDeciding
+	if !pollSwitch && !pollDemand {
 		return
 	}
-	g.polled = d.now()
-	if looks {
-		g.looked = look{at: d.now(), number: g.looked.number + 1}
+	g.lastPoll = d.now()
+	if pollDemand {
+		g.lastDemandPoll = demandPoll{at: d.now(), number: g.lastDemandPoll.number + 1}
 	}
 	for rank := range shape.Ranks {
-		name := rankName{g.name, rank}
-		out.request(name)
-		if looks && g.looked.asks(rank, shape.Ranks) {
-			out.count(name)
+		id := rankID{g.name, rank}
+		out.request(id)
+		if pollDemand && g.lastDemandPoll.includes(rank, shape.Ranks) {
+			out.count(id)
 		}
 	}
 }
 
-// waits reports whether agents have to be called in a phase though there is nothing to ask of
-// them: a rank that waits at the step of a switch says so in an answer. Where agents keep a
-// call until they have an answer, that is of use only while promises are collected, and
-// hinders what comes next otherwise.
-func (d *Driver) waits(phase mapswitch.Phase) bool {
+// needsSwitchPoll reports whether agents must be called in a phase even if there are no
+// messages for them: a rank reports in an answer that it is waiting at the step of a switch.
+// Agents that hold a call until they have an answer need this only while promises are
+// collected; in other phases the held call would delay the next message.
+func (d *Driver) needsSwitchPoll(phase mapswitch.Phase) bool {
 	if d.cfg.BranchSize == 0 {
 		return phase != mapswitch.PhaseIdle
 	}
 	return phase == mapswitch.PhasePromising
 }
 
-// look is one look at the demand of a group.
-type look struct {
+// demandPoll is one poll of the demand of a group.
+type demandPoll struct {
 	at     time.Duration
 	number int
 }
 
-// asks reports whether a look asks a rank for its counts. Ranks next to each other are
-// asked in different looks.
-func (l look) asks(rank, ranks int) bool {
-	parts := lookParts(ranks)
-	return rank%parts == l.number%parts
+// includes reports whether the poll asks a rank for its counts. Adjacent ranks are asked in
+// different polls.
+func (p demandPoll) includes(rank, ranks int) bool {
+	rounds := pollRounds(ranks)
+	return rank%rounds == p.number%rounds
 }
 
-// lookParts is the number of looks in which all ranks are asked once.
-func lookParts(ranks int) int { return (ranks + lookRanks - 1) / lookRanks }
+// pollRounds is the number of polls in which every rank is asked once.
+func pollRounds(ranks int) int { return (ranks + maxRanksPerPoll - 1) / maxRanksPerPoll }
 
-// pollInterval is the time between two calls to all agents of a group at rest. With
-// many ranks it grows, so that the leader's calls stay within callBudget.
+// pollInterval is the interval between two calls to all agents of an idle group. It grows with
+// the number of ranks, so that the leader's calls stay within callBudget.
 func (d *Driver) pollInterval(name string) time.Duration {
-	interval, calls := restInterval, len(d.ranks)/max(d.cfg.BranchSize, 1)
+	interval, calls := idleInterval, len(d.ranks)/max(d.cfg.BranchSize, 1)
 	if d.cfg.ObserveInterval != nil {
-		wanted := d.cfg.ObserveInterval(name)
+		requested := d.cfg.ObserveInterval(name)
 		if d.cfg.BranchSize == 0 {
-			wanted /= 2
+			requested /= 2
 		}
-		if wanted > 0 {
-			interval = min(interval, wanted)
+		if requested > 0 {
+			interval = min(interval, requested)
 		}
 	}
 	return max(interval, time.Duration(calls)*time.Second/callBudget)
--- a/control/expertmap/rescue.go
+++ b/control/expertmap/rescue.go
@@ -13,104 +13,105 @@
 )
 
 const (
-	// rescueAfter is how long a host may leave a call unanswered before its engine is
-	// looked at: several times what a call takes, and longer than a late packet.
+	// rescueAfter is how long a host may leave calls unanswered before its engine is checked.
+	// It is several times the duration of a call and longer than the delay of a late packet.
 	rescueAfter = 400 * time.Millisecond
-	// rescueEvery is the time between two looks at the engine of a silent rank, which
-	// shows an order only some hundred milliseconds later.
-	rescueEvery = 400 * time.Millisecond
-	// rescueTimeout bounds one look with the order that follows.
+	// rescueInterval is the time between two checks of the engine of an unresponsive host. The
+	// engine's status reflects an order only after some hundred milliseconds.
+	rescueInterval = 400 * time.Millisecond
+	// rescueTimeout bounds one check and the order that follows it.
 	rescueTimeout = time.Second
 )
 
-// Rescue lets a Driver act for the hosts of ranks that are silent while their
-// engines hold a step, for which the whole group waits.
+// Rescue lets a Driver act for unresponsive hosts of ranks whose engines hold a step, because
+// the whole group waits for them.
 type Rescue struct {
-	// Engine returns the engine of a rank by the id of the rank's record; nil if it
-	// cannot be reached without its host.
+	// Engine returns a client for the engine of a rank, by the endpoint ID of the rank; nil if
+	// the engine cannot be reached without its host.
 	Engine func(id string) rankhost.Engine
-	// Read reads the record of a group through a quorum, and the fencing token of
-	// the coordinator that wrote it last.
+	// ReadRecord reads the record of a group through a quorum, with the fencing token of the
+	// coordinator that last wrote it.
 	ReadRecord func(ctx context.Context, group string) (*fleetv1.MapRecord, uint64, error)
 }
 
-// rescue looks at the engines of a group's silent hosts. They take part in no
-// switch, so one that is being prepared is given up: nothing can be done for a host
-// while a switch is pending.
+// rescue checks the engines of a group's unresponsive hosts. These hosts cannot take part in a
+// switch, and while a switch is pending nothing can be done for them, so a switch that is still
+// being prepared is cancelled.
 func (d *Driver) rescue(ctx context.Context, g *groupState, shape group.Shape, out *outbox) {
 	if d.cfg.Rescue.Engine == nil {
 		return
 	}
-	silent := d.silent(g.name, shape)
-	if len(silent) == 0 {
-		clear(g.rescued)
+	unresponsive := d.unresponsive(g.name, shape)
+	if len(unresponsive) == 0 {
+		clear(g.rescueTried)
 		return
 	}
-	d.effects(ctx, g, g.coordinator.Cancel(d.now()), out)
-	if g.coordinator.Phase() != mapswitch.PhaseIdle || d.now()-g.rescuedAt < rescueEvery {
+	d.applyEffects(ctx, g, g.coordinator.Cancel(d.now()), out)
+	if g.coordinator.Phase() != mapswitch.PhaseIdle || d.now()-g.lastRescue < rescueInterval {
 		return
 	}
-	g.rescuedAt = d.now()
-	ids := d.rankIDs()
-	for _, rank := range silent {
-		engine := d.cfg.Rescue.Engine(ids[rankName{g.name, rank}])
+	g.lastRescue = d.now()
+	ids := d.endpointIDs()
+	for _, rank := range unresponsive {
+		engine := d.cfg.Rescue.Engine(ids[rankID{g.name, rank}])
 		if engine != nil {
-			go d.rescueRank(ctx, g.name, rank, engine, !g.rescued[rank])
-			g.rescued[rank] = true
+			go d.rescueRank(ctx, g.name, rank, engine, !g.rescueTried[rank])
+			g.rescueTried[rank] = true
 		}
 	}
 }
 
-// silent returns the ranks of a group whose hosts have left calls unanswered.
-func (d *Driver) silent(name string, shape group.Shape) []int {
-	after := max(rescueAfter, 2*d.pollInterval(name))
+// unresponsive returns the ranks of a group whose hosts have left calls unanswered for too
+// long.
+func (d *Driver) unresponsive(name string, shape group.Shape) []int {
+	timeout := max(rescueAfter, 2*d.pollInterval(name))
 	var ranks []int
 	for rank := range shape.Ranks {
-		addr := d.ranks[rankName{name, rank}]
-		if _, known := d.answered[addr]; !known {
-			d.answered[addr] = d.now()
+		addr := d.ranks[rankID{name, rank}]
+		if _, known := d.lastAnswer[addr]; !known {
+			d.lastAnswer[addr] = d.now()
 		}
-		if d.now()-d.answered[addr] > after {
+		if d.now()-d.lastAnswer[addr] > timeout {
 			ranks = append(ranks, rank)
 		}
 	}
 	return ranks
 }
 
-// rankIDs returns the ids of the records of all live ranks.
-func (d *Driver) rankIDs() map[rankName]string {
-	ids := map[rankName]string{}
+// endpointIDs returns the endpoint IDs of all live ranks.
+func (d *Driver) endpointIDs() map[rankID]string {
+	ids := map[rankID]string{}
 	for _, e := range d.cfg.State.Configuration().GetEndpoints() {
 		if e.GetGroup() != "" && e.GetLive() {
-			ids[rankName{e.GetGroup(), int(e.GetRank())}] = e.GetId()
+			ids[rankID{e.GetGroup(), int(e.GetRank())}] = e.GetId()
 		}
 	}
 	return ids
 }
 
-// rescueRank gives the engine of one rank the order that its host would give. The
-// record is read after the engine's status: see rankhost.Rescue. Only the first look
-// of a silence logs that it was in vain.
-func (d *Driver) rescueRank(ctx context.Context, name string, rank int, engine rankhost.Engine, first bool) {
+// rescueRank gives the engine of one rank the order that its host would give. The record must
+// be read after the engine's status: see rankhost.Rescue. Failures are logged only on the first
+// attempt since the host became unresponsive.
+func (d *Driver) rescueRank(ctx context.Context, name string, rank int, engine rankhost.Engine, firstAttempt bool) {
 	ctx, cancel := context.WithTimeout(ctx, rescueTimeout)
 	defer cancel()
 	status, err := engine.Status(ctx)
-	if err != nil && !first {
-		return // logged before
+	if err != nil && !firstAttempt {
+		return // logged on the first attempt
 	}
 	if err != nil {
-		d.cfg.Logger.Info("the engine of a silent host is silent too", "group", name, "rank", rank, "error", err)
+		d.cfg.Logger.Info("the engine of an unresponsive host does not respond either", "group", name, "rank", rank, "error", err)
 		return
 	}
 	if status.Name() != name || status.Rank != rank {
-		return // it has left the formation, of which nothing is known any more
+		return // it has left the formation, and its present state is unknown
 	}
 	stored, fence, err := d.cfg.Rescue.ReadRecord(ctx, name)
-	if err != nil && !first {
-		return // logged before
+	if err != nil && !firstAttempt {
+		return // logged on the first attempt
 	}
 	if err != nil {
-		d.cfg.Logger.Info("no quorum says what is decided for a silent host", "group", name, "rank", rank, "error", err)
+		d.cfg.Logger.Info("quorum read of the map record for an unresponsive host failed", "group", name, "rank", rank, "error", err)
 		return
 	}
 	record, err := mapwire.RecordOf(stored, fence)
@@ -122,7 +123,7 @@
 	if !ok {
 		return
 	}
-	err = engine.Give(ctx, order) // a conflict if it was done since the status was read
-	d.cfg.Logger.Warn("acted for the silent host of a rank", slog.String("group", name), slog.Int("rank", rank),
+	err = engine.Give(ctx, order) // returns a conflict if the order was carried out after the status was read
+	d.cfg.Logger.Warn("sent an order in place of a rank's unresponsive host", slog.String("group", name), slog.Int("rank", rank),
 		slog.String("order", order.Kind.String()), slog.Uint64("version", order.Version), slog.Uint64("step", order.Step), slog.Any("error", err))
 }
--- a/control/expertmap/rescue_test.go
+++ b/control/expertmap/rescue_test.go
@@ -21,24 +21,24 @@
 	"github.com/lilackeel/lilackeel/rankhost"
 )
 
-// deaf is the site's transport without the host of one rank.
-type deaf struct {
-	*site
+// partitionedTransport is the cluster's transport without the host of one rank.
+type partitionedTransport struct {
+	*testCluster
 	addr string
 }
 
-func (d deaf) Group(ctx context.Context, addr string, request *agentv1.GroupRequest) (*agentv1.GroupResponse, error) {
+func (d partitionedTransport) Group(ctx context.Context, addr string, request *agentv1.GroupRequest) (*agentv1.GroupResponse, error) {
 	if addr == d.addr {
 		return nil, fault.New(fault.Unavailable, "the host is frozen", "")
 	}
-	return d.site.Group(ctx, addr, request)
+	return d.testCluster.Group(ctx, addr, request)
 }
 
 // heldEngine holds a step until it is released.
 type heldEngine struct {
 	mu     sync.Mutex
 	status rankhost.Status
-	// read is set when the status is read, and cleared when the record is.
+	// read is set when the status is read, and cleared when the record is read.
 	read     bool
 	orders   []rankhost.Order
 	released time.Time
@@ -67,14 +67,14 @@
 	return nil
 }
 
-// TestTheLeaderActsForASilentHost loses the host of one rank while its engine holds
-// a step: the leader releases it, once it has read the engine and then the record.
-func TestTheLeaderActsForASilentHost(t *testing.T) {
+// The host of one rank freezes while its engine holds a step. The leader releases the step
+// after reading the engine's status and then the record.
+func TestLeaderReleasesStepOfUnresponsiveHost(t *testing.T) {
 	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Freeze}, Step: "host frozen while its engine holds a step, driven over the replicated state",
 		Guard: "Driver.rescue; the record is read after the status"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &site{rng: rand.New(rand.NewPCG(1, 1)), state: contract.NewState(), epochs: map[uint64]bool{}, began: time.Now()}
+		s := &testCluster{rng: rand.New(rand.NewPCG(1, 1)), state: contract.NewState(), epochs: map[uint64]bool{}, began: time.Now()}
 		for rank := range testShape.Ranks {
 			s.ranks = append(s.ranks, mapswitch.NewRank(rank, testGroup, 1))
 			data, err := contract.EncodeAnnounce(0, announcement(rank))
@@ -83,7 +83,7 @@
 			is.True(s.state.Apply(s.index, 1, data).(*contract.Result).Err == nil)
 		}
 		engine := &heldEngine{status: rankhost.Status{Group: "lilackeel-pool", Formation: 1, Rank: 2, Size: 4, Open: true, Step: 6, Held: 7, HasHeld: true}}
-		inOrder := true
+		statusReadFirst := true
 		rescue := Rescue{
 			Engine: func(id string) rankhost.Engine {
 				if id == "engine-c" {
@@ -93,7 +93,7 @@
 			},
 			ReadRecord: func(context.Context, string) (*fleetv1.MapRecord, uint64, error) {
 				engine.mu.Lock()
-				inOrder = inOrder && engine.read
+				statusReadFirst = statusReadFirst && engine.read
 				engine.read = false
 				engine.mu.Unlock()
 				stored, fence := s.state.FencedMapRecord(testGroup)
@@ -105,7 +105,7 @@
 		s.index++
 		token := s.state.Apply(s.index, 1, data).(*contract.Result).Fence
 		driver := NewDriver(Config{
-			State: s.state, Log: s, Transport: deaf{s, "10.0.0.1:3"}, Rescue: rescue,
+			State: s.state, Log: s, Transport: partitionedTransport{s, "10.0.0.1:3"}, Rescue: rescue,
 			Shapes: func() map[string]group.Shape { return map[string]group.Shape{testGroup: testShape} }, Token: token,
 			LogTime: func() int64 { return 0 }, Logger: slog.New(slog.DiscardHandler),
 		})
@@ -115,29 +115,29 @@
 		began := time.Now()
 		time.Sleep(5 * time.Second)
 		cancel()
-		time.Sleep(time.Second) // calls under way end
+		time.Sleep(time.Second) // calls in progress end
 		engine.mu.Lock()
 		defer engine.mu.Unlock()
 		is.Equal(len(engine.orders), 1)
 		is.Equal(engine.orders[0], rankhost.Order{Kind: rankhost.Release, Formation: 1, Step: 7})
-		is.True(inOrder)
-		is.True(engine.released.Sub(began) >= rescueAfter)  // its host had time to do it itself
-		is.True(engine.released.Sub(began) < 3*time.Second) // its calls at rest are a second apart
+		is.True(statusReadFirst)
+		is.True(engine.released.Sub(began) >= rescueAfter)  // the host had time to release it itself
+		is.True(engine.released.Sub(began) < 3*time.Second) // idle calls are a second apart
 	})
 }
 
-// TestManyRanksAreCalledMoreRarely keeps the calls at rest within the budget, and a
-// small group at the pace that its demand needs.
-func TestManyRanksAreCalledMoreRarely(t *testing.T) {
+// The rate of the calls to idle groups stays within the budget, and a small group is polled as
+// often as its proposer wants.
+func TestPollIntervalGrowsWithRanks(t *testing.T) {
 	for _, test := range []struct {
 		ranks int
 		want  time.Duration
 	}{{16, 75 * time.Millisecond}, {250, time.Second}, {2500, 10 * time.Second}} {
 		is := is.New(t)
 		d := NewDriver(Config{ObserveInterval: func(string) time.Duration { return 150 * time.Millisecond }})
-		d.ranks = addresses{}
+		d.ranks = rankAgents{}
 		for rank := range test.ranks {
-			d.ranks[rankName{"g", rank}] = "10.0.0.1:1"
+			d.ranks[rankID{"g", rank}] = "10.0.0.1:1"
 		}
 		is.Equal(d.pollInterval("g"), test.want)
 	}
--- a/control/expertmap/totals.go
+++ b/control/expertmap/totals.go
@@ -8,29 +8,29 @@
 	"github.com/lilackeel/lilackeel/group"
 )
 
-// enoughRanks is the part of the ranks whose counts are an observation if the others keep
-// silent: all ranks serve the same mixture of requests, so that one that is frozen must not
-// hide a change of demand.
-const enoughRanks = 0.75
+// minRankShare is the share of the asked ranks whose counts suffice for an observation if the
+// others do not answer. All ranks serve the same mixture of requests, and a frozen rank must
+// not hide a change of demand.
+const minRankShare = 0.75
 
-// totals sums up what ranks of a group counted since the last observation. Only the
-// parts that experts have of it are of interest: reports need not be of the same steps.
+// totals sums up what the ranks of a group have counted since the last observation. Only the
+// experts' shares of the sum matter, so the reports may cover different steps.
 type totals struct {
 	tokens []float64
-	// counted says which ranks have counted, ranks is how many; since is when the first
-	// of them reported.
+	// counted holds which ranks have reported, ranks is their number, and since is when the
+	// first of them reported.
 	counted []bool
 	ranks   int
 	since   time.Duration
-	// asked is how many ranks one look asks.
-	asked int
+	// ranksPerPoll is the number of ranks that one poll asks.
+	ranksPerPoll int
 }
 
 func newTotals(shape group.Shape) *totals {
-	return &totals{tokens: make([]float64, shape.Layers*shape.Experts), counted: make([]bool, shape.Ranks), asked: shape.Ranks / lookParts(shape.Ranks)}
+	return &totals{tokens: make([]float64, shape.Layers*shape.Experts), counted: make([]bool, shape.Ranks), ranksPerPoll: shape.Ranks / pollRounds(shape.Ranks)}
 }
 
-// add takes in a report of all layers that fits the shape.
+// add adds a report that covers all layers; one that does not fit the shape is ignored.
 func (t *totals) add(now time.Duration, load *agentv1.ExpertLoad) {
 	if load.GetLayer() != tally.AllLayers || len(load.GetTokens()) != len(t.tokens) {
 		return
@@ -41,14 +41,14 @@
 	for i, tokens := range load.GetTokens() {
 		t.tokens[i] += float64(tokens)
 	}
-	t.note(load.GetRank())
+	t.markCounted(load.GetRank())
 	for _, rank := range load.GetMoreRanks() {
-		t.note(rank)
+		t.markCounted(rank)
 	}
 }
 
-// note takes in that a rank has counted.
-func (t *totals) note(rank int32) {
+// markCounted records that a rank has reported.
+func (t *totals) markCounted(rank int32) {
 	if rank < 0 || int(rank) >= len(t.counted) || t.counted[rank] {
 		return
 	}
@@ -56,11 +56,11 @@
 	t.ranks++
 }
 
-// enough reports whether the counts are an observation: those of all ranks that one look
-// asks, or of most once the others have had the interval's half to answer.
-func (t *totals) enough(now, interval time.Duration) bool {
-	if t.ranks >= t.asked {
+// sufficient reports whether the counts suffice for an observation: those of all ranks that one
+// poll asks, or of most of them once the others have had half of the interval to answer.
+func (t *totals) sufficient(now, interval time.Duration) bool {
+	if t.ranks >= t.ranksPerPoll {
 		return true
 	}
-	return now-t.since >= interval/2 && float64(t.ranks) >= enoughRanks*float64(t.asked)
+	return now-t.since >= interval/2 && float64(t.ranks) >= minRankShare*float64(t.ranksPerPoll)
 }
