--- a/control/announce.go
+++ b/control/announce.go
@@ -9,14 +9,14 @@
 	"github.com/lilackeel/lilackeel/contract"
 )
 
-// announce takes one announcement in. Only what changes the state goes through
-// the log; a renewal touches the leader's memory alone. Announcements that
-// change something at the same moment share one sync of the log.
+// announce handles one announcement. Only announcements that change the state go through the
+// log; renewing a lease updates the leader's memory only. Concurrent announcements that change
+// the state share one sync of the log.
 func (l *leadership) announce(ctx context.Context, request *controlv1.AnnounceRequest) (*controlv1.AnnounceResponse, error) {
-	request = l.withdrawal(request)
+	request = l.completeWithdrawal(request)
 	ref := contract.AgentRef{Name: request.GetAgent(), Incarnation: request.GetIncarnation()}
-	if l.late(ref, request.GetSeq()) {
-		return l.announced(true), nil
+	if l.outOfOrder(ref, request.GetSeq()) {
+		return l.announceResponse(true), nil
 	}
 	known, err := l.register(ctx, ref, request)
 	if err != nil {
@@ -24,65 +24,65 @@
 	}
 	if known {
 		l.renew(ref)
-		l.reported(request.GetInFlight())
-		if err := l.drained(ctx, ref, request.GetDrained()); err != nil {
+		l.recordInFlight(request.GetInFlight())
+		if err := l.recordDrained(ctx, ref, request.GetDrained()); err != nil {
 			return nil, err
 		}
 	}
-	return l.announced(known), nil
+	return l.announceResponse(known), nil
 }
 
-// announced is the answer to an announcement.
-func (l *leadership) announced(known bool) *controlv1.AnnounceResponse {
-	lease, pace := l.leaseTimes()
+// announceResponse returns the response to an announcement.
+func (l *leadership) announceResponse(known bool) *controlv1.AnnounceResponse {
+	lease, interval := l.leaseTimes()
 	return &controlv1.AnnounceResponse{
 		LeaseMs:  lease.Milliseconds(),
-		RenewMs:  pace.Milliseconds(),
+		RenewMs:  interval.Milliseconds(),
 		SendFull: !known,
 		Revision: l.state.Revision(),
 		Fence:    l.state.Fence(),
 	}
 }
 
-// withdrawal completes the last announcement of an endpoint that announces
-// itself, which says no more than that it leaves.
-func (l *leadership) withdrawal(request *controlv1.AnnounceRequest) *controlv1.AnnounceRequest {
+// completeWithdrawal fills in the last announcement of an endpoint that announces itself, which
+// states only that the endpoint is leaving.
+func (l *leadership) completeWithdrawal(request *controlv1.AnnounceRequest) *controlv1.AnnounceRequest {
 	if request.GetFull() || !request.GetStopping() || request.GetAddr() != "" {
 		return request
 	}
-	held := l.state.Endpoint(request.GetAgent())
-	if held == nil || held.GetAgent() != request.GetAgent() {
+	known := l.state.Endpoint(request.GetAgent())
+	if known == nil || known.GetAgent() != request.GetAgent() {
 		return request
 	}
 	incarnation := request.GetIncarnation()
 	if incarnation == 0 {
-		incarnation = held.GetIncarnation()
+		incarnation = known.GetIncarnation()
 	}
 	return &controlv1.AnnounceRequest{
 		Agent: request.GetAgent(), Incarnation: incarnation, Seq: request.GetSeq(),
-		Host: held.GetHost(), Zone: held.GetZone(), Region: held.GetRegion(),
-		Endpoints: []*fleetv1.Endpoint{held}, Full: true, Stopping: true,
+		Host: known.GetHost(), Zone: known.GetZone(), Region: known.GetRegion(),
+		Endpoints: []*fleetv1.Endpoint{known}, Full: true, Stopping: true,
 	}
 }
 
-// late reports whether a later announcement of the same incarnation has come
-// before this one. A new leader does not know; that an endpoint leaves is then
-// known from the log.
-func (l *leadership) late(ref contract.AgentRef, seq uint64) bool {
+// outOfOrder reports whether a later announcement of the same incarnation has arrived before
+// this one. A new leader cannot tell, but the log then already records that the endpoint is
+// leaving.
+func (l *leadership) outOfOrder(ref contract.AgentRef, seq uint64) bool {
 	if seq == 0 {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if seq < l.sequences[ref] {
+	if seq < l.lastSeq[ref] {
 		return true
 	}
-	l.sequences[ref] = seq
+	l.lastSeq[ref] = seq
 	return false
 }
 
-// register brings the state up to date with a full announcement. It reports
-// whether the state knows this incarnation as live.
+// register applies a full announcement to the state. It reports whether the state has this
+// incarnation as live.
 func (l *leadership) register(ctx context.Context, ref contract.AgentRef, request *controlv1.AnnounceRequest) (known bool, err error) {
 	if !request.GetFull() {
 		agent, ok := l.state.Agent(ref.Name)
@@ -106,21 +106,21 @@
 	return true, nil
 }
 
-// drained records the leaving endpoints that have finished all their work.
-func (l *leadership) drained(ctx context.Context, ref contract.AgentRef, endpoints []string) error {
+// recordDrained records the leaving endpoints that have finished all their requests.
+func (l *leadership) recordDrained(ctx context.Context, ref contract.AgentRef, endpoints []string) error {
 	if len(endpoints) == 0 {
 		return nil
 	}
-	var news []string
+	var finished []string
 	for _, drain := range l.state.Draining() {
 		if drain.Agent == ref && slices.Contains(endpoints, drain.Endpoint) {
-			news = append(news, drain.Endpoint)
+			finished = append(finished, drain.Endpoint)
 		}
 	}
-	if len(news) == 0 {
+	if len(finished) == 0 {
 		return nil
 	}
-	data, err := contract.EncodeDrained(l.logTime(), ref, news...)
+	data, err := contract.EncodeDrained(l.logTime(), ref, finished...)
 	_, err = propose(ctx, l.log, data, err)
 	return err
 }
--- a/control/daemon.go
+++ b/control/daemon.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	// readyPoll is the time between two looks at the readiness.
-	readyPoll = 50 * time.Millisecond
-	// lastCalls is how long calls may still arrive that were sent before their
-	// senders heard of the stop.
-	lastCalls = 200 * time.Millisecond
-	// readyAge is the greatest age of a quorum's answer at a ready replica.
-	readyAge       = 2 * time.Second
+	// readyPollInterval is the interval at which the readiness is updated.
+	readyPollInterval = 50 * time.Millisecond
+	// lateCallGrace is how long calls may still arrive that were sent before their callers
+	// learned of the shutdown.
+	lateCallGrace = 200 * time.Millisecond
+	// maxReadyAge is the greatest age of the last quorum read at a ready replica.
+	maxReadyAge    = 2 * time.Second
 	startingReason = "no quorum has answered yet"
 	stoppingReason = "stopping"
 )
@@ -38,22 +38,22 @@
 	logger   *slog.Logger
 	ready    *telemetry.Ready
 	log      *server.Server
-	source   *source
+	source   *feedSource
 	feed     *feed.Server
 	service  *service
-	terms    *terms
+	terms    *termManager
 	server   *grpc.Server
-	calls    *calls
+	calls    *callTracker
 	pool     *link.Pool
 
 	listener net.Listener
 }
 
-// Ready returns the readiness, for the admin listener.
+// Ready returns the readiness state, for the admin listener.
 func (d *Daemon) Ready() *telemetry.Ready { return d.ready }
 
-// Operations returns the operations of the Control service, for callers in this
-// process. They pass on to the leader what only it can decide.
+// Operations returns the Control service for callers in this process. It forwards what only the
+// leader can decide.
 func (d *Daemon) Operations() controlv1.ControlServer { return d.service }
 
 // State returns the replicated state as far as this replica has applied it.
@@ -69,21 +69,21 @@
 	return listener.Addr().String(), nil
 }
 
-// Run serves until ctx ends or the log fails for good. At the end of ctx it
-// stops as planned: it is no longer ready, hands its leadership over, lets the
-// calls in flight finish and returns.
+// Run serves until ctx ends or the log fails permanently. When ctx ends it shuts down
+// gracefully: it becomes not ready, transfers its leadership, lets the calls in flight finish
+// and returns.
 func (d *Daemon) Run(ctx context.Context) error {
 	if d.listener == nil {
 		if _, err := d.Listen(ctx); err != nil {
 			return errors.Join(err, d.log.Close())
 		}
 	}
-	background, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
+	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
 	d.exportMetrics()
 	var group sync.WaitGroup
 	group.Go(func() { _ = d.server.Serve(d.listener) })
-	group.Go(func() { d.source.confirm(background, d.log, d.settings.ReadInterval, d.logger) })
+	group.Go(func() { d.source.pollQuorum(background, d.log, d.settings.ReadInterval, d.logger) })
 	group.Go(func() { d.terms.run(background) })
 	group.Go(func() { d.watchReady(background, ctx) })
 	d.logger.Info("serving", "listen", d.listener.Addr().String(), "replica", d.settings.ID)
@@ -91,40 +91,40 @@
 	case <-ctx.Done():
 		d.stop()
 	case <-d.log.Done():
-		d.logger.Error("the replicated log has stopped for good", "error", d.log.Err())
+		d.logger.Error("the replicated log has failed permanently", "error", d.log.Err())
 	}
-	end()
+	cancel()
 	d.feed.Stop()
 	d.server.Stop()
 	group.Wait()
 	return errors.Join(d.log.Err(), d.log.Close(), d.pool.Close())
 }
 
-// watchReady keeps the readiness until ctx ends; it is gone from the moment at
-// which the planned stop begins.
-func (d *Daemon) watchReady(ctx, planned context.Context) {
+// watchReady updates the readiness until ctx ends. The replica is not ready from the moment
+// shutdown ends.
+func (d *Daemon) watchReady(ctx, shutdown context.Context) {
 	for ctx.Err() == nil {
 		_, at, ok := d.source.Freshness()
-		ok = ok && time.Since(at) < readyAge
+		ok = ok && time.Since(at) < maxReadyAge
 		switch {
-		case planned.Err() != nil:
+		case shutdown.Err() != nil:
 			d.ready.Set(false, stoppingReason)
 		case ok:
 			d.ready.Set(true, "")
 		default:
 			d.ready.Set(false, startingReason)
 		}
-		wait.For(ctx, readyPoll)
+		wait.For(ctx, readyPollInterval)
 	}
 }
 
-// stop carries out the planned stop within its limit.
+// stop performs the graceful shutdown within StopLimit.
 func (d *Daemon) stop() {
 	d.ready.Set(false, stoppingReason)
 	d.logger.Info("stopping")
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.StopLimit)
 	defer cancel()
-	d.handOver(ctx)
+	d.transferLeadership(ctx)
 	d.feed.Stop()
 	stopped := make(chan struct{})
 	go func() {
@@ -134,29 +134,29 @@
 	d.calls.wait(ctx)
 	select {
 	case <-stopped:
-	case <-time.After(lastCalls):
+	case <-time.After(lateCallGrace):
 		d.calls.wait(ctx)
 	}
-	// What is left are the streams of the other replicas, which do not
-	// end by themselves while nothing is sent on them.
+	// Only streams of the other replicas are left. They do not end by themselves while nothing
+	// is sent on them.
 	d.server.Stop()
 	d.logger.Info("stopped", "calls", d.calls.inFlight.Load())
 }
 
-// handOver gives the leadership to the voter that is furthest, and waits until
+// transferLeadership transfers the leadership to the most up-to-date voter and waits until
 // another replica leads.
-func (d *Daemon) handOver(ctx context.Context) {
+func (d *Daemon) transferLeadership(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := d.log.LeaderChanged()
 		if _, _, _, self := d.log.Leader(); !self {
 			return
 		}
-		successor := successor(d.log.Status())
+		successor := chooseSuccessor(d.log.Status())
 		if successor == 0 {
 			return
 		}
 		if err := d.log.TransferLeader(successor); err != nil {
-			d.logger.Info("handing the leadership over failed", "to", successor, "error", err)
+			d.logger.Info("leadership transfer failed", "to", successor, "error", err)
 		}
 		select {
 		case <-changed:
@@ -166,8 +166,8 @@
 	}
 }
 
-// successor returns the active voter that has the most of the log, or zero.
-func successor(status server.Status) uint64 {
+// chooseSuccessor returns the active voter with the longest replicated log, or zero.
+func chooseSuccessor(status server.Status) uint64 {
 	var best, furthest uint64
 	for id, progress := range status.Progress {
 		if id == status.ID || !progress.Active || !isVoter(status, id) {
--- a/control/daemon_test.go
+++ b/control/daemon_test.go
@@ -25,7 +25,7 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// stubAgent is an agent with one engine; it loses the answer to its first order.
+// stubAgent is an agent with one engine that loses the response to its first order.
 type stubAgent struct {
 	agentv1.UnimplementedAgentServer
 	mu       sync.Mutex
@@ -56,7 +56,7 @@
 	return &agentv1.OrderResponse{Observed: proto.CloneOf(a.engine), HighestFence: a.fence()}, nil
 }
 
-// serveAgent serves the stub on loopback.
+// serveAgent serves the stub on the loopback interface.
 func serveAgent(t *testing.T, stub *stubAgent) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,9 +68,9 @@
 	return listener.Addr().String()
 }
 
-// A confirmed model is loaded by orders, an order whose answer was lost is not
-// repeated but read back, and the intent ends as done once the daemons act on it.
-func TestLeaderCarriesAnIntentOut(t *testing.T) {
+// The leader sends orders to load a confirmed model. An order whose response was lost is read
+// back instead of repeated, and the intent is done once the daemons have applied its revision.
+func TestLeaderCarriesOutIntent(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Lost}, Step: "answer to an order of an engine",
 		Guard: "reading back after an order was cut short"}.Log(t)
 	is := is.New(t)
@@ -87,34 +87,34 @@
 		is.NoErr(err)
 	}
 	watch(t, "agent-1", control.addr)
-	carryOut := func(intent *controlv1.Intent) {
+	apply := func(intent *controlv1.Intent) {
 		confirmIntent(t, control.client(t), intent)
 		eventually(t, "the intent to be done", func() bool {
 			heartbeat()
 			return control.State().Intent(intent.GetId()).GetState() == controlv1.IntentState_INTENT_STATE_DONE
 		})
 	}
-	carryOut(&controlv1.Intent{Id: "load", Operator: "ops", Models: []*fleetv1.Model{{Name: "roster", Pool: "lilackeel-pool", Version: "2"}}})
-	carryOut(&controlv1.Intent{Id: "role", Operator: "ops", Endpoints: []*controlv1.EndpointChange{{Id: "engine-1", Role: "prefill"}}})
+	apply(&controlv1.Intent{Id: "load", Operator: "ops", Models: []*fleetv1.Model{{Name: "roster", Pool: "lilackeel-pool", Version: "2"}}})
+	apply(&controlv1.Intent{Id: "role", Operator: "ops", Endpoints: []*controlv1.EndpointChange{{Id: "engine-1", Role: "prefill"}}})
 	is.Equal(control.State().Endpoint("engine-1").GetVersion(), "2")
 	stub.mu.Lock()
 	defer stub.mu.Unlock()
-	is.Equal(stub.sent, 1) // it had taken effect, as the reading showed
+	is.Equal(stub.sent, 1) // the read-back showed that it had taken effect
 	is.True(stub.readBack)
 	is.Equal(stub.roles, 1)
 }
 
-// patience bounds every wait of these tests; none asserts a time.
-const patience = 60 * time.Second
+// testTimeout bounds every wait of these tests; no test asserts a duration.
+const testTimeout = 60 * time.Second
 
-// replica is a daemon in this process.
+// testReplica is a daemon in this process.
 type testReplica struct {
 	*Daemon
 	stop func()
 	addr string
 }
 
-// startCluster runs n replicas on loopback.
+// startCluster runs n replicas on the loopback interface.
 func startCluster(t *testing.T, n int) []*testReplica {
 	t.Helper()
 	is := is.New(t)
@@ -159,17 +159,17 @@
 	return controlv1.NewControlClient(conn)
 }
 
-// eventually waits until check holds.
-func eventually(t *testing.T, what string, check func() bool) {
+// eventually waits until check returns true.
+func eventually(t *testing.T, condition string, check func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(patience); !check(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(limit) {
-			t.Fatalf("did not come about: %s", what)
+	for deadline := time.Now().Add(testTimeout); !check(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting for %s", condition)
 		}
 	}
 }
 
-// leaderOf waits for a leader among the replicas and returns it.
+// leaderOf waits until one of the replicas leads and returns it.
 func leaderOf(t *testing.T, replicas []*testReplica) *testReplica {
 	t.Helper()
 	var leader *testReplica
@@ -184,7 +184,7 @@
 	return leader
 }
 
-// announcement is a full one of an agent with one serving engine.
+// announcement returns a full announcement of an agent with one serving engine.
 func announcement(agent string, incarnation uint64, endpoint string) *controlv1.AnnounceRequest {
 	return &controlv1.AnnounceRequest{
 		Agent: agent, Host: agent, Zone: "sahel-a", Addr: "127.0.0.1:1", Incarnation: incarnation, Full: true,
@@ -192,7 +192,7 @@
 	}
 }
 
-// confirm carries a workspace through plan and confirm.
+// confirm plans and confirms an intent that adds a workspace.
 func confirm(t *testing.T, client controlv1.ControlClient, id, workspace string) uint64 {
 	t.Helper()
 	return confirmIntent(t, client, &controlv1.Intent{
@@ -203,7 +203,7 @@
 func confirmIntent(t *testing.T, client controlv1.ControlClient, intent *controlv1.Intent) uint64 {
 	t.Helper()
 	is := is.New(t)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	planned, err := client.Plan(ctx, &controlv1.PlanRequest{Intent: intent})
 	is.NoErr(err)
@@ -227,13 +227,13 @@
 	return client
 }
 
-func holds(client *feed.Client, revision uint64) func() bool {
+func hasRevision(client *feed.Client, revision uint64) func() bool {
 	return func() bool { return client.Ready() && client.Configuration().Revision >= revision }
 }
 
-// Three replicas answer alike, followers pass decisions on, a daemon is brought
-// to each revision, and a planned stop of the leader loses nothing.
-func TestClusterDecidesAndFeeds(t *testing.T) {
+// All three replicas answer alike, followers forward calls to the leader, a subscribed daemon
+// receives each revision, and a graceful shutdown of the leader loses nothing.
+func TestClusterDecidesAndPublishes(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.ResentIntents}, Step: "planned stop of the leader, then a confirm sent again", Together: true,
 		Guard: "a confirm sent again keeps its answer"}.Log(t)
 	is := is.New(t)
@@ -247,11 +247,11 @@
 	}
 	watcher := watch(t, "entry-1", leader.addr, followers[0].addr, followers[1].addr)
 	revision := confirm(t, followers[0].client(t), "first", "nawras")
-	eventually(t, "the first revision at the daemon", holds(watcher, revision))
+	eventually(t, "the first revision at the daemon", hasRevision(watcher, revision))
 
 	_, err := followers[1].client(t).Announce(t.Context(), announcement("agent-1", 1, "engine-1"))
 	is.True(fault.Is(err, fault.NotLeader))
-	is.True(strings.Contains(err.Error(), leader.addr)) // agents move to the leader
+	is.True(strings.Contains(err.Error(), leader.addr)) // agents reconnect to the leader
 	announced, err := leader.client(t).Announce(t.Context(), announcement("agent-1", 1, "engine-1"))
 	is.NoErr(err)
 	is.True(!announced.GetSendFull())
@@ -270,13 +270,13 @@
 	is.Equal(len(status.GetReplicas()), 3)
 	is.Equal(status.GetSlowestDaemon(), "entry-1")
 
-	leader.stop() // planned
+	leader.stop() // graceful shutdown
 	successor := leaderOf(t, followers)
 	second := confirm(t, successor.client(t), "second", "haneul")
 	is.True(second > revision)
-	eventually(t, "the second revision at the daemon", holds(watcher, second))
+	eventually(t, "the second revision at the daemon", hasRevision(watcher, second))
 	is.Equal(watcher.Configuration().Workspaces.Len(), 2)
-	is.Equal(confirm(t, successor.client(t), "first", "nawras"), revision) // a resend gets the first answer
+	is.Equal(confirm(t, successor.client(t), "first", "nawras"), revision) // a repeated confirm returns the first response
 	_, at, ok := watcher.Freshness()
 	is.True(ok && !at.IsZero())
 }
--- a/control/forward.go
+++ b/control/forward.go
@@ -12,37 +12,37 @@
 )
 
 const (
-	// forwardedKey marks a call that another replica has passed on, so that two
-	// replicas that take each other for the leader do not forward it back and forth.
+	// forwardedKey marks a call that another replica has forwarded, so that two replicas that
+	// take each other for the leader do not forward it back and forth.
 	forwardedKey = "lilackeel-forwarded"
-	// localKey asks a replica for its own knowledge only.
-	localKey = "lilackeel-local"
-	markSet  = "1"
-	// failoverWait is how long a call waits for a leader, longer than an election
-	// takes. failoverPoll is the time between two tries.
-	failoverWait = 3 * time.Second
-	failoverPoll = 50 * time.Millisecond
+	// localKey asks a replica to answer with its own knowledge only.
+	localKey    = "lilackeel-local"
+	metadataSet = "1"
+	// failoverTimeout is how long a call waits for a leader; it is longer than an election
+	// takes. failoverPollInterval is the delay between two attempts.
+	failoverTimeout      = 3 * time.Second
+	failoverPollInterval = 50 * time.Millisecond
 )
 
 // clientMethod is a method of the Control client.
 type clientMethod[Request, Response any] func(controlv1.ControlClient, context.Context, *Request, ...grpc.CallOption) (*Response, error)
 
-// decision is one call that only the leader can decide.
-type decision[Request, Response any] struct {
+// leaderCall is a call that only the leader can decide.
+type leaderCall[Request, Response any] struct {
 	service *service
 	request *Request
 	remote  clientMethod[Request, Response]
 	local   func(context.Context, *leadership) (*Response, error)
-	// direct is set for a call that comes again and again: its sender is told the
-	// leader's address, so that it need not be passed on each time.
-	direct bool
-	// once is set for a call that must not be tried again when it may have been
-	// decided already. All others carry an id by which the state knows them again.
-	once bool
+	// redirect is set for a call that is sent periodically: its caller is told the leader's
+	// address instead, so that it need not be forwarded each time.
+	redirect bool
+	// atMostOnce is set for a call that must not be retried if it may already have been
+	// decided. All other calls carry an ID by which the state detects duplicates.
+	atMostOnce bool
 }
 
-// decide runs the decision if this replica leads, or passes the call on to the
-// leader. While the leadership changes it waits and tries again.
+// decide handles the call if this replica leads, or forwards it to the leader. During a change
+// of leaders it waits and retries.
 func decide[Request, Response any](
 	ctx context.Context,
 	s *service,
@@ -50,18 +50,18 @@
 	remote clientMethod[Request, Response],
 	local func(context.Context, *leadership) (*Response, error),
 ) (*Response, error) {
-	d := decision[Request, Response]{service: s, request: request, remote: remote, local: local}
+	d := leaderCall[Request, Response]{service: s, request: request, remote: remote, local: local}
 	return d.run(ctx)
 }
 
-func (d decision[Request, Response]) run(ctx context.Context) (*Response, error) {
-	if _, limited := ctx.Deadline(); !limited {
-		bounded, cancel := context.WithTimeout(ctx, decideTimeout)
+func (d leaderCall[Request, Response]) run(ctx context.Context) (*Response, error) {
+	if _, hasDeadline := ctx.Deadline(); !hasDeadline {
+		withTimeout, cancel := context.WithTimeout(ctx, decideTimeout)
 		defer cancel()
-		ctx = bounded
+		ctx = withTimeout
 	}
 	var uncertain error
-	for began := time.Now(); ; {
+	for started := time.Now(); ; {
 		changed := d.service.log.LeaderChanged()
 		response, err := d.try(ctx, changed)
 		if err == nil {
@@ -70,29 +70,29 @@
 		if fault.Is(err, fault.Unknown) {
 			uncertain = err
 		}
-		if !d.retryable(err) || ctx.Err() != nil || marked(ctx, forwardedKey) || time.Since(began) > failoverWait {
+		if !d.retryable(err) || ctx.Err() != nil || hasMetadata(ctx, forwardedKey) || time.Since(started) > failoverTimeout {
 			return nil, finalError(err, uncertain)
 		}
-		await(ctx, changed)
+		waitForLeaderChange(ctx, changed)
 	}
 }
 
-// try decides here or at the leader, once. It gives up waiting for a leader that
-// is replaced.
-func (d decision[Request, Response]) try(ctx context.Context, changed <-chan struct{}) (*Response, error) {
+// try makes one attempt, here or at the leader. It stops waiting for a leader that has been
+// replaced.
+func (d leaderCall[Request, Response]) try(ctx context.Context, changed <-chan struct{}) (*Response, error) {
 	log := d.service.log
 	if current := d.service.leadership.current(); current != nil {
 		return d.local(ctx, current)
 	}
 	id, addr, _, self := log.Leader()
-	if id == 0 || self || d.direct || marked(ctx, forwardedKey) {
+	if id == 0 || self || d.redirect || hasMetadata(ctx, forwardedKey) {
 		return nil, notLeading(log)
 	}
 	conn, err := d.service.pool.Get(addr)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithCancel(metadata.AppendToOutgoingContext(ctx, forwardedKey, markSet))
+	ctx, cancel := context.WithCancel(metadata.AppendToOutgoingContext(ctx, forwardedKey, metadataSet))
 	defer cancel()
 	go func() {
 		select {
@@ -104,21 +104,21 @@
 	return d.remote(controlv1.NewControlClient(conn), ctx, d.request)
 }
 
-// retryable reports whether another try may end better and can do no harm.
-func (d decision[Request, Response]) retryable(err error) bool {
+// retryable reports whether another attempt may succeed and can do no harm.
+func (d leaderCall[Request, Response]) retryable(err error) bool {
 	switch fault.KindOf(err) {
 	case fault.NotLeader:
-		return !d.direct
+		return !d.redirect
 	case fault.NoQuorum, fault.Unavailable:
 		return true
 	case fault.Unknown:
-		return !d.once
+		return !d.atMostOnce
 	}
 	return false
 }
 
-// finalError returns the last error, unless an earlier try may have been decided
-// and the last one does not say what the state says.
+// finalError returns the last error. If an earlier attempt may have been decided and the last
+// error does not come from the state, it returns the earlier error instead.
 func finalError(last, uncertain error) error {
 	switch fault.KindOf(last) {
 	case fault.NotLeader, fault.NoQuorum, fault.Unavailable:
@@ -129,10 +129,10 @@
 	return last
 }
 
-// await waits for a change of the leadership, but not long: a new leader
-// is ready to decide a moment after it.
-func await(ctx context.Context, changed <-chan struct{}) {
-	timer := time.NewTimer(failoverPoll)
+// waitForLeaderChange waits until the leader changes, but at most for failoverPollInterval: a
+// new leader becomes ready only some time after its election.
+func waitForLeaderChange(ctx context.Context, changed <-chan struct{}) {
+	timer := time.NewTimer(failoverPollInterval)
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -141,8 +141,8 @@
 	}
 }
 
-// marked reports whether the incoming call carries the mark.
-func marked(ctx context.Context, key string) bool {
+// hasMetadata reports whether the incoming call carries the metadata key.
+func hasMetadata(ctx context.Context, key string) bool {
 	incoming, _ := metadata.FromIncomingContext(ctx)
 	return len(incoming.Get(key)) > 0
 }
--- a/control/leadership.go
+++ b/control/leadership.go
@@ -13,11 +13,11 @@
 	"github.com/lilackeel/lilackeel/wait"
 )
 
-// leaderRetry is the pause after the leader's command has failed.
+// leaderRetry is the delay after the leader's first command has failed, and the one that
+// callers of a replica that cannot decide are told.
 const leaderRetry = 100 * time.Millisecond
 
-// leadership is what a leader keeps and does in one term. Times inside are durations since
-// started.
+// leadership holds the leader's state for one term. Times are durations since started.
 type leadership struct {
 	log     Log
 	state   *contract.State
@@ -25,21 +25,21 @@
 	term    uint64
 	started time.Time
 	clock   contract.LogClock
-	// fence is the token that the log gave out for the beginning of the term.
+	// fence is the fencing token that the log issued at the beginning of the term.
 	fence uint64
 
 	mu     sync.Mutex
 	leases *leases
-	// inFlight holds what agents reported of their leaving endpoints.
+	// inFlight holds the requests in flight that agents reported for their leaving endpoints.
 	inFlight map[string]int32
-	// sequences holds the highest sequence number that each announcer has sent.
-	sequences map[contract.AgentRef]uint64
-	// notes says what orders to an endpoint wait for.
-	notes map[string]string
+	// lastSeq holds the highest sequence number received from each announcer.
+	lastSeq map[contract.AgentRef]uint64
+	// orderStatus describes what the orders to each endpoint wait for.
+	orderStatus map[string]string
 }
 
-// beginLeadership starts the work of a term: its first command brings the state up to date with
-// all earlier terms, so that the leader's clock goes on from the latest log time
+// beginLeadership starts the leadership of a term. Its first command brings the state up to
+// date with all earlier terms, so that the leader's clock continues from the latest log time
 // and the leases from the latest list of agents.
 func beginLeadership(ctx context.Context, log Log, state *contract.State, term uint64, lease time.Duration, logger *slog.Logger) (*leadership, error) {
 	data, err := contract.EncodeIssueFence(state.LogTime())
@@ -49,24 +49,24 @@
 	}
 	now := time.Now()
 	return &leadership{
-		log:       log,
-		state:     state,
-		logger:    logger,
-		term:      term,
-		started:   now,
-		clock:     contract.NewLogClock(state.LogTime(), now),
-		fence:     result.Fence,
-		leases:    newLeases(0, lease, state.Agents()),
-		inFlight:  map[string]int32{},
-		sequences: map[contract.AgentRef]uint64{},
-		notes:     map[string]string{},
+		log:         log,
+		state:       state,
+		logger:      logger,
+		term:        term,
+		started:     now,
+		clock:       contract.NewLogClock(state.LogTime(), now),
+		fence:       result.Fence,
+		leases:      newLeases(0, lease, state.Agents()),
+		inFlight:    map[string]int32{},
+		lastSeq:     map[contract.AgentRef]uint64{},
+		orderStatus: map[string]string{},
 	}, nil
 }
 
-// now is the time since the leadership began.
+// now returns the time since the leadership began.
 func (l *leadership) now() time.Duration { return time.Since(l.started) }
 
-// logTime is the log time of a command proposed now.
+// logTime returns the log time of a command proposed now.
 func (l *leadership) logTime() int64 { return l.clock.At(time.Now()) }
 
 // renew grants an agent a full lease.
@@ -77,15 +77,15 @@
 	l.leases.renew(now, agent)
 }
 
-// leaseTimes returns the length of a lease and the least time between two renewals.
-func (l *leadership) leaseTimes() (lease, pace time.Duration) {
+// leaseTimes returns the duration of a lease and the minimum time between two renewals.
+func (l *leadership) leaseTimes() (lease, interval time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.leases.full(), l.leases.pace()
+	return l.leases.effectiveDuration(), l.leases.renewInterval()
 }
 
-// reported notes what an agent said of its leaving endpoints.
-func (l *leadership) reported(inFlight map[string]int32) {
+// recordInFlight records the requests in flight at an agent's leaving endpoints.
+func (l *leadership) recordInFlight(inFlight map[string]int32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for endpoint, count := range inFlight {
@@ -93,18 +93,19 @@
 	}
 }
 
-// note keeps what the orders to an endpoint wait for; empty for nothing.
-func (l *leadership) note(endpoint, waiting string, err error) {
+// setOrderStatus records what the orders to an endpoint wait for; waiting is empty if they wait
+// for nothing.
+func (l *leadership) setOrderStatus(endpoint, waiting string, err error) {
 	if waiting != "" && err != nil {
 		waiting += ": " + err.Error()
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.notes[endpoint] = waiting
+	l.orderStatus[endpoint] = waiting
 }
 
-// explain completes a line about what an endpoint waits for.
-func (l *leadership) explain(line string) string {
+// annotate adds details to a line that names what an endpoint waits for.
+func (l *leadership) annotate(line string) string {
 	id, found := strings.CutPrefix(line, "endpoint ")
 	if !found {
 		return line
@@ -116,45 +117,45 @@
 	if known && strings.HasPrefix(rest, "to finish its work") {
 		line += fmt.Sprintf(" (%d in flight)", count)
 	}
-	if note := l.notes[id]; note != "" {
+	if note := l.orderStatus[id]; note != "" {
 		line += " (" + note + ")"
 	}
 	return line
 }
 
-// expire ends the leases of agents that do not renew any more until ctx ends.
-// All that end together go into one command.
-func (l *leadership) expire(ctx context.Context) {
+// expireLeases expires the leases of agents that no longer renew them, until ctx ends. All
+// leases found expired by one check share one command.
+func (l *leadership) expireLeases(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, l.leases.interval())
+		wait.For(ctx, l.leases.checkInterval())
 		l.mu.Lock()
-		ended := l.leases.expired(l.now())
+		expired := l.leases.expired(l.now())
 		l.mu.Unlock()
-		if len(ended) == 0 || ctx.Err() != nil {
+		if len(expired) == 0 || ctx.Err() != nil {
 			continue
 		}
-		l.logger.Warn("leases expired", "agents", len(ended), "first", ended[0].Name)
-		data, err := contract.EncodeExpire(l.logTime(), ended...)
+		l.logger.Warn("leases expired", "agents", len(expired), "first", expired[0].Name)
+		data, err := contract.EncodeExpire(l.logTime(), expired...)
 		if _, err = propose(ctx, l.log, data, err); err != nil {
 			l.logger.Warn("expiring leases failed", "error", err)
 			continue
 		}
-		leasesExpired.Add(len(ended))
+		leasesExpired.Add(len(expired))
 		l.mu.Lock()
-		l.leases.drop(l.now(), ended)
+		l.leases.remove(l.now(), expired)
 		l.mu.Unlock()
 	}
 }
 
-// notLeading is the refusal of a replica that does not lead.
+// notLeading returns the error of a replica that does not lead.
 func notLeading(log Log) *fault.Error {
 	id, addr, _, self := log.Leader()
 	if self {
-		return fault.New(fault.NotLeader, "this replica has just become leader and is not ready to decide", "send it again").After(leaderRetry)
+		return fault.New(fault.NotLeader, "this replica has just become leader and is not ready to decide", "retry the request").After(leaderRetry)
 	}
 	if id == 0 {
 		return fault.New(fault.NoQuorum, "no leader is known; nothing was decided",
-			"send it again; if this lasts, start the control replicas that are down").After(leaderRetry)
+			"retry the request; if this persists, start the control replicas that are down").After(leaderRetry)
 	}
 	return fault.LedBy(id, addr)
 }
--- a/control/leadership_test.go
+++ b/control/leadership_test.go
@@ -17,7 +17,7 @@
 	"github.com/lilackeel/lilackeel/wait"
 )
 
-// fakeLog commits at once and takes readDelay for a reading.
+// fakeLog commits immediately and takes readDelay for a quorum read.
 type fakeLog struct {
 	state     *contract.State
 	readDelay time.Duration
@@ -47,20 +47,20 @@
 	return l.index
 }
 
-// beginTestLeadership begins a leadership whose leases are watched until it ends.
+// beginTestLeadership begins a leadership and checks its leases until it ends.
 func beginTestLeadership(t *testing.T, log *fakeLog) (l *leadership, end func()) {
 	t.Helper()
 	l, err := beginLeadership(t.Context(), log, log.state, 1, 5*time.Second, slog.New(slog.DiscardHandler))
 	is.New(t).NoErr(err)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go l.expire(ctx)
+	go l.expireLeases(ctx)
 	return l, cancel
 }
 
-// Renewals stay out of the log, silence ends a lease, and a new leader gives
-// every agent a full lease before it expires any.
-func TestLeasesOutliveTheLeader(t *testing.T) {
+// Renewals are not logged, an agent that stops renewing loses its lease, and a new leader
+// grants every agent a full lease before it expires any.
+func TestLeasesSurviveLeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := &fakeLog{state: contract.NewState()}
@@ -75,13 +75,13 @@
 			is.NoErr(err)
 			is.True(!response.GetSendFull())
 		}
-		is.Equal(log.Applied(), before) // renewals cost nothing in the log
+		is.Equal(log.Applied(), before) // renewals are not logged
 		live := func() bool { agent, _ := log.state.Agent("agent-1"); return agent.Live }
 		time.Sleep(4 * time.Second)
 		endFirst()
 		second, _ := beginTestLeadership(t, log) // 4 s after the last renewal
 		time.Sleep(4 * time.Second)
-		is.True(live()) // the successor has granted a full lease
+		is.True(live()) // the new leader has granted a full lease
 		time.Sleep(2 * time.Second)
 		is.True(!live())
 		response, err := second.announce(t.Context(), &controlv1.AnnounceRequest{Agent: "agent-1", Incarnation: 1})
@@ -93,60 +93,60 @@
 	})
 }
 
-// A process that was paused for longer than a lease finds every lease overdue. It
-// ends none of an agent whose announcements waited in the sockets, and that of an
-// agent that is gone after it has listened for the rest of a lease.
+// A process that was paused for longer than a lease finds every lease overdue. It must not
+// expire an agent whose announcements waited in the socket buffers, and must expire a failed
+// agent after it has listened for the rest of a lease.
 func TestPausedLeaderExpiresNoLiveAgent(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Freeze}, Step: "leader paused for longer than a lease",
 		Guard: "the time of a pause is not counted against leases"}.Log(t)
 	is := is.New(t)
 	const lease = 5 * time.Second
-	here, gone := contract.AgentRef{Name: "here", Incarnation: 1}, contract.AgentRef{Name: "gone", Incarnation: 1}
+	live, failed := contract.AgentRef{Name: "here", Incarnation: 1}, contract.AgentRef{Name: "gone", Incarnation: 1}
 	l := newLeases(0, lease, nil)
 	now := time.Duration(0)
-	l.renew(now, here)
-	l.renew(now, gone)
-	now += l.interval()
+	l.renew(now, live)
+	l.renew(now, failed)
+	now += l.checkInterval()
 	is.Equal(len(l.expired(now)), 0)
 	now += 2 * lease
 	is.Equal(len(l.expired(now)), 0)
-	for range leaseChecks {
-		now += l.interval()
-		l.renew(now, here)
-		if ended := l.expired(now); len(ended) > 0 {
-			is.Equal(ended, []contract.AgentRef{gone})
+	for range checksPerLease {
+		now += l.checkInterval()
+		l.renew(now, live)
+		if expired := l.expired(now); len(expired) > 0 {
+			is.Equal(expired, []contract.AgentRef{failed})
 			return
 		}
 	}
-	t.Fatal("the lease of an agent that is gone goes on")
+	t.Fatal("the lease of the failed agent did not expire")
 }
 
-// A slow reading through a quorum counts from when it was asked for.
+// The age of a slow quorum read counts from when the read was requested.
 func TestReplicaDoesNotOverstateItsFreshness(t *testing.T) {
 	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Late}, Step: "reading through a quorum that takes long",
 		Guard: "the time of a reading is taken before it is asked for"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		m := newMachine()
-		s := newSource(m)
+		m := newStateMachine()
+		s := newFeedSource(m)
 		log := &fakeLog{state: m.state, readDelay: 3 * time.Second}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		asked := time.Now()
-		go s.confirm(ctx, log, 100*time.Millisecond, slog.New(slog.DiscardHandler))
+		requested := time.Now()
+		go s.pollQuorum(ctx, log, 100*time.Millisecond, slog.New(slog.DiscardHandler))
 		time.Sleep(time.Second)
 		_, _, ok := s.Freshness()
 		is.True(!ok)
 		time.Sleep(2500 * time.Millisecond)
 		_, at, ok := s.Freshness()
 		is.True(ok)
-		is.Equal(at, asked)
+		is.Equal(at, requested)
 	})
 }
 
-// The renewals that a leader asks for stay below a bound however many agents
-// there are, and a lease still spans several of them.
-func TestRenewalsStayBounded(t *testing.T) {
+// The rate of the renewals that a leader asks for stays bounded for any number of agents, and a
+// lease still spans several renewals.
+func TestRenewalRateIsBounded(t *testing.T) {
 	is := is.New(t)
 	const lease = 5 * time.Second
 	for _, agents := range []int{3, 312, 2_500} {
@@ -154,10 +154,10 @@
 		for i := range agents {
 			l.renew(0, contract.AgentRef{Name: fmt.Sprint("agent-", i), Incarnation: 1})
 		}
-		pause := max(l.pace(), 500*time.Millisecond) // between two renewals of one agent
-		t.Logf("%d agents: a lease of %v, renewed each %v", agents, l.full(), l.pace())
-		is.True(time.Duration(agents)*time.Second <= maxRenewals*pause)
-		is.True(l.full() >= lease)
-		is.True(l.full() >= renewalsPerLease*l.pace())
+		interval := max(l.renewInterval(), 500*time.Millisecond) // between two renewals of one agent
+		t.Logf("%d agents: a lease of %v, renewed each %v", agents, l.effectiveDuration(), l.renewInterval())
+		is.True(time.Duration(agents)*time.Second <= maxRenewalsPerSecond*interval)
+		is.True(l.effectiveDuration() >= lease)
+		is.True(l.effectiveDuration() >= renewalsPerLease*l.renewInterval())
 	}
 }
--- a/control/lease.go
+++ b/control/lease.go
@@ -8,36 +8,34 @@
 	"github.com/lilackeel/lilackeel/contract"
 )
 
-// leases are the agents' soft leases: they live in the leader's memory only, so
-// that a renewal costs nothing in the log. Times are durations since an
-// arbitrary start. It is not safe for concurrent use.
+// leases are the agents' leases. They are soft state in the leader's memory, so that a renewal
+// needs no log entry. Times are durations since an arbitrary start. It is not safe for
+// concurrent use.
 //
-// An agent counts its lease from the moment it sent its announcement, the leader
-// from the moment it received it; so the leader's is always the later to end.
+// An agent counts its lease from when it sent its announcement, the leader from when it
+// received it, so the leader's view of a lease always ends later.
 type leases struct {
 	duration time.Duration
-	until    map[contract.AgentRef]time.Duration
-	// checked is when expired was last called.
-	checked time.Duration
+	expiry   map[contract.AgentRef]time.Duration
+	// lastCheck is when expired was last called.
+	lastCheck time.Duration
 }
 
-// maxRenewals is how many renewals a second the leader asks for at most, whatever
-// the number of agents: about 14 KB and 1% of a core. The price is that a fleet
-// of hundreds of agents misses a dead one later; entries notice it by their own
-// calls before that.
-const maxRenewals = 60
+// maxRenewalsPerSecond bounds the renewals that the leader asks for, regardless of the number
+// of agents: about 14 KB/s and 1% of a core. In return, the failure of an agent is detected
+// later in a fleet of hundreds of agents; entries notice it earlier through their own calls.
+const maxRenewalsPerSecond = 60
 
-// renewalsPerLease is how many renewals fit into a lease at that rate.
+// renewalsPerLease is the number of renewals per lease at that rate.
 const renewalsPerLease = 4
 
-// leaseChecks is how often within a lease expired ones are looked for.
-const leaseChecks = 10
+// checksPerLease is how often per lease duration leases are checked for expiry.
+const checksPerLease = 10
 
-// newLeases opens the leases of a new leader, which cannot know what its
-// predecessor granted last: every agent that the state calls live gets a full
-// lease from now on.
+// newLeases returns the leases of a new leader, which cannot know which leases its predecessor
+// granted last: every agent that is live in the state gets a full lease from now on.
 func newLeases(now, duration time.Duration, agents []contract.Agent) *leases {
-	l := &leases{duration: duration, until: map[contract.AgentRef]time.Duration{}, checked: now}
+	l := &leases{duration: duration, expiry: map[contract.AgentRef]time.Duration{}, lastCheck: now}
 	for _, agent := range agents {
 		if agent.Live {
 			l.renew(now, agent.AgentRef)
@@ -48,58 +46,58 @@
 
 // renew grants a full lease from now on.
 func (l *leases) renew(now time.Duration, agent contract.AgentRef) {
-	l.until[agent] = now + l.full()
+	l.expiry[agent] = now + l.effectiveDuration()
 }
 
-// pace is the least time between two renewals of one agent.
-func (l *leases) pace() time.Duration {
-	return (time.Duration(len(l.until))*time.Second + maxRenewals - 1) / maxRenewals
+// renewInterval is the minimum time between two renewals of one agent.
+func (l *leases) renewInterval() time.Duration {
+	return (time.Duration(len(l.expiry))*time.Second + maxRenewalsPerSecond - 1) / maxRenewalsPerSecond
 }
 
-// full is the length of a lease: the set one, or longer in a fleet whose agents
-// renew at a slower pace.
-func (l *leases) full() time.Duration {
-	return max(l.duration, renewalsPerLease*l.pace())
+// effectiveDuration is the duration of a lease: the configured one, or longer if the number of
+// agents makes them renew less often.
+func (l *leases) effectiveDuration() time.Duration {
+	return max(l.duration, renewalsPerLease*l.renewInterval())
 }
 
-// interval is the time between two calls of expired.
-func (l *leases) interval() time.Duration { return l.duration / leaseChecks }
+// checkInterval is the time between two calls of expired.
+func (l *leases) checkInterval() time.Duration { return l.duration / checksPerLease }
 
-// awake puts the ends of all leases off by the time that this process has not
-// run since the last check: what the agents announced meanwhile may still wait
-// in its sockets. No lease becomes longer than a full one.
-func (l *leases) awake(now time.Duration) {
-	paused := now - l.checked - l.interval()
-	l.checked = now
-	if paused < l.interval() {
+// compensatePause extends all leases by the time for which this process did not run since the
+// last check: announcements that arrived meanwhile may still be in its socket buffers. No lease
+// becomes longer than a full one.
+func (l *leases) compensatePause(now time.Duration) {
+	paused := now - l.lastCheck - l.checkInterval()
+	l.lastCheck = now
+	if paused < l.checkInterval() {
 		return
 	}
-	for agent, until := range l.until {
-		l.until[agent] = min(until+paused, now+l.full())
+	for agent, expiry := range l.expiry {
+		l.expiry[agent] = min(expiry+paused, now+l.effectiveDuration())
 	}
 }
 
-// expired returns the agents whose leases have ended, by name. They stay listed
-// until they are dropped, because the command that expires them may fail. It is
-// to be called once in each interval.
+// expired returns the agents whose leases have expired, sorted by name. They stay listed until
+// they are removed, because the command that expires them may fail. It must be called once per
+// checkInterval.
 func (l *leases) expired(now time.Duration) []contract.AgentRef {
-	l.awake(now)
-	var ended []contract.AgentRef
-	for agent, until := range l.until {
-		if now > until {
-			ended = append(ended, agent)
+	l.compensatePause(now)
+	var expired []contract.AgentRef
+	for agent, expiry := range l.expiry {
+		if now > expiry {
+			expired = append(expired, agent)
 		}
 	}
-	slices.SortFunc(ended, func(a, b contract.AgentRef) int { return strings.Compare(a.Name, b.Name) })
-	return ended
+	slices.SortFunc(expired, func(a, b contract.AgentRef) int { return strings.Compare(a.Name, b.Name) })
+	return expired
 }
 
-// drop forgets agents whose expiry is committed, unless they have announced
-// themselves in the meantime.
-func (l *leases) drop(now time.Duration, agents []contract.AgentRef) {
+// remove removes agents whose expiry is committed, unless they have renewed their leases in the
+// meantime.
+func (l *leases) remove(now time.Duration, agents []contract.AgentRef) {
 	for _, agent := range agents {
-		if now > l.until[agent] {
-			delete(l.until, agent)
+		if now > l.expiry[agent] {
+			delete(l.expiry, agent)
 		}
 	}
 }
--- a/control/maps.go
+++ b/control/maps.go
@@ -15,33 +15,34 @@
 	"github.com/lilackeel/lilackeel/rankhost"
 )
 
-// mapper switches the expert maps of the groups in the terms that this replica leads.
-type mapper struct {
+// mapDriver switches the expert maps of the groups in the terms that this replica leads.
+type mapDriver struct {
 	state  *contract.State
 	log    Log
 	pool   *link.Pool
 	groups expertmap.Groups
-	// engine reaches an engine without its rank's host; nil where that cannot be.
+	// engine returns a client for the engine at an address that does not depend on the rank's
+	// host; nil if there is no such access.
 	engine func(address string) rankhost.Engine
-	// copyPrice is what copying a gigabyte of experts is worth, in time of a group's
-	// steps.
+	// copyPrice is the step time of a group that copying one gigabyte of experts is worth.
 	copyPrice time.Duration
 	logger    *slog.Logger
 }
 
-// drive runs until ctx ends: one driver for the groups of the file, and one for
-// those that their ranks announce.
-func (m *mapper) drive(ctx context.Context, l *leadership) {
+// drive runs until ctx ends, with one driver for the groups of the groups file and one for
+// those formed by their ranks' announcements.
+func (m *mapDriver) drive(ctx context.Context, l *leadership) {
 	var drivers sync.WaitGroup
 	drivers.Go(func() { expertmap.NewDriver(m.formationsConfig(l)).Run(ctx) })
 	if len(m.groups.Shapes) > 0 {
-		drivers.Go(func() { expertmap.NewDriver(m.statedConfig(l)).Run(ctx) })
+		drivers.Go(func() { expertmap.NewDriver(m.fileGroupsConfig(l)).Run(ctx) })
 	}
 	drivers.Wait()
 }
 
-// statedConfig sets up the driver of the groups of the file in one term.
-func (m *mapper) statedConfig(l *leadership) expertmap.Config {
+// fileGroupsConfig returns the configuration of the driver for the groups of the groups file in
+// one term.
+func (m *mapDriver) fileGroupsConfig(l *leadership) expertmap.Config {
 	return expertmap.Config{
 		State:           m.state,
 		Log:             m.log,
@@ -55,8 +56,8 @@
 	}
 }
 
-// rescue says how silent hosts of ranks are stood in for.
-func (m *mapper) rescue() expertmap.Rescue {
+// rescue configures how the leader acts for unresponsive hosts of ranks.
+func (m *mapDriver) rescue() expertmap.Rescue {
 	if m.engine == nil {
 		return expertmap.Rescue{}
 	}
@@ -77,8 +78,8 @@
 	}
 }
 
-// policy returns the accepted policy of a group, or nil.
-func (m *mapper) policy(group string) *fleetv1.BalancePolicy {
+// policy returns the accepted balancing policy of a group, or nil.
+func (m *mapDriver) policy(group string) *fleetv1.BalancePolicy {
 	for _, policy := range m.state.Configuration().GetPolicies() {
 		if policy.GetGroup() == group {
 			return policy
@@ -87,12 +88,12 @@
 	return nil
 }
 
-// agentTransport passes messages of the switch on to agents.
+// agentTransport sends messages of map switches to agents.
 type agentTransport struct{ pool *link.Pool }
 
 // Group implements expertmap.Transport.
-func (c agentTransport) Group(ctx context.Context, addr string, request *agentv1.GroupRequest) (*agentv1.GroupResponse, error) {
-	conn, err := c.pool.Get(addr)
+func (t agentTransport) Group(ctx context.Context, addr string, request *agentv1.GroupRequest) (*agentv1.GroupResponse, error) {
+	conn, err := t.pool.Get(addr)
 	if err != nil {
 		return nil, err
 	}
--- a/control/members.go
+++ b/control/members.go
@@ -10,17 +10,17 @@
 	"github.com/lilackeel/lilackeel/replica/server"
 )
 
-// membership is what members needs of the replicated log.
-type membership interface {
+// membershipLog is the part of the replicated log that membershipService uses.
+type membershipLog interface {
 	ChangeMembership(ctx context.Context, change replica.ConfChange) error
 	Status() server.Status
 }
 
-// members changes and lists the replicas.
-type members struct{ log membership }
+// membershipService changes and lists the members of the cluster.
+type membershipService struct{ log membershipLog }
 
-func (m members) change(ctx context.Context, request *controlv1.MembersRequest) (*controlv1.MembersResponse, error) {
-	if change, asked := confChange(request); asked {
+func (m membershipService) change(ctx context.Context, request *controlv1.MembersRequest) (*controlv1.MembersResponse, error) {
+	if change, requested := confChange(request); requested {
 		if err := m.log.ChangeMembership(ctx, change); err != nil {
 			return nil, err
 		}
@@ -28,7 +28,7 @@
 	return m.list(), nil
 }
 
-func confChange(request *controlv1.MembersRequest) (change replica.ConfChange, asked bool) {
+func confChange(request *controlv1.MembersRequest) (change replica.ConfChange, requested bool) {
 	switch {
 	case request.GetAddLearner() != 0:
 		return replica.ConfChange{Kind: replica.AddLearner, ID: request.GetAddLearner(), Addr: request.GetAddr()}, true
@@ -40,7 +40,7 @@
 	return replica.ConfChange{}, false
 }
 
-func (m members) list() *controlv1.MembersResponse {
+func (m membershipService) list() *controlv1.MembersResponse {
 	response := &controlv1.MembersResponse{}
 	for _, member := range m.log.Status().Membership.GetMembers() {
 		listed := &fleetv1.Voter{Id: member.GetId(), Addr: member.GetAddr()}
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -20,8 +20,8 @@
 	}
 )
 
-// exportMetrics registers the gauges of this replica. With several replicas in
-// one process, as in tests, the first one's are shown.
+// exportMetrics registers the gauges of this replica. If several replicas run in one process,
+// as in tests, the gauges show the first one.
 func (d *Daemon) exportMetrics() {
 	metrics.GetOrCreateGauge("lilackeel_control_configuration_revision", func() float64 {
 		return float64(d.source.Revision())
--- a/control/orders.go
+++ b/control/orders.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// orderInterval is the time between two looks at what is wanted.
+	// orderInterval is the interval at which pending orders are checked.
 	orderInterval = 200 * time.Millisecond
-	// orderWorkers bounds the calls to agents at the same time.
+	// orderWorkers bounds the concurrent calls to agents.
 	orderWorkers = 32
-	// orderTimeout is longer than an agent gives an endpoint for an order.
+	// orderTimeout is longer than an agent's own timeout for an order to an endpoint.
 	orderTimeout = 6 * time.Minute
-	// readBackTimeout bounds a reading; it also waits for an order under way.
+	// readBackTimeout bounds a read-back, which also waits for an order in progress.
 	readBackTimeout = 10 * time.Second
 )
 
-// orderDriver brings the engines to what is accepted: in each term that this
-// replica leads it sends the orders that a reconcile.Reconciler decides on.
+// orderDriver brings the engines to the accepted configuration: in each term that this replica
+// leads it sends the orders that a reconcile.Reconciler returns.
 type orderDriver struct {
 	state  *contract.State
 	log    Log
@@ -37,12 +37,12 @@
 	limits reconcile.Limits
 	logger *slog.Logger
 
-	// listed are the engines at the revision. Only drive touches them.
-	listed   []reconcile.Endpoint
+	// cached holds the engines as of revision. Only drive accesses it.
+	cached   []reconcile.Endpoint
 	revision uint64
 }
 
-// orderResult is how an action ended.
+// orderResult is the result of an action.
 type orderResult struct {
 	action   reconcile.Action
 	outcome  reconcile.Outcome
@@ -50,47 +50,47 @@
 	err      error
 }
 
-// drive runs until ctx ends. What is under way then is abandoned: the agents
-// carry it out or not, and the next leader reads the endpoints back.
-func (c *orderDriver) drive(ctx context.Context, l *leadership) {
+// drive runs until ctx ends. Actions in progress are then abandoned: agents may or may not
+// carry them out, and the next leader reads the endpoints back.
+func (d *orderDriver) drive(ctx context.Context, l *leadership) {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	reconciler := reconcile.New(c.limits, rng, l.fence)
-	ended := make(chan orderResult, orderWorkers)
-	workers := make(chan struct{}, orderWorkers)
+	reconciler := reconcile.New(d.limits, rng, l.fence)
+	results := make(chan orderResult, orderWorkers)
+	semaphore := make(chan struct{}, orderWorkers)
 	ticker := time.NewTicker(orderInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case result := <-ended:
-			c.end(ctx, l, reconciler, result)
+		case result := <-results:
+			d.finish(ctx, l, reconciler, result)
 			continue
 		case <-ticker.C:
 		}
-		actions := c.tick(ctx, l, reconciler)
+		actions := d.tick(ctx, l, reconciler)
 		for i, action := range actions {
-			go c.work(ctx, workers, ended, action, fmt.Sprintf("%d-%d-%d", l.term, l.now(), i))
+			go d.execute(ctx, semaphore, results, action, fmt.Sprintf("%d-%d-%d", l.term, l.now(), i))
 		}
 	}
 }
 
-// tick asks the reconciler what to begin now.
-func (c *orderDriver) tick(ctx context.Context, l *leadership, reconciler *reconcile.Reconciler) []reconcile.Action {
+// tick asks the reconciler for the actions to start now.
+func (d *orderDriver) tick(ctx context.Context, l *leadership, reconciler *reconcile.Reconciler) []reconcile.Action {
 	token := func() (uint64, error) { return l.issueFence(ctx) }
-	if reconciler.NeedsToken(c.state.Fence()) {
+	if reconciler.NeedsToken(d.state.Fence()) {
 		if _, err := token(); err != nil {
-			c.logger.Info("no fencing token was given out", "error", err)
+			d.logger.Info("issuing a fencing token failed", "error", err)
 		}
 	}
-	actions, err := reconciler.Tick(l.now(), c.engines(), token)
+	actions, err := reconciler.Tick(l.now(), d.engines(), token)
 	if err != nil && ctx.Err() == nil {
-		c.logger.Info("no orders were sent", "error", err)
+		d.logger.Info("no orders sent: issuing a fencing token failed", "error", err)
 	}
 	return actions
 }
 
-// issueFence lets the log give out a new fencing token.
+// issueFence has the log issue a new fencing token.
 func (l *leadership) issueFence(ctx context.Context) (uint64, error) {
 	data, err := contract.EncodeIssueFence(l.logTime())
 	result, err := propose(ctx, l.log, data, err)
@@ -100,20 +100,20 @@
 	return result.Fence, nil
 }
 
-// engines lists the live engines with what the state wants of each. Both follow
-// from the configuration, so that they are worked out once for each revision.
-func (c *orderDriver) engines() []reconcile.Endpoint {
-	configuration := c.state.Configuration()
-	if c.listed == nil || c.revision != configuration.GetRevision() {
-		c.revision = configuration.GetRevision()
-		c.listed = c.list(configuration)
+// engines returns the live engines, each with its pending order. Both depend only on the
+// configuration, so they are computed once per revision.
+func (d *orderDriver) engines() []reconcile.Endpoint {
+	configuration := d.state.Configuration()
+	if d.cached == nil || d.revision != configuration.GetRevision() {
+		d.revision = configuration.GetRevision()
+		d.cached = d.listEngines(configuration)
 	}
-	return c.listed
+	return d.cached
 }
 
-func (c *orderDriver) list(configuration *fleetv1.Configuration) []reconcile.Endpoint {
+func (d *orderDriver) listEngines(configuration *fleetv1.Configuration) []reconcile.Endpoint {
 	wanted := map[string]*agentv1.OrderRequest{}
-	for _, order := range c.state.Orders() {
+	for _, order := range d.state.Orders() {
 		wanted[order.Request.GetEndpoint()] = order.Request
 	}
 	engines := []reconcile.Endpoint{}
@@ -133,37 +133,37 @@
 	return engines
 }
 
-// work carries one action out.
-func (c *orderDriver) work(ctx context.Context, workers chan struct{}, ended chan<- orderResult, action reconcile.Action, orderID string) {
+// execute carries out one action.
+func (d *orderDriver) execute(ctx context.Context, semaphore chan struct{}, results chan<- orderResult, action reconcile.Action, orderID string) {
 	select {
-	case workers <- struct{}{}:
-		defer func() { <-workers }()
+	case semaphore <- struct{}{}:
+		defer func() { <-semaphore }()
 	case <-ctx.Done():
 		return
 	}
 	action.Request.OrderId = orderID
-	response, err := c.call(ctx, action)
+	response, err := d.call(ctx, action)
 	select {
-	case ended <- orderResult{action: action, outcome: outcomeOf(err), response: response, err: err}:
+	case results <- orderResult{action: action, outcome: outcomeOf(err), response: response, err: err}:
 	case <-ctx.Done():
 	}
 }
 
-func (c *orderDriver) call(ctx context.Context, action reconcile.Action) (*agentv1.OrderResponse, error) {
+func (d *orderDriver) call(ctx context.Context, action reconcile.Action) (*agentv1.OrderResponse, error) {
 	timeout := orderTimeout
 	if action.ReadBack() {
 		timeout = readBackTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	conn, err := c.pool.Get(action.Endpoint.Addr)
+	conn, err := d.pool.Get(action.Endpoint.Addr)
 	if err != nil {
 		return nil, err
 	}
 	return agentv1.NewAgentClient(conn).Order(ctx, action.Request)
 }
 
-// outcomeOf tells a refused order from one that may have been carried out.
+// outcomeOf tells an order that was rejected from one that may have been carried out.
 func outcomeOf(err error) reconcile.Outcome {
 	if err == nil {
 		return reconcile.Done
@@ -175,35 +175,35 @@
 	return reconcile.Interrupted
 }
 
-// end records what was read back.
-func (c *orderDriver) end(ctx context.Context, l *leadership, reconciler *reconcile.Reconciler, result orderResult) {
+// finish passes a result to the reconciler and records the state that was read back.
+func (d *orderDriver) finish(ctx context.Context, l *leadership, reconciler *reconcile.Reconciler, result orderResult) {
 	endpoint := result.action.Endpoint
 	orderOutcomes[result.outcome].Inc()
 	observed := result.response.GetObserved()
-	record := reconciler.RecordOutcome(l.now(), result.action, result.outcome, result.response.GetHighestFence())
-	l.note(endpoint.ID, reconciler.Progress(endpoint.ID), result.err)
+	accepted := reconciler.RecordOutcome(l.now(), result.action, result.outcome, result.response.GetHighestFence())
+	l.setOrderStatus(endpoint.ID, reconciler.Progress(endpoint.ID), result.err)
 	if result.err != nil {
-		c.logger.Warn("an endpoint did not take an order", "endpoint", endpoint.ID,
+		d.logger.Warn("order to an endpoint failed", "endpoint", endpoint.ID,
 			"kind", result.action.Request.GetKind().String(), "error", result.err)
 	}
-	// What the state shows of an endpoint is partly what operators want of it, so
-	// a reading is left out only when nothing is wanted.
-	if !record || observed == nil || endpoint.Order == nil && c.recorded(observed) {
+	// What the state holds of an endpoint is in part the wanted state, so a read-back that
+	// matches it is skipped only if no order is pending.
+	if !accepted || observed == nil || endpoint.Order == nil && d.matchesState(observed) {
 		return
 	}
 	ref := contract.AgentRef{Name: observed.GetAgent(), Incarnation: endpoint.Incarnation}
-	if known := c.state.Endpoint(endpoint.ID); known != nil {
+	if known := d.state.Endpoint(endpoint.ID); known != nil {
 		ref.Name = known.GetAgent()
 	}
 	data, err := contract.EncodeObserved(l.logTime(), ref, observed)
-	if _, err = propose(ctx, c.log, data, err); err != nil && ctx.Err() == nil {
-		c.logger.Warn("recording a reading failed", "endpoint", endpoint.ID, "error", err)
+	if _, err = propose(ctx, d.log, data, err); err != nil && ctx.Err() == nil {
+		d.logger.Warn("recording a read-back failed", "endpoint", endpoint.ID, "error", err)
 	}
 }
 
-// recorded reports whether the state already says what was read back.
-func (c *orderDriver) recorded(observed *fleetv1.Endpoint) bool {
-	known := c.state.Endpoint(observed.GetId())
+// matchesState reports whether the replicated state already has what was read back.
+func (d *orderDriver) matchesState(observed *fleetv1.Endpoint) bool {
+	known := d.state.Endpoint(observed.GetId())
 	if known == nil {
 		return true
 	}
--- a/control/providers.go
+++ b/control/providers.go
@@ -14,8 +14,8 @@
 	"github.com/lilackeel/lilackeel/replica/server"
 )
 
-// newLog opens the replicated log in the data folder.
-func newLog(s *Settings, m *machine, dial []grpc.DialOption, logger *slog.Logger) (*server.Server, error) {
+// newLog opens the replicated log in the data directory.
+func newLog(s *Settings, m *stateMachine, dial []grpc.DialOption, logger *slog.Logger) (*server.Server, error) {
 	log, err := server.Open(server.Config{
 		ID:                s.ID,
 		DataDir:           s.DataDir,
@@ -36,7 +36,7 @@
 	return log, nil
 }
 
-func newState(m *machine) *contract.State { return m.state }
+func newState(m *stateMachine) *contract.State { return m.state }
 
 func newDialOptions(s *Settings) ([]grpc.DialOption, error) {
 	options, err := link.DialOptions(s.Link)
@@ -45,18 +45,18 @@
 
 func newPool(dial []grpc.DialOption) *link.Pool { return link.NewPool(dial...) }
 
-func newFeed(s *source) *feed.Server { return feed.NewServer(s) }
+func newFeed(s *feedSource) *feed.Server { return feed.NewServer(s) }
 
-func newReports(s *Settings, log *server.Server, state *contract.State, published *feed.Server, pool *link.Pool) *reports {
-	return &reports{id: s.ID, log: log, members: log, state: state, daemons: published.Daemons(), pool: pool}
+func newStatusCollector(s *Settings, log *server.Server, state *contract.State, published *feed.Server, pool *link.Pool) *statusCollector {
+	return &statusCollector{id: s.ID, log: log, members: log, state: state, daemons: published.Daemons(), pool: pool}
 }
 
-func newTerms(s *Settings, log Log, state *contract.State, drivers []driver, logger *slog.Logger) *terms {
-	return &terms{log: log, state: state, lease: s.Lease, drivers: drivers, logger: logger}
+func newTermManager(s *Settings, log Log, state *contract.State, drivers []driver, logger *slog.Logger) *termManager {
+	return &termManager{log: log, state: state, lease: s.Lease, drivers: drivers, logger: logger}
 }
 
-// newDrivers returns what a leader does besides answering calls.
-func newDrivers(s *Settings, log Log, state *contract.State, pool *link.Pool, r *reports, logger *slog.Logger) []driver {
+// newDrivers returns the leader's background work.
+func newDrivers(s *Settings, log Log, state *contract.State, pool *link.Pool, r *statusCollector, logger *slog.Logger) []driver {
 	limits := reconcile.Limits{
 		MaxLoads:       s.Loads,
 		MaxLoadShare:   s.LoadShare,
@@ -65,19 +65,19 @@
 		AuditInterval:  reconcile.DefaultAuditInterval,
 	}
 	orders := &orderDriver{state: state, log: log, pool: pool, limits: limits, logger: logger}
-	finish := &finisher{state: state, log: log, reports: r, logger: logger}
-	maps := &mapper{state: state, log: log, pool: pool, groups: s.Groups, engine: s.Engine, copyPrice: s.CopyPrice, logger: logger}
+	finish := &intentFinisher{state: state, log: log, status: r, logger: logger}
+	maps := &mapDriver{state: state, log: log, pool: pool, groups: s.Groups, engine: s.Engine, copyPrice: s.CopyPrice, logger: logger}
 	return []driver{orders.drive, finish.drive, maps.drive}
 }
 
-func newService(log *server.Server, state *contract.State, t *terms, pool *link.Pool, r *reports, published *source) *service {
-	return &service{log: log, state: state, leadership: t, pool: pool, members: members{log: log}, reports: r, published: published}
+func newService(log *server.Server, state *contract.State, t *termManager, pool *link.Pool, r *statusCollector, published *feedSource) *service {
+	return &service{log: log, state: state, leadership: t, pool: pool, members: membershipService{log: log}, status: r, feedSource: published}
 }
 
-func newCalls() *calls { return &calls{} }
+func newCallTracker() *callTracker { return &callTracker{} }
 
 // newServer returns the gRPC server with all services of a control replica.
-func newServer(s *Settings, log *server.Server, control *service, published *feed.Server, c *calls) (*grpc.Server, error) {
+func newServer(s *Settings, log *server.Server, control *service, published *feed.Server, c *callTracker) (*grpc.Server, error) {
 	options, err := link.ServerOptions(s.Link)
 	if err != nil {
 		return nil, trace.Wrap(err)
--- a/control/publish.go
+++ b/control/publish.go
@@ -9,9 +9,8 @@
 	"github.com/lilackeel/lilackeel/contract"
 )
 
-// publish puts a site in force. One that the committed state has overtaken
-// already needs no entry in the log: a leader whose state is behind would only
-// log it once more than needed.
+// publish puts a site in force. A site that the committed state has already superseded needs no
+// log entry. A leader whose state is behind may at most log one needlessly.
 func (l *leadership) publish(ctx context.Context, site *fleetv1.Site) (*controlv1.PublishResponse, error) {
 	if l.state.SiteSuperseded(site.GetVersion()) {
 		return &controlv1.PublishResponse{Version: l.state.Site().GetVersion()}, nil
--- a/control/service.go
+++ b/control/service.go
@@ -11,28 +11,28 @@
 	"github.com/lilackeel/lilackeel/link"
 )
 
-// decideTimeout bounds a decision whose caller has set no deadline.
+// decideTimeout bounds a call to the leader for which the caller has set no deadline.
 const decideTimeout = 10 * time.Second
 
-// leaderTerms reports whether this replica leads.
-type leaderTerms interface {
-	// current returns the leadership of the term that this replica leads;
-	// nil while it does not lead or is not ready to decide.
+// leadershipSource provides the current leadership of this replica.
+type leadershipSource interface {
+	// current returns the leadership of the term that this replica leads, or nil while it does
+	// not lead or is not yet ready to decide.
 	current() *leadership
 }
 
-// service is the Control service. What changes the state is decided by the
-// leadership of the term; a replica that does not lead passes it on once. What
-// only reads is answered by any replica that a quorum confirms.
+// service implements the Control service. Calls that change the state are decided by the
+// leadership of the term; a replica that does not lead forwards them once. Read-only calls are
+// answered by any replica after a quorum read.
 type service struct {
 	controlv1.UnimplementedControlServer
 	log        Log
 	state      *contract.State
-	leadership leaderTerms
+	leadership leadershipSource
 	pool       *link.Pool
-	members    members
-	reports    *reports
-	published  *source
+	members    membershipService
+	status     *statusCollector
+	feedSource *feedSource
 }
 
 // Plan implements controlv1.ControlServer.
@@ -72,19 +72,20 @@
 
 // Announce implements controlv1.ControlServer.
 func (s *service) Announce(ctx context.Context, request *controlv1.AnnounceRequest) (*controlv1.AnnounceResponse, error) {
-	d := decision[controlv1.AnnounceRequest, controlv1.AnnounceResponse]{
+	d := leaderCall[controlv1.AnnounceRequest, controlv1.AnnounceResponse]{
 		service: s,
 		request: request,
 		local: func(ctx context.Context, l *leadership) (*controlv1.AnnounceResponse, error) {
 			return l.announce(ctx, request)
 		},
 		remote: controlv1.ControlClient.Announce,
-		// An endpoint that announces itself does not look for the leader.
-		direct: request.GetAddr() != "",
+		// Agents are redirected to the leader. An endpoint that announces itself does not look
+		// for the leader, so its call is forwarded.
+		redirect: request.GetAddr() != "",
 	}
 	response, err := d.run(ctx)
-	if err == nil && s.published != nil {
-		response.Replicas = s.published.Replicas()
+	if err == nil && s.feedSource != nil {
+		response.Replicas = s.feedSource.Replicas()
 	}
 	return response, err
 }
@@ -167,27 +168,28 @@
 
 // Members implements controlv1.ControlServer.
 func (s *service) Members(ctx context.Context, request *controlv1.MembersRequest) (*controlv1.MembersResponse, error) {
-	d := decision[controlv1.MembersRequest, controlv1.MembersResponse]{
+	d := leaderCall[controlv1.MembersRequest, controlv1.MembersResponse]{
 		service: s,
 		request: request,
 		remote:  controlv1.ControlClient.Members,
 		local: func(ctx context.Context, _ *leadership) (*controlv1.MembersResponse, error) {
 			return s.members.change(ctx, request)
 		},
-		once: true,
+		atMostOnce: true,
 	}
 	return d.run(ctx)
 }
 
-// Status implements controlv1.ControlServer. The leader knows most, so a replica
-// that does not lead asks it first, and answers itself when it cannot be reached.
+// Status implements controlv1.ControlServer. The leader's view is the most complete, so a
+// replica that does not lead asks the leader first and answers itself only if the leader cannot
+// be reached.
 func (s *service) Status(ctx context.Context, request *controlv1.StatusRequest) (*controlv1.StatusResponse, error) {
-	if s.leadership.current() == nil && !marked(ctx, localKey) && !marked(ctx, forwardedKey) {
+	if s.leadership.current() == nil && !hasMetadata(ctx, localKey) && !hasMetadata(ctx, forwardedKey) {
 		if response, err := s.leaderStatus(ctx, request); err == nil {
 			return response, nil
 		}
 	}
-	return s.reports.status(ctx, s.leadership.current()), nil
+	return s.status.status(ctx, s.leadership.current()), nil
 }
 
 func (s *service) leaderStatus(ctx context.Context, request *controlv1.StatusRequest) (*controlv1.StatusResponse, error) {
@@ -199,7 +201,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(ctx, forwardedKey, markSet), 2*statusTimeout)
+	ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(ctx, forwardedKey, metadataSet), 2*statusTimeout)
 	defer cancel()
 	return controlv1.NewControlClient(conn).Status(ctx, request)
 }
--- a/control/settings.go
+++ b/control/settings.go
@@ -17,65 +17,67 @@
 	"github.com/lilackeel/lilackeel/telemetry"
 )
 
-// Settings are the checked settings of the daemon.
+// Settings are the validated settings of the daemon.
 type Settings struct {
 	// ID identifies this replica in the cluster.
 	ID uint64
-	// Host and Zone say where it runs.
+	// Host and Zone are the host that the replica runs on and its availability zone.
 	Host, Zone string
-	// Listen is the address of its services; Peers gives those by which the
-	// replicas reach each other, this one included.
+	// Listen is the address of the replica's services. Peers are the addresses by which the
+	// replicas reach each other, by replica ID and including this replica.
 	Listen string
 	Peers  map[uint64]string
-	// Seeds are addresses of some replicas, in place of Peers.
+	// Seeds are addresses of some replicas, as an alternative to Peers.
 	Seeds []string
-	// Bootstrap is the licence to found a cluster of the Seeds.
+	// Bootstrap permits a new cluster to be bootstrapped from the Seeds.
 	Bootstrap bool
-	// DataDir is the folder of the replicated log.
+	// DataDir is the directory of the replicated log.
 	DataDir string
-	// Join keeps a blank disk from bootstrapping a new cluster.
+	// Join keeps a replica with a blank disk from bootstrapping a new cluster.
 	Join bool
 
 	// ElectionTimeout is how long a replica waits for a leader.
 	ElectionTimeout time.Duration
 	// HeartbeatInterval is the time between two heartbeats of the leader.
 	HeartbeatInterval time.Duration
-	// RepairAfter is how long a voter must be silent before a blank disk takes its
-	// place as a learner; ten election timeouts if zero.
+	// RepairAfter is how long a voter must be silent before a replica with a blank disk
+	// replaces it as a learner; ten election timeouts if zero.
 	RepairAfter time.Duration
-	// Voters is the number of voters that the cluster keeps by itself; zero leaves
-	// members to the operator.
+	// Voters is the number of voters that the cluster maintains automatically; zero leaves the
+	// membership to the operator.
 	Voters int
 	// SnapshotEvery is the number of log entries between two snapshots.
 	SnapshotEvery int
 
 	// Lease is how long an agent counts as live without an announcement.
 	Lease time.Duration
-	// ReadInterval is the time between two readings through a quorum.
+	// ReadInterval is the time between two quorum reads.
 	ReadInterval time.Duration
-	// CopyPrice is what a deployment pays for a gigabyte of experts that is copied
-	// between ranks, as the time of the group's steps that is worth as much.
+	// CopyPrice is the cost of copying one gigabyte of experts between ranks, expressed as the
+	// step time of the group that is worth as much.
 	CopyPrice time.Duration
-	// StopLimit bounds a planned stop.
+	// StopLimit bounds the graceful shutdown.
 	StopLimit time.Duration
-	// Loads bounds the loads through the weight store at the same time.
+	// Loads bounds the concurrent loads through the weight store.
 	Loads int
-	// LoadShare bounds the share of a pool that loads at the same time.
+	// LoadShare bounds the share of a pool's endpoints that load concurrently.
 	LoadShare float64
-	// GroupsFile describes the groups of ranks; Groups is what it says.
+	// GroupsFile is the path of the groups file, which describes the groups of ranks. Groups is
+	// its content.
 	GroupsFile string
 	Groups     expertmap.Groups
 
-	// Engine reaches an engine that holds its steps itself by its address; nil where
-	// none is used. It lets the leader act for a rank's host that is silent.
+	// Engine returns a client for the engine at an address, for engines that hold their steps
+	// themselves; nil if there are none. With it the leader can act for a rank whose host is
+	// unresponsive.
 	Engine func(address string) rankhost.Engine
 
-	// Link secures the connections, Telemetry sets up logs, metrics and traces.
+	// Link secures the connections. Telemetry configures logs, metrics and traces.
 	Link      link.Config
 	Telemetry telemetry.Config
 }
 
-// defaultAdminListen differs from the other daemons' so that all can share a
+// defaultAdminListen differs from the defaults of the other daemons, so that all can share a
 // host.
 const defaultAdminListen = "127.0.0.1:9093"
 
@@ -83,42 +85,42 @@
 func (s *Settings) Register(set *setting.Set) {
 	var id int
 	var peers []string
-	set.Int(&id, "id", 0, "number of this replica, unique in the cluster; made from -listen with -seeds", setting.Min(0))
+	set.Int(&id, "id", 0, "number of this replica, unique in the cluster; derived from -listen if -seeds is set", setting.Min(0))
 	set.String(&s.Host, "host", "", "name of the host; control-<id> if empty", setting.Name)
 	set.String(&s.Zone, "zone", "", "availability zone of the host", setting.Name)
 	set.String(&s.Listen, "listen", "127.0.0.1:7300", "address of the services", setting.Required, setting.HostPort)
-	set.List(&peers, "peers", nil, "the first voters, this one included, as id=host:port; with -join the replicas to ask")
-	set.List(&s.Seeds, "seeds", nil, "addresses of some replicas, in place of -peers; ids are then made from addresses", setting.HostPort)
-	set.Bool(&s.Bootstrap, "bootstrap", false, "found the cluster of the replicas in -seeds, which all have blank disks; without it a blank disk only joins one")
-	set.String(&s.DataDir, "data-dir", "", "folder of the replicated log, on a disk of its own", setting.Required)
+	set.List(&peers, "peers", nil, "the initial voters, including this replica, as id=host:port; with -join the replicas to contact")
+	set.List(&s.Seeds, "seeds", nil, "addresses of some replicas, instead of -peers; ids are then derived from addresses", setting.HostPort)
+	set.Bool(&s.Bootstrap, "bootstrap", false, "bootstrap a new cluster from the replicas in -seeds, which must all have blank disks; without it a replica with a blank disk only joins an existing cluster")
+	set.String(&s.DataDir, "data-dir", "", "directory of the replicated log, on a disk of its own", setting.Required)
 	set.Bool(&s.Join, "join", false, "join an existing cluster with a blank disk")
-	s.registerTimes(set)
-	set.Int(&s.Voters, "voters", 0, "number of voters that the cluster keeps by itself, taking in replicas with blank disks in the place of those that are gone; 0 leaves members to the operator", setting.Min(0))
+	s.registerDurations(set)
+	set.Int(&s.Voters, "voters", 0, "number of voters that the cluster maintains automatically, replacing failed voters by replicas with blank disks; 0 leaves the membership to the operator", setting.Min(0))
 	set.Int(&s.SnapshotEvery, "snapshot-every", server.DefaultSnapshotEvery, "log entries between two snapshots", setting.Min(1))
-	set.Int(&s.Loads, "loads", defaultLoads, "loads through the weight store at the same time", setting.Min(1))
-	set.Float(&s.LoadShare, "load-share", defaultLoadShare, "greatest share of a pool's endpoints that load at the same time; one always may", setting.Min(0.0), setting.Max(1.0))
+	set.Int(&s.Loads, "loads", defaultLoads, "maximum number of concurrent loads through the weight store", setting.Min(1))
+	set.Float(&s.LoadShare, "load-share", defaultLoadShare, "maximum share of a pool's endpoints that load concurrently; one always may", setting.Min(0.0), setting.Max(1.0))
 	set.String(&s.GroupsFile, "groups", "", "YAML file that describes the groups of ranks, the same at every replica; empty for none")
 	s.Telemetry.AdminListen = defaultAdminListen
 	link.Settings(set, &s.Link)
 	telemetry.Settings(set, &s.Telemetry)
 	set.Check(func() error { return s.Link.CheckListen(s.Listen) })
-	set.Check(func() error { return s.complete(id, peers) })
+	set.Check(func() error { return s.resolve(id, peers) })
 	set.Check(s.readGroups)
 }
 
-func (s *Settings) registerTimes(set *setting.Set) {
+func (s *Settings) registerDurations(set *setting.Set) {
 	millisecond := setting.Min(time.Millisecond)
 	set.Duration(&s.ElectionTimeout, "election-timeout", replica.DefaultElectionTimeout, "how long a replica waits for a leader", millisecond)
 	set.Duration(&s.HeartbeatInterval, "heartbeat-interval", replica.DefaultHeartbeatInterval, "time between two heartbeats of the leader", millisecond)
-	set.Duration(&s.RepairAfter, "repair-after", 0, "how long a voter must be silent before a blank disk takes its place; 0 for ten election timeouts", setting.Min(time.Duration(0)))
+	set.Duration(&s.RepairAfter, "repair-after", 0, "how long a voter must be silent before a replica with a blank disk replaces it; 0 for ten election timeouts", setting.Min(time.Duration(0)))
 	set.Duration(&s.Lease, "lease", 5*time.Second, "how long an agent counts as live without an announcement", setting.Min(100*time.Millisecond))
-	set.Duration(&s.CopyPrice, "copy-price", time.Millisecond, "time of a group's steps that copying a gigabyte of experts between its ranks is worth", setting.Min(time.Duration(0)))
-	set.Duration(&s.ReadInterval, "read-interval", 150*time.Millisecond, "time between two readings through a quorum, for the freshness of the feed", millisecond)
-	set.Duration(&s.StopLimit, "stop-limit", 10*time.Second, "longest planned stop", millisecond)
+	set.Duration(&s.CopyPrice, "copy-price", time.Millisecond, "cost of copying a gigabyte of experts between the ranks of a group, as the step time that it is worth", setting.Min(time.Duration(0)))
+	set.Duration(&s.ReadInterval, "read-interval", 150*time.Millisecond, "time between two quorum reads, which determine the freshness of the feed", millisecond)
+	set.Duration(&s.StopLimit, "stop-limit", 10*time.Second, "limit on the duration of a graceful shutdown", millisecond)
 }
 
-// complete fills in what other settings imply.
-func (s *Settings) complete(id int, peers []string) error {
+// resolve derives the settings that follow from others.
+func (s *Settings) resolve(id int, peers []string) error {
 	s.ID = uint64(id)
 	if s.Host == "" {
 		s.Host = "control-" + strconv.Itoa(id)
@@ -126,10 +128,10 @@
 	s.Telemetry.Host = s.Host
 	s.Peers = map[uint64]string{}
 	if len(s.Seeds) > 0 {
-		return s.completeSeeds(id, peers)
+		return s.resolveSeeds(id, peers)
 	}
 	if id == 0 {
-		return fault.New(fault.Invalid, "neither -id nor -seeds is set", "give this replica a number, or name seeds")
+		return fault.New(fault.Invalid, "neither -id nor -seeds is set", "set -id or -seeds")
 	}
 	for _, peer := range peers {
 		if err := s.addPeer(peer); err != nil {
@@ -140,16 +142,16 @@
 		s.Peers[s.ID] = s.Listen
 	}
 	if _, listed := s.Peers[s.ID]; !listed {
-		return fault.Newf(fault.Invalid, "add "+strconv.Itoa(id)+"=host:port, by which the others reach this replica", "-peers lacks this replica, %d", id)
+		return fault.Newf(fault.Invalid, "add "+strconv.Itoa(id)+"=host:port, the address at which the others reach this replica", "-peers does not list this replica, %d", id)
 	}
 	return nil
 }
 
-// completeSeeds fills in what follows from the seeds: a replica that is not
-// among them, or has no licence to found a cluster, joins.
-func (s *Settings) completeSeeds(id int, peers []string) error {
+// resolveSeeds derives the settings that follow from the seeds. A replica that is not a seed,
+// or may not bootstrap a cluster, joins one.
+func (s *Settings) resolveSeeds(id int, peers []string) error {
 	if id != 0 || len(peers) > 0 || s.Join {
-		return fault.New(fault.Invalid, "-seeds contradicts -id, -peers and -join", "set either -seeds and -bootstrap, or the others")
+		return fault.New(fault.Invalid, "-seeds cannot be combined with -id, -peers or -join", "set either -seeds and -bootstrap, or the others")
 	}
 	var err error
 	if s.ID, err = ReplicaID(s.Listen); err != nil {
@@ -169,12 +171,12 @@
 	return nil
 }
 
-// ReplicaID makes the number of a replica from its address, an IPv4 address and
-// a port, so that all processes make the same one.
+// ReplicaID derives the ID of a replica from its address, an IPv4 address and a port, so that
+// all processes derive the same one.
 func ReplicaID(address string) (uint64, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil || !parsed.Addr().Is4() {
-		return 0, fault.Newf(fault.Invalid, "write an IPv4 address and a port, for example 10.0.0.1:7300", "no replica number can be made from %q", address)
+		return 0, fault.Newf(fault.Invalid, "write an IPv4 address and a port, for example 10.0.0.1:7300", "cannot derive a replica ID from %q", address)
 	}
 	host := parsed.Addr().As4()
 	return uint64(binary.BigEndian.Uint32(host[:]))<<16 | uint64(parsed.Port()), nil
@@ -195,14 +197,14 @@
 	if !found || err != nil || id == 0 || !strings.Contains(addr, ":") {
 		return fault.Newf(fault.Invalid, "write id=host:port, for example 1=10.0.0.1:7300", "malformed item %q of -peers", peer)
 	}
-	if _, twice := s.Peers[id]; twice {
-		return fault.Newf(fault.Invalid, "give each replica one address", "-peers names replica %d twice", id)
+	if _, duplicate := s.Peers[id]; duplicate {
+		return fault.Newf(fault.Invalid, "give each replica one address", "-peers lists replica %d twice", id)
 	}
 	s.Peers[id] = addr
 	return nil
 }
 
-// Defaults for the loads of models and adapters.
+// Default limits on the loads of models and adapters.
 const (
 	defaultLoads     = 2
 	defaultLoadShare = 0.25
--- a/control/source.go
+++ b/control/source.go
@@ -12,17 +12,17 @@
 	"github.com/lilackeel/lilackeel/wait"
 )
 
-// source publishes the replica's state on the feed.
-type source struct {
-	*machine
-	confirmed confirmed
-	replicas  knownReplicas
+// feedSource provides the replica's state to the feed.
+type feedSource struct {
+	*stateMachine
+	lastRead quorumRead
+	replicas knownReplicas
 }
 
-// membershipReader reads the present membership; *server.Server is one.
+// membershipReader reads the current membership. *server.Server implements it.
 type membershipReader interface{ Status() server.Status }
 
-// knownReplicas are the addresses of the members, as they were last read.
+// knownReplicas holds the members' addresses as of the last read.
 type knownReplicas struct {
 	mu    sync.Mutex
 	addrs []string
@@ -41,10 +41,10 @@
 }
 
 // Replicas implements feed.ReplicaSource.
-func (s *source) Replicas() []string { return s.replicas.get() }
+func (s *feedSource) Replicas() []string { return s.replicas.get() }
 
-// readMembers reads the membership, voters first.
-func (s *source) readMembers(log membershipReader) {
+// updateReplicas reads the members' addresses, voters first.
+func (s *feedSource) updateReplicas(log membershipReader) {
 	var voters, others []string
 	for _, member := range log.Status().Membership.GetMembers() {
 		if member.GetRole() == replicav1.Role_ROLE_VOTER {
@@ -56,15 +56,15 @@
 	s.replicas.set(append(voters, others...))
 }
 
-// confirmed is the latest reading that a quorum confirmed.
-type confirmed struct {
+// quorumRead is the latest revision that a quorum read confirmed.
+type quorumRead struct {
 	mu       sync.Mutex
 	revision uint64
 	at       time.Time
 	ok       bool
 }
 
-func (c *confirmed) set(revision uint64, at time.Time) {
+func (c *quorumRead) set(revision uint64, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ok && !at.After(c.at) {
@@ -73,22 +73,22 @@
 	c.revision, c.at, c.ok = revision, at, true
 }
 
-func (c *confirmed) get() (revision uint64, at time.Time, ok bool) {
+func (c *quorumRead) get() (revision uint64, at time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.revision, c.at, c.ok
 }
 
-func newSource(m *machine) *source { return &source{machine: m} }
+func newFeedSource(m *stateMachine) *feedSource { return &feedSource{stateMachine: m} }
 
 // Revision implements feed.Source.
-func (s *source) Revision() uint64 { return s.state.Revision() }
+func (s *feedSource) Revision() uint64 { return s.state.Revision() }
 
 // Configuration implements feed.Source.
-func (s *source) Configuration() *fleetv1.Configuration { return s.state.Configuration() }
+func (s *feedSource) Configuration() *fleetv1.Configuration { return s.state.Configuration() }
 
 // DeltaSince implements feed.Source.
-func (s *source) DeltaSince(revision uint64) *fleetv1.Delta {
+func (s *feedSource) DeltaSince(revision uint64) *fleetv1.Delta {
 	delta, ok := s.state.DeltaSince(revision)
 	if !ok {
 		return nil
@@ -97,25 +97,24 @@
 }
 
 // Freshness implements feed.Source.
-func (s *source) Freshness() (revision uint64, at time.Time, ok bool) { return s.confirmed.get() }
+func (s *feedSource) Freshness() (revision uint64, at time.Time, ok bool) { return s.lastRead.get() }
 
-// confirm reads the revision through a quorum again and again until ctx ends.
-// The time of a reading is taken before it is asked for, so that it is never
-// later than the quorum's answer.
-func (s *source) confirm(ctx context.Context, log Log, interval time.Duration, logger *slog.Logger) {
+// pollQuorum reads the revision through a quorum periodically until ctx ends. The time of a
+// read is taken before it is requested, so that it is never later than the quorum's response.
+func (s *feedSource) pollQuorum(ctx context.Context, log Log, interval time.Duration, logger *slog.Logger) {
 	failing := false
 	for ctx.Err() == nil {
 		at := time.Now()
 		_, err := log.ReadIndex(ctx)
 		if err == nil {
-			s.confirmed.set(s.state.Revision(), at)
+			s.lastRead.set(s.state.Revision(), at)
 			if reader, ok := log.(membershipReader); ok {
-				s.readMembers(reader)
+				s.updateReplicas(reader)
 			}
 		}
 		if (err != nil) != failing && ctx.Err() == nil {
 			failing = err != nil
-			logger.Info("reading through a quorum", "works", !failing, "error", err)
+			logger.Info("quorum reads started or stopped working", "works", !failing, "error", err)
 		}
 		wait.For(ctx, interval-time.Since(at))
 	}
--- a/control/status.go
+++ b/control/status.go
@@ -18,45 +18,45 @@
 )
 
 const (
-	// statusTimeout bounds what another replica may take to report.
+	// statusTimeout bounds how long other replicas may take to report.
 	statusTimeout = time.Second
-	// liveDaemonMs is the age of the last sign of a daemon, in milliseconds, from
-	// which on it counts as gone.
-	liveDaemonMs = 10_000
+	// daemonTimeoutMs is the age of a daemon's last report, in milliseconds, above which the
+	// daemon counts as gone.
+	daemonTimeoutMs = 10_000
 )
 
-// reports gathers what the replicas know of the daemons.
-type reports struct {
+// statusCollector collects the status of the fleet from all replicas.
+type statusCollector struct {
 	id      uint64
 	log     Log
-	members membership
+	members membershipLog
 	state   *contract.State
 	daemons *feed.Daemons
 	pool    *link.Pool
 }
 
-// status reports for the whole fleet. An unreachable replica is left out; the
-// daemons that report to it only are then missing or old.
-func (r *reports) status(ctx context.Context, current *leadership) *controlv1.StatusResponse {
-	if marked(ctx, localKey) {
-		return r.local()
+// status returns the status of the whole fleet. An unreachable replica is left out; daemons
+// that report only to it are then missing or out of date.
+func (r *statusCollector) status(ctx context.Context, current *leadership) *controlv1.StatusResponse {
+	if hasMetadata(ctx, localKey) {
+		return r.localStatus()
 	}
-	response, _ := r.gathered(ctx)
-	response.SlowestRevision, response.SlowestDaemon = slowest(response.GetDaemons())
-	response.Intents = r.progress(response.GetDaemons(), current)
+	response, _ := r.fleetStatus(ctx)
+	response.SlowestRevision, response.SlowestDaemon = slowestDaemon(response.GetDaemons())
+	response.Intents = r.intentProgress(response.GetDaemons(), current)
 	return response
 }
 
-// gathered joins what all replicas know. It reports whether all have answered.
-func (r *reports) gathered(ctx context.Context) (response *controlv1.StatusResponse, complete bool) {
-	response = r.local()
-	others := r.gather(ctx)
-	merge(response, others)
+// fleetStatus merges the status of all replicas. It reports whether all have answered.
+func (r *statusCollector) fleetStatus(ctx context.Context) (response *controlv1.StatusResponse, complete bool) {
+	response = r.localStatus()
+	others := r.queryPeers(ctx)
+	mergeStatus(response, others)
 	return response, len(others) >= len(response.GetReplicas())-1
 }
 
-// local reports what this replica knows by itself.
-func (r *reports) local() *controlv1.StatusResponse {
+// localStatus returns the status as known to this replica alone.
+func (r *statusCollector) localStatus() *controlv1.StatusResponse {
 	leader, _, term, _ := r.log.Leader()
 	response := &controlv1.StatusResponse{
 		Revision: r.state.Revision(),
@@ -79,15 +79,15 @@
 	return response
 }
 
-// gather asks the other replicas for what they know.
-func (r *reports) gather(ctx context.Context) []*controlv1.StatusResponse {
+// queryPeers asks the other replicas for their local status.
+func (r *statusCollector) queryPeers(ctx context.Context) []*controlv1.StatusResponse {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	ctx = metadata.AppendToOutgoingContext(ctx, localKey, markSet)
+	ctx = metadata.AppendToOutgoingContext(ctx, localKey, metadataSet)
 	var (
-		mu       sync.Mutex
-		gathered []*controlv1.StatusResponse
-		group    sync.WaitGroup
+		mu        sync.Mutex
+		responses []*controlv1.StatusResponse
+		group     sync.WaitGroup
 	)
 	for _, member := range r.members.Status().Membership.GetMembers() {
 		if member.GetId() == r.id {
@@ -104,26 +104,26 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			gathered = append(gathered, response)
+			responses = append(responses, response)
 		})
 	}
 	group.Wait()
-	return gathered
+	return responses
 }
 
-// merge adds what others know: each replica knows best how far it is itself, and
-// the replica with the latest report of a daemon knows best about it.
-func merge(response *controlv1.StatusResponse, others []*controlv1.StatusResponse) {
+// mergeStatus merges the status of other replicas into response. Each replica knows its own
+// progress best, and the replica with the latest report of a daemon knows that daemon best.
+func mergeStatus(response *controlv1.StatusResponse, others []*controlv1.StatusResponse) {
 	daemons := map[string]*controlv1.DaemonStatus{}
-	for _, each := range append(others, response) {
-		for _, daemon := range each.GetDaemons() {
+	for _, source := range append(others, response) {
+		for _, daemon := range source.GetDaemons() {
 			known := daemons[daemon.GetName()]
 			if known == nil || daemon.GetHeardMs() < known.GetHeardMs() {
 				daemons[daemon.GetName()] = daemon
 			}
 		}
 		for i, replica := range response.GetReplicas() {
-			for _, reported := range each.GetReplicas() {
+			for _, reported := range source.GetReplicas() {
 				if reported.GetId() == replica.GetId() {
 					response.Replicas[i].Applied = max(replica.GetApplied(), reported.GetApplied())
 				}
@@ -137,10 +137,10 @@
 	slices.SortFunc(response.Daemons, func(a, b *controlv1.DaemonStatus) int { return strings.Compare(a.GetName(), b.GetName()) })
 }
 
-// slowest returns the live daemon that acts on the lowest revision.
-func slowest(daemons []*controlv1.DaemonStatus) (revision uint64, name string) {
+// slowestDaemon returns the live daemon with the lowest applied revision.
+func slowestDaemon(daemons []*controlv1.DaemonStatus) (revision uint64, name string) {
 	for _, daemon := range daemons {
-		if daemon.GetHeardMs() > liveDaemonMs {
+		if daemon.GetHeardMs() > daemonTimeoutMs {
 			continue
 		}
 		if name == "" || daemon.GetRevision() < revision {
@@ -150,29 +150,29 @@
 	return revision, name
 }
 
-// progress says what each confirmed intent still waits for, the daemons that
-// have not acknowledged its revision included.
-func (r *reports) progress(daemons []*controlv1.DaemonStatus, current *leadership) []*controlv1.IntentProgress {
-	list := r.state.Progress()
-	for _, intent := range list {
-		intent.WaitingFor = append(intent.WaitingFor, behind(daemons, intent.GetRevision())...)
+// intentProgress returns what each confirmed intent still waits for, including the daemons that
+// have not applied its revision.
+func (r *statusCollector) intentProgress(daemons []*controlv1.DaemonStatus, current *leadership) []*controlv1.IntentProgress {
+	intents := r.state.Progress()
+	for _, intent := range intents {
+		intent.WaitingFor = append(intent.WaitingFor, daemonsBehind(daemons, intent.GetRevision())...)
 	}
 	if current == nil {
-		return list
+		return intents
 	}
-	for _, intent := range list {
+	for _, intent := range intents {
 		for i, line := range intent.GetWaitingFor() {
-			intent.WaitingFor[i] = current.explain(line)
+			intent.WaitingFor[i] = current.annotate(line)
 		}
 	}
-	return list
+	return intents
 }
 
-// behind names the live daemons that do not act on the revision yet.
-func behind(daemons []*controlv1.DaemonStatus, revision uint64) []string {
+// daemonsBehind describes the live daemons that have not yet applied the revision.
+func daemonsBehind(daemons []*controlv1.DaemonStatus, revision uint64) []string {
 	var waiting []string
 	for _, daemon := range daemons {
-		if daemon.GetHeardMs() <= liveDaemonMs && daemon.GetRevision() < revision {
+		if daemon.GetHeardMs() <= daemonTimeoutMs && daemon.GetRevision() < revision {
 			waiting = append(waiting, fmt.Sprintf("%s %s to act on revision %d (it is at %d)",
 				daemon.GetRole(), daemon.GetName(), revision, daemon.GetRevision()))
 		}
--- a/control/terms.go
+++ b/control/terms.go
@@ -13,36 +13,36 @@
 	"github.com/lilackeel/lilackeel/wait"
 )
 
-// driver does something as long as its leadership lasts. It returns when ctx ends.
+// driver does background work for the duration of a leadership. It returns when ctx ends.
 type driver func(ctx context.Context, l *leadership)
 
-// terms begins a leadership for each term that this replica leads.
-type terms struct {
+// termManager begins a leadership for each term that this replica leads.
+type termManager struct {
 	log     Log
 	state   *contract.State
 	lease   time.Duration
 	logger  *slog.Logger
 	drivers []driver
 
-	mu   sync.Mutex
-	held *leadership
+	mu     sync.Mutex
+	active *leadership
 }
 
-// current implements leaderTerms.
-func (t *terms) current() *leadership {
+// current implements leadershipSource.
+func (t *termManager) current() *leadership {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.held
+	return t.active
 }
 
-func (t *terms) set(l *leadership) {
+func (t *termManager) set(l *leadership) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.held = l
+	t.active = l
 }
 
 // run begins and ends leaderships until ctx ends.
-func (t *terms) run(ctx context.Context) {
+func (t *termManager) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := t.log.LeaderChanged()
 		_, _, term, self := t.log.Leader()
@@ -57,14 +57,14 @@
 	}
 }
 
-// lead does the leader's work until the leadership changes. It returns only
-// after all drivers have.
-func (t *terms) lead(ctx context.Context, term uint64, changed <-chan struct{}) {
+// lead does the leader's work until the leader or the term changes. It returns only after all
+// drivers have returned.
+func (t *termManager) lead(ctx context.Context, term uint64, changed <-chan struct{}) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	l, err := beginLeadership(ctx, t.log, t.state, term, t.lease, t.logger.With("term", term))
 	if err != nil {
-		t.logger.Info("opening the term failed", "term", term, "error", err)
+		t.logger.Info("beginning the leadership of a term failed", "term", term, "error", err)
 		wait.For(ctx, leaderRetry)
 		return
 	}
@@ -73,7 +73,7 @@
 	termsLed.Inc()
 	t.logger.Info("leading", "term", term, "fence", l.fence, "revision", t.state.Revision())
 	var group sync.WaitGroup
-	group.Go(func() { l.expire(ctx) })
+	group.Go(func() { l.expireLeases(ctx) })
 	for _, drive := range t.drivers {
 		group.Go(func() { drive(ctx, l) })
 	}
@@ -87,7 +87,7 @@
 	t.logger.Info("no longer leading", "term", term)
 }
 
-// isVoter reports whether the membership names the replica as a voter.
+// isVoter reports whether the replica is a voter in the membership.
 func isVoter(status server.Status, id uint64) bool {
 	return replica.FindMember(status.Membership, id).GetRole() == replicav1.Role_ROLE_VOTER
 }
--- a/control/wire_gen.go
+++ b/control/wire_gen.go
@@ -16,25 +16,25 @@
 // New assembles a control replica from its settings and opens its log.
 func New(settings *Settings, logger *slog.Logger) (*Daemon, error) {
 	ready := telemetry.NewReady()
-	controlMachine := newMachine()
+	controlStateMachine := newStateMachine()
 	v, err := newDialOptions(settings)
 	if err != nil {
 		return nil, err
 	}
-	server, err := newLog(settings, controlMachine, v, logger)
+	server, err := newLog(settings, controlStateMachine, v, logger)
 	if err != nil {
 		return nil, err
 	}
-	controlSource := newSource(controlMachine)
-	feedServer := newFeed(controlSource)
-	state := newState(controlMachine)
+	controlFeedSource := newFeedSource(controlStateMachine)
+	feedServer := newFeed(controlFeedSource)
+	state := newState(controlStateMachine)
 	pool := newPool(v)
-	controlReports := newReports(settings, server, state, feedServer, pool)
-	v2 := newDrivers(settings, server, state, pool, controlReports, logger)
-	controlTerms := newTerms(settings, server, state, v2, logger)
-	controlService := newService(server, state, controlTerms, pool, controlReports, controlSource)
-	controlCalls := newCalls()
-	grpcServer, err := newServer(settings, server, controlService, feedServer, controlCalls)
+	controlStatusCollector := newStatusCollector(settings, server, state, feedServer, pool)
+	v2 := newDrivers(settings, server, state, pool, controlStatusCollector, logger)
+	controlTermManager := newTermManager(settings, server, state, v2, logger)
+	controlService := newService(server, state, controlTermManager, pool, controlStatusCollector, controlFeedSource)
+	controlCallTracker := newCallTracker()
+	grpcServer, err := newServer(settings, server, controlService, feedServer, controlCallTracker)
 	if err != nil {
 		return nil, err
 	}
@@ -43,12 +43,12 @@
 		logger:   logger,
 		ready:    ready,
 		log:      server,
-		source:   controlSource,
+		source:   controlFeedSource,
 		feed:     feedServer,
 		service:  controlService,
-		terms:    controlTerms,
+		terms:    controlTermManager,
 		server:   grpcServer,
-		calls:    controlCalls,
+		calls:    controlCallTracker,
 		pool:     pool,
 	}
 	return daemon, nil
