--- a/entry/ratelimits.go
+++ b/entry/ratelimits.go
@@ -33,7 +33,7 @@
 
 	mu sync.Mutex
 	// turns schedules the retries of refused requests, by pool.
-	turns map[string]ratelimit.Turns
+	turns map[string]ratelimit.RetrySchedule
 }
 
 // HoldTimes provides the mean time that requests hold a slot. AdmissionController implements it.
@@ -45,7 +45,7 @@
 // NewRateLimits returns an empty RateLimits.
 func NewRateLimits(cfg Config, endpoints *endpoint.Table, admission *AdmissionController, logger *slog.Logger) *RateLimits {
 	l := &RateLimits{
-		peers: max(cfg.Peers, 1), maxWait: cmp.Or(cfg.MaxRetryAfter, defaultMaxRateLimitWait), turns: map[string]ratelimit.Turns{},
+		peers: max(cfg.Peers, 1), maxWait: cmp.Or(cfg.MaxRetryAfter, defaultMaxRateLimitWait), turns: map[string]ratelimit.RetrySchedule{},
 		table: ratelimit.NewTable(), endpoints: endpoints, holdTimes: admission, logger: logger,
 		limitedAttempts: attemptCounts{
 			first:   metrics.GetOrCreateCounter(`lilackeel_entry_rate_limited_attempts_total{attempt="first"}`),
@@ -57,17 +57,17 @@
 		},
 		pushbacks: metrics.GetOrCreateCounter(`lilackeel_entry_pushbacks_total`),
 	}
-	metrics.GetOrCreateGauge(`lilackeel_entry_rate_limited_endpoints`, func() float64 { return float64(l.table.Limited()) })
+	metrics.GetOrCreateGauge(`lilackeel_entry_rate_limited_endpoints`, func() float64 { return float64(l.table.LimitedCount()) })
 	return l
 }
 
 // recordLimit stores the limit that an endpoint advertises and reports whether it has changed.
 func (l *RateLimits) recordLimit(id string, limit ratelimit.Limit) bool {
-	change, changed := l.table.Note(id, limit)
+	change, changed := l.table.Update(id, limit)
 	if changed {
 		l.logger.Info("rate limit of an endpoint changed", slog.String("endpoint", id),
 			slog.String("limit", change.To.String()), slog.String("former", change.From.String()),
-			slog.Int("sent", change.Sent), slog.Int("sent_again", change.Again))
+			slog.Int("sent", change.Sent), slog.Int("sent_again", change.Retries))
 	}
 	return changed
 }
@@ -83,7 +83,7 @@
 
 // mergeLimit merges the limit of a known endpoint, which is named by its id or by its current
 // incarnation. Limits of earlier incarnations are dropped.
-func (l *RateLimits) mergeLimit(n ratelimit.Named) {
+func (l *RateLimits) mergeLimit(n ratelimit.EndpointLimit) {
 	view := l.endpoints.Snapshot()
 	if _, known := view.Get(n.Endpoint); known {
 		l.recordLimit(n.Endpoint, n.Limit)
@@ -98,7 +98,7 @@
 // recordAttempt records that a request is sent to an endpoint; retry is true for any attempt
 // after the first.
 func (l *RateLimits) recordAttempt(id string, retry bool) {
-	limited, paused := l.table.Sent(time.Since(processStart), id, retry)
+	limited, paused := l.table.RecordSent(time.Since(processStart), id, retry)
 	if limited {
 		l.limitedAttempts.count(retry)
 	}
@@ -110,24 +110,24 @@
 // handleFeedback evaluates a response: whether the endpoint has rejected the request, requested a
 // pause or announced that it is shutting down.
 func (l *RateLimits) handleFeedback(id string, f ratelimit.Feedback) {
-	if f.Leaving && l.table.Leaving(id) {
+	if f.Leaving && l.table.MarkLeaving(id) {
 		l.logger.Info("an endpoint announced its shutdown", slog.String("endpoint", id))
 	}
 	switch {
 	case f.Pause > 0:
 		l.recordPushback(id, f.Pause)
 	case !f.Rejected:
-		l.table.Taken(id, f.Sent)
+		l.table.RecordAccepted(id, f.Sent)
 	}
 }
 
 // recordPushback records that an endpoint has requested a pause.
 func (l *RateLimits) recordPushback(id string, pause time.Duration) {
 	l.pushbacks.Inc()
-	previous, started := l.table.PushedBack(time.Since(processStart), id, pause)
+	previous, started := l.table.RecordPushback(time.Since(processStart), id, pause)
 	if started {
 		l.logger.Info("an endpoint asked for a pause", slog.String("endpoint", id), slog.Duration("pause", pause),
-			slog.Bool("former", previous.Former), slog.Int("sent_in_former", previous.Sent), slog.Int("sent_again_in_former", previous.Again))
+			slog.Bool("former", previous.Exists), slog.Int("sent_in_former", previous.Sent), slog.Int("sent_again_in_former", previous.Retries))
 	}
 }
 
@@ -145,23 +145,23 @@
 // blockFor blocks an endpoint for the given time, after an agent has refused a request to it
 // because of a rate limit.
 func (l *RateLimits) blockFor(id string, wait time.Duration) {
-	l.table.Shut(id, time.Since(processStart)+wait)
+	l.table.BlockUntil(id, time.Since(processStart)+wait)
 }
 
 // InPause implements routed.RateLimits.
 func (l *RateLimits) InPause(id string) bool { return l.table.InPause(time.Since(processStart), id) }
 
 // Reserves implements routed.RateLimits.
-func (l *RateLimits) Reserves() map[string]ratelimit.Reserve {
-	return l.table.Reserves(time.Since(processStart))
+func (l *RateLimits) Reserves() map[string]ratelimit.Restriction {
+	return l.table.Restrictions(time.Since(processStart))
 }
 
 // Closed returns the endpoints to which no request may be sent at the moment. It implements
 // routed.RateLimits.
-func (l *RateLimits) Closed() []string { return l.table.Closed(time.Since(processStart)) }
+func (l *RateLimits) Closed() []string { return l.table.Blocked(time.Since(processStart)) }
 
 // Limited returns the endpoints that advertise a limit. It implements routed.RateLimits.
-func (l *RateLimits) Limited() []string { return l.table.All() }
+func (l *RateLimits) Limited() []string { return l.table.LimitedEndpoints() }
 
 // Refusal returns the fault for a request that no endpoint of a pool can take now, if some
 // endpoints will take requests again later; nil otherwise.
@@ -191,13 +191,13 @@
 // from then on.
 func (l *RateLimits) earliestReopening(now time.Duration, pool string) (earliest time.Duration, rate float64) {
 	view := l.endpoints.Snapshot()
-	for _, id := range l.table.Closed(now) {
+	for _, id := range l.table.Blocked(now) {
 		e, known := view.Get(id)
 		if !known || e.Pool != pool || e.State != endpoint.Serving {
 			continue
 		}
 		rate += l.acceptedRate(e)
-		if reopensAt := l.table.Opens(now, id); reopensAt > 0 && (earliest == 0 || reopensAt < earliest) {
+		if reopensAt := l.table.BlockedUntil(now, id); reopensAt > 0 && (earliest == 0 || reopensAt < earliest) {
 			earliest = reopensAt
 		}
 	}
@@ -237,10 +237,10 @@
 func (l *RateLimits) directLimits() []*agentv1.RateLimit {
 	now, view := time.Since(processStart), l.endpoints.Snapshot()
 	var limits []*agentv1.RateLimit
-	for _, id := range l.table.All() {
+	for _, id := range l.table.LimitedEndpoints() {
 		limit, limited := l.table.Limit(id)
 		if e, ok := view.Get(id); ok && limited && e.Addr != "" {
-			limits = append(limits, ratelimit.ToProto(now, ratelimit.Named{Endpoint: e.RunID(), Limit: limit}))
+			limits = append(limits, ratelimit.ToProto(now, ratelimit.EndpointLimit{Endpoint: e.RunID(), Limit: limit}))
 		}
 	}
 	return limits
@@ -252,5 +252,5 @@
 	if !limited {
 		return nil
 	}
-	return ratelimit.ToProto(time.Since(processStart), ratelimit.Named{Endpoint: id, Limit: limit})
+	return ratelimit.ToProto(time.Since(processStart), ratelimit.EndpointLimit{Endpoint: id, Limit: limit})
 }
