--- a/control/expertmap/balancing_test.go
+++ b/control/expertmap/balancing_test.go
@@ -27,19 +27,19 @@
   storeBytesPerSecond: 1e9
 `
 
-// balancedGroup is the group of the file.
+// balancedGroup is the group in groupsFile.
 const balancedGroup = "lilackeel-pool"
 
-// Counted loads that stay uneven lead to a map that evens the ranks out, and
-// without a policy nothing is proposed.
-func TestBalancingProposesAMoreEvenMap(t *testing.T) {
+// A persistent imbalance of the counted loads leads to a more even map. Without a policy
+// nothing is proposed.
+func TestBalancingProposesMoreEvenMap(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "groups.yaml")
 	is.NoErr(os.WriteFile(path, []byte(groupsFile), 0o600))
 	groups, err := ReadGroups(path)
 	is.NoErr(err)
 	var policy *fleetv1.BalancePolicy
-	b := &Balancing{Configs: groups.Configs, Logger: slog.New(slog.DiscardHandler),
+	b := &BalancingProposer{Configs: groups.Configs, Logger: slog.New(slog.DiscardHandler),
 		Policy: func(string) *fleetv1.BalancePolicy { return policy }}
 	shape := groups.Shapes[balancedGroup]
 	current := group.RoundRobin(shape)
@@ -70,5 +70,5 @@
 	is.True(after < before)
 	is.NoErr(os.WriteFile(path, []byte(groupsFile+"  colour: red\n"), 0o600))
 	_, err = ReadGroups(path)
-	is.True(err != nil) // unknown fields are refused
+	is.True(err != nil) // unknown fields are rejected
 }
--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// BenchmarkAsk is what one question for a permit costs a host, and BenchmarkClosed what an entry
-// pays for each choice of an endpoint while so many endpoints name limits.
-func BenchmarkAsk(b *testing.B) {
+// BenchmarkAcquire measures the cost of one permit request at a host.
+func BenchmarkAcquire(b *testing.B) {
 	a := NewArbiter()
 	now := time.Duration(0)
 	for b.Loop() {
 		now += time.Millisecond
-		a.Ask(now, Named{"e/1", Limit{Rate: 1, At: 1}}, 0)
+		a.Acquire(now, EndpointLimit{"e/1", Limit{Rate: 1, ReceivedAt: 1}}, 0)
 	}
 }
 
-func BenchmarkClosed(b *testing.B) {
+// BenchmarkBlocked measures the cost of listing the blocked endpoints, which an entry does for each
+// choice of an endpoint, with different numbers of limited endpoints.
+func BenchmarkBlocked(b *testing.B) {
 	for _, limited := range []int{0, 10, 250} {
 		b.Run(strconv.Itoa(limited), func(b *testing.B) {
 			table := NewTable()
 			for i := range limited {
 				id := "e" + strconv.Itoa(i)
-				table.Note(id, Limit{Rate: 1, At: 1})
-				table.End(id, time.Hour)
+				table.Update(id, Limit{Rate: 1, ReceivedAt: 1})
+				table.FinishPermit(id, time.Hour)
 			}
 			for b.Loop() {
-				table.Closed(time.Second)
+				table.Blocked(time.Second)
 			}
 		})
 	}
--- a/routed/attempt.go
+++ b/routed/attempt.go
@@ -57,7 +57,7 @@
 // interrupted returns the result of an attempt that may have run and returned no complete
 // response.
 func (a *attempt) interrupted(f *fault.Error) attemptResult {
-	result := failed(call.Ran, f)
+	result := failed(call.MayHaveRun, f)
 	result.rerouted = a.rerouted.Load()
 	return result
 }
@@ -71,16 +71,16 @@
 		return
 	}
 	s.metrics.processEnded.Inc()
-	change := s.Quarantine.Ended(s.clock(), a.request.fingerprint, a.target.RunID())
+	change := s.Quarantine.RecordCrash(s.clock(), a.request.fingerprint, a.target.RunID())
 	s.Logger.LogAttrs(a.callerCtx, slog.LevelInfo, "an endpoint ended under a request",
 		slog.String("request_id", a.request.id), slog.Any("fingerprint", a.request.fingerprint), slog.String("endpoint", a.target.ID),
-		slog.Duration("ran", s.clock()-a.started), slog.Int("ends", change.Ends), slog.Duration("hold", change.Hold))
+		slog.Duration("ran", s.clock()-a.started), slog.Int("ends", change.Crashes), slog.Duration("hold", change.Hold))
 }
 
 // recordCompletion records that the endpoint ran the request to completion.
 func (a *attempt) recordCompletion() {
 	s := a.server
-	if cleared := s.Quarantine.Completed(s.clock(), a.started, a.request.fingerprint, a.target.RunID()); cleared > 0 {
+	if cleared := s.Quarantine.RecordCompletion(s.clock(), a.started, a.request.fingerprint, a.target.RunID()); cleared > 0 {
 		s.Logger.LogAttrs(a.callerCtx, slog.LevelInfo, "cleared a request",
 			slog.String("request_id", a.request.id), slog.Any("fingerprint", a.request.fingerprint), slog.Int("ends", cleared))
 	}
--- a/routed/capacity.go
+++ b/routed/capacity.go
@@ -128,7 +128,7 @@
 // UpdateCapacity recomputes the capacity of all pools; entries is the number of entries that
 // share them. It must be called every CapacityUpdateInterval.
 func (s *Server) UpdateCapacity(setter CapacitySetter, entries int) {
-	s.Budget.Share(entries)
+	s.Budget.ShareAmong(entries)
 	s.Suspects.SetEntries(entries)
 	s.setCapacity(s.table.Load(), setter, entries)
 }
@@ -306,7 +306,7 @@
 		name := poolGroup{e.Pool, groupOf(s.Groups, e)}
 		load := loads[name]
 		load.ownCalls += s.Loads.InFlight(e.ID)
-		load.addEndpoint(max(e.Slots, 1), s.Loads.Estimate(now, e.ID).Running, paused, reserve.Opens)
+		load.addEndpoint(max(e.Slots, 1), s.Loads.Estimate(now, e.ID).Running, paused, reserve.BlockedUntil)
 		loads[name] = load
 	}
 	return loads
--- a/routed/deliver.go
+++ b/routed/deliver.go
@@ -39,12 +39,12 @@
 	}
 	if impliesNotRun(r.Status) {
 		a.recordResult(true)
-		return failed(call.Ran, fault.Newf(fault.Unknown, "retry the request", "the endpoint responded with status %d without proof that it did not run the request", r.Status))
+		return failed(call.MayHaveRun, fault.Newf(fault.Unknown, "retry the request", "the endpoint responded with status %d without proof that it did not run the request", r.Status))
 	}
 	success := r.Status >= http.StatusOK && r.Status < http.StatusMultipleChoices
 	if success && names.Signature != "" && r.Header.Get(names.Signature) == "" {
 		a.recordResult(true)
-		return failed(call.Ran, fault.New(fault.Unknown, "the endpoint's response lacks the signature header", "retry the request"))
+		return failed(call.MayHaveRun, fault.New(fault.Unknown, "the endpoint's response lacks the signature header", "retry the request"))
 	}
 	if !success {
 		return a.handleErrorResponse(r)
@@ -54,7 +54,7 @@
 	}
 	if a.headWritten {
 		a.recordResult(true)
-		return failed(call.Ran, fault.New(fault.Unknown, "the endpoint resumed an event stream with another type of response", "retry the request"))
+		return failed(call.MayHaveRun, fault.New(fault.Unknown, "the endpoint resumed an event stream with another type of response", "retry the request"))
 	}
 	return a.deliverBuffered(r)
 }
@@ -75,9 +75,9 @@
 	f := fault.Newf(fault.Unknown, "retry the request", "the endpoint responded with status %d", r.Status)
 	if a.headWritten {
 		a.recordResult(true)
-		return failed(call.Ran, f)
+		return failed(call.MayHaveRun, f)
 	}
-	decision, retry := a.machine.ReplaceAnswer(a.server.clock(), r.Status)
+	decision, retry := a.machine.RetryOnStatus(a.server.clock(), r.Status)
 	if !retry {
 		return a.deliverBuffered(r)
 	}
@@ -127,7 +127,7 @@
 	if err != nil {
 		a.recordResult(a.callerCtx.Err() == nil)
 		a.checkProcessEnded()
-		return failed(call.Ran, errIncompleteResponse(err))
+		return failed(call.MayHaveRun, errIncompleteResponse(err))
 	}
 	a.chunks = 1
 	if len(buffered) > s.config.MaxBufferedBytes {
--- a/routed/exchange.go
+++ b/routed/exchange.go
@@ -64,13 +64,13 @@
 		Backoff: s.config.Backoff, RetryAfter: s.config.RetryAfter, Budget: s.Budget, Rand: sharedRand,
 	})
 	if refusal := s.Quarantine.Refusal(s.clock(), q.fingerprint); refusal != nil {
-		return x.finishWithVerdict(x.machine.GiveUp(s.clock(), refusal))
+		return x.finishWithVerdict(x.machine.FailureVerdict(s.clock(), refusal))
 	}
 	admitCtx, cancel := context.WithTimeout(x.callerCtx, max(q.deadline-s.clock(), 0))
 	release, err := x.admit(admitCtx)
 	cancel()
 	if err != nil {
-		return x.finishWithVerdict(x.machine.GiveUp(s.clock(), fault.From(err)))
+		return x.finishWithVerdict(x.machine.FailureVerdict(s.clock(), fault.From(err)))
 	}
 	defer release()
 	x.admissionTime = s.clock() - q.arrived
@@ -84,16 +84,16 @@
 		}
 		decision := result.decision
 		switch {
-		case decision.Again:
+		case decision.Retry:
 		case result.rerouted:
-			decision = x.machine.Moved(s.clock(), result.fault)
+			decision = x.machine.AttemptRerouted(s.clock(), result.fault)
 		default:
-			decision = x.machine.Ended(s.clock(), result.progress, result.fault)
+			decision = x.machine.AttemptFailed(s.clock(), result.progress, result.fault)
 		}
 		if x.callerCtx.Err() != nil {
 			return x.finishDelivered(attemptResult{done: true, abort: true, outcome: "caller left"})
 		}
-		if !decision.Again {
+		if !decision.Retry {
 			return x.finishWithVerdict(decision.Verdict)
 		}
 		x.logRetry(result.fault, decision.Delay)
@@ -108,12 +108,12 @@
 func (x *exchange) admit(ctx context.Context) (release func(), err error) {
 	s, q := x.server, x.request
 	r := workspace.Request{
-		Workspace: q.workspace.GetName(), Priority: -q.priority, Deadline: q.deadline, Cost: q.work.PromptTokens + q.work.MaxTokens,
+		Workspace: q.workspace.GetName(), Priority: -q.priority, Deadline: q.deadline, ExpectedTokens: q.work.PromptTokens + q.work.MaxTokens,
 	}
 	if refusal := x.pausedRefusal(); refusal != nil {
 		return nil, refusal
 	}
-	r.Patience = s.firstChunkTimes.maxQueueWait(q)
+	r.MaxWait = s.firstChunkTimes.maxQueueWait(q)
 	if q.onTime() {
 		release, err = s.Admitter.AdmitTo(ctx, q.pool, r)
 		if err == nil || !fault.Is(err, fault.Overloaded) {
@@ -149,15 +149,15 @@
 	outcome     string
 	// progress and fault describe an attempt without a complete response; decision is set if
 	// the retry state machine has already been informed.
-	progress call.Progress
+	progress call.AttemptOutcome
 	fault    *fault.Error
-	decision call.Step
+	decision call.RetryDecision
 	// rerouted is set if the attempt was cancelled to retry at another endpoint; the retry has
 	// been withdrawn from the budget.
 	rerouted bool
 }
 
-func failed(p call.Progress, f *fault.Error) attemptResult {
+func failed(p call.AttemptOutcome, f *fault.Error) attemptResult {
 	return attemptResult{progress: p, fault: f}
 }
 
@@ -166,7 +166,7 @@
 	s, q := x.server, x.request
 	// The request may have crashed an endpoint since it was admitted, here or elsewhere.
 	if refusal := s.Quarantine.Refusal(s.clock(), q.fingerprint); refusal != nil {
-		return x.verdictResult(x.machine.GiveUp(s.clock(), refusal))
+		return x.verdictResult(x.machine.FailureVerdict(s.clock(), refusal))
 	}
 	target, err := x.pick()
 	if err != nil {
@@ -182,8 +182,8 @@
 	a := &attempt{exchange: x, started: s.clock(), group: groupOf(s.Groups, &target), load: s.Loads.Sent(s.clock(), target.ID, q.work)}
 	s.Groups.Sent(a.started, a.group)
 	defer s.Groups.Done(a.group)
-	s.Quarantine.Sent(a.started, q.fingerprint)
-	defer func() { s.Quarantine.Left(s.clock(), q.fingerprint) }()
+	s.Quarantine.AttemptStarted(a.started, q.fingerprint)
+	defer func() { s.Quarantine.AttemptEnded(s.clock(), q.fingerprint) }()
 	defer a.watch(cancel)()
 	response, err := s.Client.Send(ctx, target.Addr, x.buildRequest(&target))
 	if errors.Is(err, errPausedBeforeSend) {
@@ -213,7 +213,7 @@
 		// The pool is part of the site, so its endpoints have not been announced yet.
 		f = fault.New(fault.Unavailable, "no endpoint of the pool is known", "retry after the stated delay")
 	}
-	return x.verdictResult(x.machine.GiveUp(now, f))
+	return x.verdictResult(x.machine.FailureVerdict(now, f))
 }
 
 // buildRequest returns the request for the endpoint.
--- a/routed/harness_test.go
+++ b/routed/harness_test.go
@@ -57,7 +57,7 @@
 func (unlimited) Limited() []string                                    { return nil }
 func (unlimited) Blocked() []string                                    { return nil }
 func (unlimited) InPause(string) bool                                  { return false }
-func (unlimited) Restrictions() map[string]ratelimit.Reserve           { return nil }
+func (unlimited) Restrictions() map[string]ratelimit.Restriction       { return nil }
 func (unlimited) Refusal(string) *fault.Error                          { return nil }
 
 // testEntry is an entry with scripted endpoints.
--- a/routed/request.go
+++ b/routed/request.go
@@ -168,7 +168,7 @@
 	if size <= limit {
 		return nil
 	}
-	return call.RefuseWith(http.StatusRequestHeaderFieldsTooLarge, fault.Newf(fault.Invalid, "send fewer or shorter headers",
+	return call.RefuseWithStatus(http.StatusRequestHeaderFieldsTooLarge, fault.Newf(fault.Invalid, "send fewer or shorter headers",
 		"the headers have %d bytes, the limit is %d", size, limit))
 }
 
@@ -229,11 +229,11 @@
 	case errors.As(err, &tooLarge):
 		return errBodyTooLarge(limit)
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return call.RefuseWith(http.StatusRequestTimeout, fault.New(fault.Invalid, "timed out reading the request body", "retry the request").WithCause(err))
+		return call.RefuseWithStatus(http.StatusRequestTimeout, fault.New(fault.Invalid, "timed out reading the request body", "retry the request").WithCause(err))
 	}
-	return call.RefuseWith(http.StatusBadRequest, fault.New(fault.Invalid, "the request body is incomplete", "retry the request").WithCause(err))
+	return call.RefuseWithStatus(http.StatusBadRequest, fault.New(fault.Invalid, "the request body is incomplete", "retry the request").WithCause(err))
 }
 
 func errBodyTooLarge(limit int64) *call.Verdict {
-	return call.RefuseWith(http.StatusRequestEntityTooLarge, fault.Newf(fault.Invalid, "send a smaller body", "the body exceeds the limit of %d bytes", limit))
+	return call.RefuseWithStatus(http.StatusRequestEntityTooLarge, fault.Newf(fault.Invalid, "send a smaller body", "the body exceeds the limit of %d bytes", limit))
 }
--- a/routed/server.go
+++ b/routed/server.go
@@ -57,7 +57,7 @@
 	InPause(id string) bool
 	// Restrictions returns the endpoints that are leaving or have asked for a pause, with
 	// times of the server's clock.
-	Restrictions() map[string]ratelimit.Reserve
+	Restrictions() map[string]ratelimit.Restriction
 	// Refusal returns the fault of a request for which a pool has no endpoint left, if some
 	// accept requests again later; nil otherwise.
 	Refusal(pool string) *fault.Error
--- a/workspace/gate_test.go
+++ b/workspace/gate_test.go
@@ -15,7 +15,7 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// newGate returns a gate on the clock of a synctest bubble.
+// newGate returns a gate that uses the clock of a synctest bubble.
 func newGate(config Config, slots int) *Gate {
 	start := time.Now()
 	gate := NewGate(NewAdmission(config), func() time.Duration { return time.Since(start) })
@@ -23,7 +23,7 @@
 	return gate
 }
 
-func TestGateNeverLetsMoreThanItsSlotsRunAndAnswersEveryCaller(t *testing.T) {
+func TestGateBoundsConcurrencyAndAnswersEveryCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		gate := newGate(Config{MaxWait: 2 * time.Second}, 10)
@@ -33,7 +33,7 @@
 			callers.Go(func() {
 				ctx, cancel := context.WithTimeout(t.Context(), time.Duration(i%7+1)*300*time.Millisecond)
 				defer cancel()
-				if i%5 == 0 { // some callers leave
+				if i%5 == 0 { // some callers cancel
 					time.AfterFunc(100*time.Millisecond, cancel)
 				}
 				release, err := gate.Acquire(ctx, Request{Workspace: fmt.Sprint("w", i%3)})
@@ -45,8 +45,8 @@
 				time.Sleep(90 * time.Millisecond)
 				running.Add(-1)
 				served.Add(1)
-				release(Result{})
-				release(Result{}) // frees nothing twice
+				release(Usage{})
+				release(Usage{}) // a second release has no effect
 			})
 		}
 		callers.Wait()
@@ -56,11 +56,11 @@
 		load := gate.Load()
 		is.Equal(load.InFlight+load.Queued+len(gate.waiting), 0)
 		time.Sleep(time.Minute)
-		is.Equal(gate.Load().Active, 0)
+		is.Equal(gate.Load().ActiveWorkspaces, 0)
 	})
 }
 
-func TestACallerThatLeavesTheQueueHasNotRunAndHoldsNothing(t *testing.T) {
+func TestCancelledCallerLeavesQueueWithoutSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		gate := newGate(Config{}, 1)
@@ -78,15 +78,15 @@
 		err = <-left
 		is.Equal(fault.KindOf(err), fault.Unavailable)
 		is.True(errors.Is(err, context.Canceled))
-		release(Result{})
-		first, err := gate.Acquire(t.Context(), Request{ID: "again", Workspace: "w"}) // the slot is free for the next one
+		release(Usage{})
+		first, err := gate.Acquire(t.Context(), Request{ID: "again", Workspace: "w"}) // the slot is free for the next request
 		is.NoErr(err)
-		first(Result{})
+		first(Usage{})
 		release, err = gate.Acquire(t.Context(), Request{ID: "again", Workspace: "w"})
 		is.NoErr(err)
-		first(Result{}) // a second release does not end the later request of the same id
+		first(Usage{}) // a second release does not end the later request with the same id
 		is.Equal(gate.Load().InFlight, 1)
-		release(Result{})
-		time.Sleep(time.Minute) // the timer of the gate ends
+		release(Usage{})
+		time.Sleep(time.Minute) // let the timer of the gate fire
 	})
 }
