--- a/entry/admission.go
+++ b/entry/admission.go
@@ -61,7 +61,7 @@
 // not get a slot within maxWait, it is refused immediately.
 func (a *AdmissionController) AdmitLate(ctx context.Context, pool string, r workspace.Request, maxWait time.Duration) (func(), error) {
 	refusal := fault.New(fault.Overloaded, "not run: no capacity was left for a request that is already late",
-		"retry after the given time").After(a.policy.MaxRetryAfter)
+		"retry after the given time").RetryIn(a.policy.MaxRetryAfter)
 	gate := a.gate(pool)
 	if !a.lateQueues.enqueue(pool, time.Since(processStart), maxWait, occupancyOf(gate)) {
 		return nil, refusal
@@ -87,9 +87,9 @@
 }
 
 // SetPlaces implements routed.Places.
-func (a *AdmissionController) SetPlaces(pool string, r routed.Room) {
+func (a *AdmissionController) SetPoolCapacity(pool string, r routed.PoolCapacity) {
 	lateHeld := a.lateQueues.setCapacity(pool, time.Since(processStart), r)
-	a.gate(pool).SetCapacity(r.InTime + max(r.Stuck-lateHeld, 0))
+	a.gate(pool).SetCapacity(r.OnTime + max(r.OtherInFlight-lateHeld, 0))
 }
 
 // MeanHoldTime implements HoldTimes.
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -55,7 +55,7 @@
 		cancel: cancel, span: span, sentAt: x.now(),
 		load: s.Loads.Sent(x.now(), target.Endpoint, x.request.work),
 	}
-	s.Quarantine.Sent(x.attempt.sentAt, x.request.fingerprint)
+	s.Quarantine.AttemptStarted(x.attempt.sentAt, x.request.fingerprint)
 	if len(x.request.pick.Prompt) > 0 && a.Offset == 0 {
 		s.Index.Sent(x.now(), target.Endpoint, x.request.pick.Prompt)
 	}
@@ -182,16 +182,16 @@
 		return
 	}
 	x.server.metrics.processExits.Inc()
-	change := x.server.Quarantine.Ended(x.now(), x.request.fingerprint, run)
+	change := x.server.Quarantine.RecordCrash(x.now(), x.request.fingerprint, run)
 	x.server.Logger.LogAttrs(x.callerCtx, slog.LevelInfo, "an endpoint ended under a request",
 		slog.String("request_id", x.request.id), slog.Any("fingerprint", x.request.fingerprint), slog.String("endpoint", run),
-		slog.Duration("ran", x.now()-x.attempt.sentAt), slog.Int("ends", change.Ends), slog.Duration("hold", change.Hold))
+		slog.Duration("ran", x.now()-x.attempt.sentAt), slog.Int("ends", change.Crashes), slog.Duration("hold", change.Hold))
 }
 
 // recordCompletion records that an endpoint has run the request to completion. It names no
 // incarnation, since agents name one only after it has exited.
 func (x *exchange) recordCompletion() {
-	if cleared := x.server.Quarantine.Completed(x.now(), x.startedAt, x.request.fingerprint, ""); cleared > 0 {
+	if cleared := x.server.Quarantine.RecordCompletion(x.now(), x.startedAt, x.request.fingerprint, ""); cleared > 0 {
 		x.server.Logger.LogAttrs(x.callerCtx, slog.LevelInfo, "cleared a request",
 			slog.String("request_id", x.request.id), slog.Any("fingerprint", x.request.fingerprint), slog.Int("ends", cleared))
 	}
@@ -209,7 +209,7 @@
 	a.cancel()
 	a.span.End()
 	s, now := x.server, x.now()
-	s.Quarantine.Left(now, x.request.fingerprint)
+	s.Quarantine.AttemptEnded(now, x.request.fingerprint)
 	s.Loads.Done(now, &a.load, load.Result{Failed: a.failed, Tokens: a.chunks})
 	if a.chunks == 0 && !a.failed {
 		return
--- a/entry/body.go
+++ b/entry/body.go
@@ -32,7 +32,7 @@
 		return nil, s.errBodyTooLarge()
 	}
 	return nil, call.Refuse(fault.New(fault.Invalid, "the request body was incomplete, so nothing was run",
-		"send the whole body, with its Content-Length or in chunks, within the body timeout").Because(err))
+		"send the whole body, with its Content-Length or in chunks, within the body timeout").WithCause(err))
 }
 
 func (s *Server) errBodyTooLarge() *call.Verdict {
--- a/entry/client.go
+++ b/entry/client.go
@@ -107,7 +107,7 @@
 	if unavailable != nil {
 		return unavailable
 	}
-	return fault.New(fault.NoQuorum, "no control replica gave a decision", "retry later").Because(err)
+	return fault.New(fault.NoQuorum, "no control replica gave a decision", "retry later").WithCause(err)
 }
 
 // isDecision reports whether a fault is the decision of a replica. Faults of the connection are
--- a/entry/late_test.go
+++ b/entry/late_test.go
@@ -40,13 +40,13 @@
 func TestLateRequestsWaitForReopeningPool(t *testing.T) {
 	is := is.New(t)
 	var l lateQueues
-	l.setCapacity("p", 0, routed.Room{Opening: 50})
+	l.setCapacity("p", 0, routed.PoolCapacity{AfterReopen: 50})
 	waiting := 0
 	for l.enqueue("p", 0, time.Second, saturatedPool) {
 		waiting++
 	}
 	is.Equal(waiting, 50)
-	l.setCapacity("p", time.Second, routed.Room{}) // the pool runs
+	l.setCapacity("p", time.Second, routed.PoolCapacity{}) // the pool runs
 	is.True(!l.enqueue("p", time.Second, time.Second, saturatedPool))
 	for range waiting {
 		l.dequeue("p", time.Second, true)
@@ -58,13 +58,13 @@
 	is := is.New(t)
 	var l lateQueues
 	is.True(!l.acquireLate("p", 0)) // no capacity is known
-	is.Equal(l.setCapacity("p", 0, routed.Room{Late: 2}), 0)
+	is.Equal(l.setCapacity("p", 0, routed.PoolCapacity{LateSlots: 2}), 0)
 	is.True(l.acquireLate("p", 0))
 	is.True(l.acquireLate("p", 0))
 	is.True(!l.acquireLate("p", 0))
-	is.Equal(l.setCapacity("p", 0, routed.Room{}), 2) // held slots remain held
+	is.Equal(l.setCapacity("p", 0, routed.PoolCapacity{}), 2) // held slots remain held
 	l.releaseLate("p", 0)
-	is.Equal(l.setCapacity("p", 0, routed.Room{}), 1)
+	is.Equal(l.setCapacity("p", 0, routed.PoolCapacity{}), 1)
 }
 
 // TestOnTimeRequestsDoNotWaitForLateOnes simulates an entry with 25 slots, to which 15 requests per
--- a/entry/permits.go
+++ b/entry/permits.go
@@ -54,7 +54,7 @@
 // Answered implements routed.RateLimits. A changed limit is forwarded to the host that grants the
 // permits; a value that is not a valid limit is ignored. Responses of an earlier incarnation of
 // the endpoint are ignored, since they do not apply to the current one.
-func (p *PermitClient) Answered(e *endpoint.Endpoint, f ratelimit.Feedback) {
+func (p *PermitClient) RecordAnswer(e *endpoint.Endpoint, f ratelimit.Feedback) {
 	if present, known := p.endpoints.Get(e.ID); !known || present.Incarnation != e.Incarnation {
 		return
 	}
@@ -63,14 +63,14 @@
 	if !ok {
 		return
 	}
-	limit := ratelimit.Limit{Rate: rate, Since: f.Sent, At: time.Since(processStart)}
+	limit := ratelimit.Limit{Rate: rate, SentAt: f.Sent, ReceivedAt: time.Since(processStart)}
 	if p.recordLimit(e.ID, limit) {
-		go p.publishLimit(ratelimit.Named{Endpoint: e.RunID(), Limit: limit})
+		go p.publishLimit(ratelimit.EndpointLimit{Endpoint: e.RunID(), Limit: limit})
 	}
 }
 
 // publishLimit forwards the limit that an endpoint advertises to the first host that answers.
-func (p *PermitClient) publishLimit(n ratelimit.Named) {
+func (p *PermitClient) publishLimit(n ratelimit.EndpointLimit) {
 	for _, addr := range p.permitHosts(n.Endpoint) {
 		if _, err := p.callHost(context.Background(), addr, &agentv1.PermitRequest{Limit: ratelimit.ToProto(time.Since(processStart), n)}); err == nil {
 			return
@@ -80,12 +80,12 @@
 
 // Admit implements routed.RateLimits.
 func (p *PermitClient) Admit(ctx context.Context, e *endpoint.Endpoint, retry bool) bool {
-	limit, admission := p.table.Begin(time.Since(processStart), e.ID)
-	granted := admission == ratelimit.Open
-	if admission == ratelimit.Ask {
+	limit, admission := p.table.Admit(time.Since(processStart), e.ID)
+	granted := admission == ratelimit.Allowed
+	if admission == ratelimit.PermitRequired {
 		var wait time.Duration
 		granted, wait = p.requestPermit(ctx, e, limit)
-		p.table.End(e.ID, time.Since(processStart)+wait)
+		p.table.FinishPermit(e.ID, time.Since(processStart)+wait)
 	}
 	if granted {
 		p.recordAttempt(e.ID, retry)
@@ -101,7 +101,7 @@
 // requestPermit requests the permit to send one request. If a host does not answer, the next one
 // is tried.
 func (p *PermitClient) requestPermit(ctx context.Context, e *endpoint.Endpoint, limit ratelimit.Limit) (granted bool, wait time.Duration) {
-	named := ratelimit.Named{Endpoint: e.RunID(), Limit: limit}
+	named := ratelimit.EndpointLimit{Endpoint: e.RunID(), Limit: limit}
 	hosts := p.permitHosts(named.Endpoint)
 	if len(hosts) == 0 {
 		return p.askLocally(named)
@@ -130,9 +130,9 @@
 }
 
 // askLocally requests a permit from the local arbiter, for an equal share of the limit.
-func (p *PermitClient) askLocally(n ratelimit.Named) (granted bool, wait time.Duration) {
+func (p *PermitClient) askLocally(n ratelimit.EndpointLimit) (granted bool, wait time.Duration) {
 	n.Limit.Rate /= float64(p.peers)
-	permit := p.localArbiter.Ask(time.Since(processStart), n, 0)
+	permit := p.localArbiter.Acquire(time.Since(processStart), n, 0)
 	return permit.Granted, permit.Wait
 }
 
@@ -153,8 +153,8 @@
 // permitHosts returns the hosts that grant permits for an incarnation of an endpoint. They are
 // chosen by rendezvous hashing, so that all entries with the same set of hosts get the same order.
 func (p *PermitClient) permitHosts(run string) []string {
-	var chosen [ratelimit.Choices]string
-	var weights [ratelimit.Choices]uint64
+	var chosen [ratelimit.MaxPermitHosts]string
+	var weights [ratelimit.MaxPermitHosts]uint64
 	seed := xxhash.Sum64String(run)
 	hosts := p.hosts()
 	for _, addr := range hosts {
--- a/entry/publish_test.go
+++ b/entry/publish_test.go
@@ -46,7 +46,7 @@
 }
 
 func (h *testHost) Reports(r *agentv1.ReportsRequest, stream grpc.ServerStreamingServer[agentv1.Report]) error {
-	reader := h.shared.Reader(r)
+	reader := h.shared.NewReader(r)
 	for stream.Context().Err() == nil {
 		report := &agentv1.Report{}
 		reader.Fill(report)
@@ -97,7 +97,7 @@
 
 func awaitQuarantine(t *testing.T, crashes *quarantine.Tracker, f call.Fingerprint, want bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); (crashes.Held(time.Since(processStart), f) > 0) != want; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); (crashes.HoldRemaining(time.Since(processStart), f) > 0) != want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("quarantined is still %v", !want)
 		}
@@ -115,7 +115,7 @@
 	entries := []*quarantine.Tracker{startSubscriber(t, first, second, stopped), startSubscriber(t, first, second, stopped), startSubscriber(t, first, second, stopped)}
 	crashing := call.FingerprintOf("crew", "POST", "/draft", []byte("crashes its engine"))
 	for i, crashes := range entries {
-		crashes.Ended(time.Since(processStart), crashing, "e"+string(rune('1'+i)))
+		crashes.RecordCrash(time.Since(processStart), crashing, "e"+string(rune('1'+i)))
 	}
 	for _, crashes := range entries {
 		awaitQuarantine(t, crashes, crashing, true)
@@ -127,7 +127,7 @@
 	_, _ = startTestHost(t, second)
 	awaitQuarantine(t, startSubscriber(t, second), crashing, true)
 	// One entry finds the request not to be the cause.
-	is.Equal(entries[0].Completed(time.Since(processStart), time.Since(processStart), crashing, "e7"), 3)
+	is.Equal(entries[0].RecordCompletion(time.Since(processStart), time.Since(processStart), crashing, "e7"), 3)
 	for _, crashes := range entries {
 		awaitQuarantine(t, crashes, crashing, false)
 	}
--- a/link/keystore.go
+++ b/link/keystore.go
@@ -86,7 +86,7 @@
 		info, err := os.Stat(path)
 		if err != nil {
 			return versions, fault.Newf(fault.Invalid, "check the path and the permissions",
-				"TLS file %s cannot be read", path).Because(err)
+				"TLS file %s cannot be read", path).WithCause(err)
 		}
 		versions[i] = fileVersion{modified: info.ModTime(), size: info.Size()}
 	}
@@ -97,11 +97,11 @@
 	certificate, err := tls.LoadX509KeyPair(s.cfg.Cert, s.cfg.Key)
 	if err != nil {
 		return keys{}, fault.New(fault.Invalid, "-tls-cert and -tls-key are not a usable key pair",
-			"set a PEM certificate chain and the matching PEM key").Because(err)
+			"set a PEM certificate chain and the matching PEM key").WithCause(err)
 	}
 	pem, err := os.ReadFile(s.cfg.CA)
 	if err != nil {
-		return keys{}, fault.New(fault.Invalid, "-tls-ca cannot be read", "check the path and the permissions").Because(err)
+		return keys{}, fault.New(fault.Invalid, "-tls-ca cannot be read", "check the path and the permissions").WithCause(err)
 	}
 	authorities := x509.NewCertPool()
 	if !authorities.AppendCertsFromPEM(pem) {
--- a/link/replicas/cursor.go
+++ b/link/replicas/cursor.go
@@ -64,7 +64,7 @@
 		return
 	}
 	c.current = (from + 1) % len(c.addrs)
-	leader, known := fault.Leader(err)
+	leader, known := fault.LeaderAddr(err)
 	if !known || leader == c.addrs[from] {
 		return
 	}
--- a/link/replicas/finder_test.go
+++ b/link/replicas/finder_test.go
@@ -49,7 +49,7 @@
 	leader := serve(t, &replica{})
 	var configured []string
 	for range 3 {
-		configured = append(configured, serve(t, &replica{err: fault.LedBy(4, leader)}))
+		configured = append(configured, serve(t, &replica{err: fault.NewNotLeader(4, leader)}))
 	}
 	options, err := link.DialOptions(link.Config{Insecure: true})
 	is.NoErr(err)
--- a/link/status.go
+++ b/link/status.go
@@ -115,7 +115,7 @@
 	if ctx.Err() != nil {
 		cause = fmt.Errorf("%w: %w", ctx.Err(), err)
 	}
-	return faultFromCode(got.Code(), sent).Because(cause)
+	return faultFromCode(got.Code(), sent).WithCause(cause)
 }
 
 // faultFromDetails returns the fault in the details of a status, or nil.
@@ -136,7 +136,7 @@
 	if restored == nil || retryAfter <= 0 {
 		return restored
 	}
-	return restored.After(retryAfter)
+	return restored.RetryIn(retryAfter)
 }
 
 // faultFromCode returns the fault for a status without the details of ToStatus.
--- a/wal/errors.go
+++ b/wal/errors.go
@@ -24,5 +24,5 @@
 func ioError(operation string, cause error) *fault.Error {
 	return fault.Newf(fault.Internal,
 		"free space on the disk or replace it, then restart the replica; no unsynced write was acknowledged",
-		"data folder: %s failed", operation).Because(cause)
+		"data folder: %s failed", operation).WithCause(cause)
 }
--- a/wal/fs.go
+++ b/wal/fs.go
@@ -64,7 +64,7 @@
 		file.Close()
 		return nil, fault.Newf(fault.Conflict,
 			"stop the other process or give this one its own data folder",
-			"the data folder %s is in use by another process", filepath.Dir(path)).Because(err)
+			"the data folder %s is in use by another process", filepath.Dir(path)).WithCause(err)
 	}
 	return file, nil
 }
--- a/workspace/refusal.go
+++ b/workspace/refusal.go
@@ -67,11 +67,11 @@
 		maxQueueTime := max(timeAllowed-a.requiredTime(e, false), 0)
 		return fault.Newf(fault.DeadlineTooShort, "retry after the given time, or use a longer deadline",
 			"not run: workspace %s would wait about %v, too long for the deadline",
-			name, roundToMilliseconds(wait)).After(a.retryAfter(now, e.workspace, wait-maxQueueTime))
+			name, roundToMilliseconds(wait)).RetryIn(a.retryAfter(now, e.workspace, wait-maxQueueTime))
 	}
 	return fault.Newf(fault.Overloaded, "retry after the given time",
 		"not run: workspace %s would wait about %v, longer than the limit of %v",
-		name, roundToMilliseconds(wait), a.maxWait(e)).After(a.retryAfter(now, e.workspace, wait-a.maxWait(e)))
+		name, roundToMilliseconds(wait), a.maxWait(e)).RetryIn(a.retryAfter(now, e.workspace, wait-a.maxWait(e)))
 }
 
 // roundToMilliseconds rounds a duration for a message.
@@ -80,7 +80,7 @@
 // overloadedFault returns the fault of a request for which no queue has room.
 func (a *Admission) overloadedFault(now time.Duration, s *workspaceState, reason string) *fault.Error {
 	return fault.Newf(fault.Overloaded, "retry after the given time",
-		"not run: workspace %s: %s", s.name, reason).After(a.retryAfter(now, s, 0))
+		"not run: workspace %s: %s", s.name, reason).RetryIn(a.retryAfter(now, s, 0))
 }
 
 // retryFraction is the fraction of the measured drain rate that is reserved for the
