--- a/agent/client.go
+++ b/agent/client.go
@@ -172,7 +172,7 @@
 		return invalidCallError(err)
 	}
 	return notSentError{refused: refused, cause: fault.Newf(fault.Unavailable, "choose another endpoint",
-		"endpoint %q does not accept connections", e.ID).Because(err)}
+		"endpoint %q does not accept connections", e.ID).WithCause(err)}
 }
 
 func newRequest(ctx context.Context, e Endpoint, d *agentv1.DispatchRequest, streamID string) (*http.Request, error) {
@@ -228,5 +228,5 @@
 
 func invalidCallError(err error) error {
 	return notSentError{cause: fault.New(fault.Invalid, "the call cannot be sent to an endpoint",
-		"correct its method, path or headers").Because(err)}
+		"correct its method, path or headers").WithCause(err)}
 }
--- a/agent/order.go
+++ b/agent/order.go
@@ -104,7 +104,7 @@
 func (o *orderer) post(ctx context.Context, e Endpoint, order engineapi.Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
-		return fault.New(fault.Internal, "the order cannot be encoded", "report this as a bug").Because(err)
+		return fault.New(fault.Internal, "the order cannot be encoded", "report this as a bug").WithCause(err)
 	}
 	status, err := o.client.exchange(ctx, http.MethodPost, e, engineapi.PathOrders, body, nil)
 	var notSent notSentError
@@ -113,7 +113,7 @@
 		return notSent.cause
 	case err != nil:
 		return fault.Newf(fault.Unknown, "read the endpoint back before repeating the order",
-			"endpoint %q may have carried out the order", e.ID).Because(err)
+			"endpoint %q may have carried out the order", e.ID).WithCause(err)
 	case status == http.StatusConflict:
 		return fault.Newf(fault.Fenced, "only the current control leader may send orders; read the control state again",
 			"endpoint %q has seen a fencing token higher than %d", e.ID, order.Fence)
@@ -130,7 +130,7 @@
 	_, status, err := o.client.readLoaded(ctx, e, o.loaded)
 	if err != nil || status != http.StatusOK {
 		return nil, fault.Newf(fault.Unknown, "read back the endpoint again",
-			"the state of endpoint %q cannot be read back (status %d)", e.ID, status).Because(err)
+			"the state of endpoint %q cannot be read back (status %d)", e.ID, status).WithCause(err)
 	}
 	observed := e.toProto(o.settings)
 	observed.Incarnation = o.lockedGate.incarnation()
--- a/entry/configure.go
+++ b/entry/configure.go
@@ -69,7 +69,7 @@
 		c.routed.Publish(table)
 		return
 	}
-	c.routed.PublishFirst(table, c.admission, max(c.reports.Readers(), 1))
+	c.routed.PublishInitial(table, c.admission, max(c.reports.Readers(), 1))
 }
 
 // restartedEndpoints returns the ids of directly called endpoints that have restarted. What was
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -63,12 +63,12 @@
 		headers = routed.DefaultHeaders
 	}
 	settings := routed.Config{
-		Name: cfg.Name, Zone: cfg.Zone, Headers: headers, RetryStyle: cfg.RetryStyle,
+		Name: cfg.Name, Zone: cfg.Zone, Headers: headers, RetryAfterFormat: cfg.RetryStyle,
 		MaxHeaderBytes: cfg.MaxHeaderBytes, MaxBodyBytes: cfg.MaxBodyBytes,
-		BodyTimeout: cfg.BodyTimeout, WriteTimeout: cfg.WriteTimeout, HoldBytes: policy.MaxBufferedBytes,
+		BodyTimeout: cfg.BodyTimeout, WriteTimeout: cfg.WriteTimeout, MaxBufferedBytes: policy.MaxBufferedBytes,
 		Backoff: policy.Backoff, RetryAfter: cfg.RetryAfter, AccessLog: cfg.AccessLog,
 	}
-	parts := routed.Parts{
+	parts := routed.Dependencies{
 		Admitter: admissions, Picker: picker, Endpoints: table, Loads: loads, Outliers: outliers,
 		Reach: reached, Groups: groups, Client: client, Quarantine: crashes, RateLimits: permits, Suspects: suspects, Budget: call.NewBudget(cfg.budget()), Logger: logger,
 	}
--- a/entry/request.go
+++ b/entry/request.go
@@ -78,7 +78,7 @@
 // errNoConfiguration refuses every request until a configuration has been applied. Before that, the
 // entry cannot tell whether a key, model or path is invalid.
 var errNoConfiguration = fault.New(fault.Unavailable, "this entry has no accepted configuration yet",
-	"retry after the given time; if the error persists, check that the control replicas have a quorum").After(noConfigurationRetryAfter)
+	"retry after the given time; if the error persists, check that the control replicas have a quorum").RetryIn(noConfigurationRetryAfter)
 
 // parseHeaders parses and validates the headers of a request.
 func (s *Server) parseHeaders(r *http.Request, id string) (*request, *call.Verdict) {
