--- a/call/at_most_once.go
+++ b/call/at_most_once.go
@@ -208,7 +208,7 @@
 		return m.finishNotRun(m.refusal)
 	}
 	return m.finishNotRun(fault.New(fault.NoQuorum, "no quorum of control replicas could claim the call, so it was not dispatched",
-		"retry with the same idempotency key").Because(f))
+		"retry with the same idempotency key").WithCause(f))
 }
 
 // rejectsEndpoint reports whether a fault of this kind means that the control replicas
--- a/call/settle.go
+++ b/call/settle.go
@@ -216,13 +216,13 @@
 		return m.finishUnknown(errStillRunning())
 	}
 	return m.finishNotRun(fault.New(fault.NoQuorum, "the call was refused and not run, and its claim could not be released",
-		"retry with the same idempotency key").Because(f))
+		"retry with the same idempotency key").WithCause(f))
 }
 
 // finishNotRun ends the call as not run.
 func (m *AtMostOnce) finishNotRun(f *fault.Error) Action {
 	if f.RetryAfter == 0 && isTransient(f.Kind) {
-		f = f.After(m.options.Policy.RetryAfter)
+		f = f.RetryIn(m.options.Policy.RetryAfter)
 	}
 	if m.claimOptions.CallerKey && f.Kind != fault.KeyReused {
 		f = WithKeepKeyAdvice(f)
@@ -244,17 +244,17 @@
 
 func errStillRunning() *fault.Error {
 	return fault.New(fault.Unknown, "the deadline passed while the call may still be running",
-		"retry with the same idempotency key to get its response").After(DefaultRetryAfter)
+		"retry with the same idempotency key to get its response").RetryIn(DefaultRetryAfter)
 }
 
 func errAgentUnreachable() *fault.Error {
 	return fault.New(fault.Unknown, "the call may have run, and the agent that can tell is unreachable",
-		"retry with the same idempotency key to get its response").After(DefaultRetryAfter)
+		"retry with the same idempotency key to get its response").RetryIn(DefaultRetryAfter)
 }
 
 func errKeyContended() *fault.Error {
 	return fault.New(fault.Conflict, "several concurrent requests with this idempotency key displaced each other",
-		"send one request at a time under a key, and retry this one").After(DefaultRetryAfter)
+		"send one request at a time under a key, and retry this one").RetryIn(DefaultRetryAfter)
 }
 
 // WithKeepKeyAdvice returns a copy of a refusal whose remedy advises keeping the
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -137,9 +137,9 @@
 // drainQuietPeriod.
 func (d *Daemon) stopRouted(ctx context.Context, server *http.Server, failed <-chan error) error {
 	deadline := time.Now().Add(d.config.StopLimit)
-	d.routed.Stop()
+	d.routed.DisableKeepAlives()
 	wait.For(ctx, d.config.DrainDelay)
-	d.routed.Refuse()
+	d.routed.RejectRequests()
 	idleSince := time.Now()
 	for time.Since(idleSince) < drainQuietPeriod && time.Now().Before(deadline) {
 		wait.For(ctx, drainPollInterval)
@@ -194,14 +194,14 @@
 // runThrottle periodically limits the calls in flight to the number at which the pools keep their
 // step rate.
 func (d *Daemon) runThrottle(ctx context.Context) {
-	ticker := time.NewTicker(routed.ThrottleInterval)
+	ticker := time.NewTicker(routed.CapacityUpdateInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			d.routed.Throttle(d.configurer.admission, d.entryCount())
+			d.routed.UpdateCapacity(d.configurer.admission, d.entryCount())
 		}
 	}
 }
@@ -233,7 +233,7 @@
 func listen(cfg Config) (net.Listener, error) {
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
-		return nil, fault.Newf(fault.Invalid, "choose a free address with -listen", "cannot listen on %s", cfg.Listen).Because(err)
+		return nil, fault.Newf(fault.Invalid, "choose a free address with -listen", "cannot listen on %s", cfg.Listen).WithCause(err)
 	}
 	return listener, nil
 }
--- a/entry/delivery.go
+++ b/entry/delivery.go
@@ -131,7 +131,7 @@
 func (d *delivery) writeError(v *call.Verdict) {
 	d.started = true
 	d.extendWriteDeadline()
-	d.err = answer.Refuse(d.w, d.requestID, v, answer.WholeSeconds)
+	d.err = answer.WriteVerdict(d.w, d.requestID, v, answer.WholeSeconds)
 	d.flush()
 }
 
--- a/entry/ratelimits.go
+++ b/entry/ratelimits.go
@@ -152,13 +152,13 @@
 func (l *RateLimits) InPause(id string) bool { return l.table.InPause(time.Since(processStart), id) }
 
 // Reserves implements routed.RateLimits.
-func (l *RateLimits) Reserves() map[string]ratelimit.Restriction {
+func (l *RateLimits) Restrictions() map[string]ratelimit.Restriction {
 	return l.table.Restrictions(time.Since(processStart))
 }
 
 // Closed returns the endpoints to which no request may be sent at the moment. It implements
 // routed.RateLimits.
-func (l *RateLimits) Closed() []string { return l.table.Blocked(time.Since(processStart)) }
+func (l *RateLimits) Blocked() []string { return l.table.Blocked(time.Since(processStart)) }
 
 // Limited returns the endpoints that advertise a limit. It implements routed.RateLimits.
 func (l *RateLimits) Limited() []string { return l.table.LimitedEndpoints() }
@@ -183,7 +183,7 @@
 	l.turns[pool] = turns
 	l.mu.Unlock()
 	return fault.New(fault.RateLimited, "not run: all remaining endpoints are rate-limited or have requested a pause",
-		"retry after the given time, or add endpoints").After(turn - now)
+		"retry after the given time, or add endpoints").RetryIn(turn - now)
 }
 
 // earliestReopening returns when the first blocked endpoint of a pool takes requests again, zero
--- a/gate/refusal.go
+++ b/gate/refusal.go
@@ -27,27 +27,27 @@
 
 func errNotConfigured(id string) *fault.Error {
 	return fault.Newf(fault.Unavailable, "wait until the configuration lists the endpoint, or choose another",
-		"endpoint %q is not in the agent's configuration", id).After(retryAfterNotConfigured)
+		"endpoint %q is not in the agent's configuration", id).RetryIn(retryAfterNotConfigured)
 }
 
 func errStale(bound time.Duration) *fault.Error {
 	return fault.Newf(fault.Stale, "try again after the time given; if the error persists, check that a majority of control replicas is running",
-		"neither the agent nor the sender has heard from a quorum within %v", bound).After(retryAfterStale)
+		"neither the agent nor the sender has heard from a quorum within %v", bound).RetryIn(retryAfterStale)
 }
 
 func errEndpointFull(id string) *fault.Error {
 	return fault.Newf(fault.Overloaded, "choose another endpoint or try again later",
-		"endpoint %q has no free slot and its queue is full", id).After(retryAfterOverloaded)
+		"endpoint %q has no free slot and its queue is full", id).RetryIn(retryAfterOverloaded)
 }
 
 func errRateLimited(id string, p ratelimit.Permit) *fault.Error {
 	return fault.Newf(fault.RateLimited, "choose another endpoint or try again after the time given",
-		"endpoint %q accepts at most %v requests per second", id, p.Limit).After(p.Wait)
+		"endpoint %q accepts at most %v requests per second", id, p.Limit).RetryIn(p.Wait)
 }
 
 func errPaused(id string, wait time.Duration) *fault.Error {
 	return fault.Newf(fault.RateLimited, "choose another endpoint or try again after the time given",
-		"endpoint %q has asked for a pause", id).After(wait)
+		"endpoint %q has asked for a pause", id).RetryIn(wait)
 }
 
 func errClaimClosed() *fault.Error {
@@ -66,5 +66,5 @@
 
 func errClaimsFull() *fault.Error {
 	return fault.New(fault.Overloaded, "the agent has reached its limit of remembered claims",
-		"claim again later, or raise the agent's limit of claims").After(retryAfterOverloaded)
+		"claim again later, or raise the agent's limit of claims").RetryIn(retryAfterOverloaded)
 }
--- a/rankhost/counts.go
+++ b/rankhost/counts.go
@@ -31,7 +31,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.controller == controller && counts.Formation == controller.formation && sameEngineStart(counts.Started, h.status.Started) {
-		h.expertCounts.Read(counts.toExpertCounts(controller.group))
+		h.expertCounts.Record(counts.toExpertCounts(controller.group))
 	}
 }
 
@@ -41,6 +41,6 @@
 
 // toExpertCounts converts the counts to the form that a tally takes, with all layers flattened into
 // one: the engine does not report how many experts a layer has.
-func (c Counts) toExpertCounts(group string) engineapi.Experts {
-	return engineapi.Experts{Run: group, Steps: c.Step, Tokens: [][]uint64{c.Selections}}
+func (c Counts) toExpertCounts(group string) engineapi.ExpertCounts {
+	return engineapi.ExpertCounts{Run: group, Steps: c.Step, Tokens: [][]uint64{c.Selections}}
 }
--- a/rankhost/daemon.go
+++ b/rankhost/daemon.go
@@ -105,7 +105,7 @@
 
 // ReadMap implements MapReader.
 func (r controlMapReader) ReadMap(ctx context.Context, group string) (record *fleetv1.MapRecord, fence uint64, err error) {
-	err = r.finder.Ask(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
+	err = r.finder.Call(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
 		response, err := client.ReadMap(ctx, &controlv1.ReadMapRequest{Group: group})
 		record, fence = response.GetRecord(), response.GetFence()
 		return err
--- a/replica/server/apply.go
+++ b/replica/server/apply.go
@@ -100,7 +100,7 @@
 func (a *applier) apply(job applyJob) error {
 	if job.snapshot != nil {
 		if err := a.sm.Restore(job.snapshot.GetData()); err != nil {
-			return fault.New(fault.Internal, "the state machine failed to restore a snapshot", "run the same version on all control replicas").Because(err)
+			return fault.New(fault.Internal, "the state machine failed to restore a snapshot", "run the same version on all control replicas").WithCause(err)
 		}
 		a.snapshot = job.snapshot.GetIndex()
 		a.advance(a.snapshot)
--- a/replica/server/propose.go
+++ b/replica/server/propose.go
@@ -113,7 +113,7 @@
 
 func notProposedError(ctx context.Context) error {
 	return fault.New(fault.Unavailable, "the command was not proposed before its context ended; it was not run",
-		"retry with a longer deadline").Because(ctx.Err())
+		"retry with a longer deadline").WithCause(ctx.Err())
 }
 
 // propose appends a proposal to the log. It runs in the loop.
--- a/replica/server/read.go
+++ b/replica/server/read.go
@@ -63,7 +63,7 @@
 	case <-retryTimer.C:
 	}
 	_ = s.runInLoop(func() { s.cancelRead(id) })
-	return 0, fault.New(fault.NoQuorum, "no quorum confirmed the leader in time; nothing was read", "retry the read").After(s.cfg.ElectionTimeout)
+	return 0, fault.New(fault.NoQuorum, "no quorum confirmed the leader in time; nothing was read", "retry the read").RetryIn(s.cfg.ElectionTimeout)
 }
 
 // startRead runs in the loop.
@@ -103,7 +103,7 @@
 		case <-s.done:
 			return s.stoppedError()
 		case <-ctx.Done():
-			return fault.Newf(fault.Overloaded, "retry the read", "the state machine has applied the log up to index %d only; the read needs %d", applied, index).After(s.cfg.HeartbeatInterval)
+			return fault.Newf(fault.Overloaded, "retry the read", "the state machine has applied the log up to index %d only; the read needs %d", applied, index).RetryIn(s.cfg.HeartbeatInterval)
 		}
 	}
 }
--- a/replica/server/snapshot.go
+++ b/replica/server/snapshot.go
@@ -101,7 +101,7 @@
 	started := time.Now()
 	data, err := job.encode()
 	if err != nil {
-		return snapshotResult{err: fault.New(fault.Internal, "the state machine failed to encode a snapshot", "see the cause").Because(err)}
+		return snapshotResult{err: fault.New(fault.Internal, "the state machine failed to encode a snapshot", "see the cause").WithCause(err)}
 	}
 	select {
 	case <-w.stopping:
