--- a/measure/balancing/balancing_test.go
+++ b/measure/balancing/balancing_test.go
@@ -15,7 +15,7 @@
 	is.NoErr(err)
 	size := Sizes()[0]
 	figures := func(w Workload, evenness float64) Result {
-		p, err := newBalanced(Config(size.Shape, evenness))
+		p, err := newBalanced(BalancerConfig(size.Shape, evenness))
 		is.NoErr(err)
 		return run(w, size, "", p, 3)
 	}
--- a/measure/balancing/offline.go
+++ b/measure/balancing/offline.go
@@ -32,7 +32,7 @@
 // optimum but not proved to be it. It never switches against the adversary,
 // which moves only after a switch.
 func offline(w Workload, shape group.Shape, evenness float64) *planned {
-	if w.MovesAfterSwitch {
+	if w.ShiftsAfterSwitch {
 		return &planned{}
 	}
 	o := newPlanner(w, shape, evenness)
--- a/measure/balancing/report.go
+++ b/measure/balancing/report.go
@@ -126,14 +126,14 @@
 
 // variants are the balancer at both weights, and with safeguards left out.
 func variants(shape group.Shape) []variant {
-	nawras := Config(shape, nawrasEvenness)
+	nawras := BalancerConfig(shape, nawrasEvenness)
 	noMargin, noBackoff, lastValue := nawras, nawras, nawras
 	noMargin.Guards.NoMargin = true
 	noBackoff.Guards.NoBackoff = true
 	lastValue.Guards.LastValue = true
 	return []variant{
 		{policyNawras, nawras},
-		{policyHaneul, Config(shape, haneulEvenness)},
+		{policyHaneul, BalancerConfig(shape, haneulEvenness)},
 		{policyNoMargin, noMargin},
 		{policyNoBackoff, noBackoff},
 		{policyLastValue, lastValue},
@@ -165,6 +165,6 @@
 	}
 	_, _ = fmt.Fprintf(w, "\n## Stall of a switch, in steps\n\n| ranks | lead | a rank unreachable in every third | p50 | p99 | max | committed |\n|---|---|---|---|---|---|---|\n")
 	for _, s := range stalls {
-		_, _ = fmt.Fprintf(w, "| %d | %d | %t | %.2f | %.2f | %.2f | %d of %d |\n", s.Ranks, s.Lead, s.LostRank, s.P50, s.P99, s.Max, s.Committed, s.Proposed)
+		_, _ = fmt.Fprintf(w, "| %d | %d | %t | %.2f | %.2f | %.2f | %d of %d |\n", s.Ranks, s.Lead, s.UnreachableRank, s.P50, s.P99, s.Max, s.Committed, s.Proposed)
 	}
 }
--- a/measure/balancing/run.go
+++ b/measure/balancing/run.go
@@ -135,7 +135,7 @@
 		t.switches++
 		t.lost += switchStall.Seconds()
 		t.policy.switched(from)
-		if t.workload.MovesAfterSwitch {
+		if t.workload.ShiftsAfterSwitch {
 			t.moveAt = now + 2*tick
 		}
 	}
--- a/measure/balancing/setup.go
+++ b/measure/balancing/setup.go
@@ -61,7 +61,7 @@
 }
 
 // Config returns the balancer's settings for a shape and weight.
-func Config(shape group.Shape, evenness float64) balance.Config {
+func BalancerConfig(shape group.Shape, evenness float64) balance.Config {
 	return balance.Config{
 		Shape:        shape,
 		Evenness:     evenness,
--- a/measure/balancing/stall.go
+++ b/measure/balancing/stall.go
@@ -25,7 +25,7 @@
 	Lead uint64
 	// LostRank says that in a third of the switches one rank gets no request to
 	// promise.
-	LostRank bool
+	UnreachableRank bool
 	// P50, P99 and Max are steps that a switch held the group for.
 	P50, P99, Max float64
 	// Committed is the number of switches that went through, of Proposed.
@@ -77,14 +77,14 @@
 	slices.Sort(held)
 	used := mapswitch.Options{LeadSteps: lead, StepTime: stepTime}
 	return StallResult{
-		Ranks:     ranks,
-		Lead:      used.Lead(),
-		LostRank:  lostRank,
-		P50:       held[len(held)/2],
-		P99:       held[len(held)*99/100],
-		Max:       held[len(held)-1],
-		Committed: b.done,
-		Proposed:  stallSwitches,
+		Ranks:           ranks,
+		Lead:            used.Lead(),
+		UnreachableRank: lostRank,
+		P50:             held[len(held)/2],
+		P99:             held[len(held)*99/100],
+		Max:             held[len(held)-1],
+		Committed:       b.done,
+		Proposed:        stallSwitches,
 	}
 }
 
--- a/measure/balancing/workload.go
+++ b/measure/balancing/workload.go
@@ -33,7 +33,7 @@
 	// SlowRank makes one rank slow for a while.
 	SlowRank *SlowRank `json:"slowRank"`
 	// MovesAfterSwitch makes other experts popular in every topic after a switch.
-	MovesAfterSwitch bool `json:"movesAfterSwitch"`
+	ShiftsAfterSwitch bool `json:"movesAfterSwitch"`
 }
 
 // MixPoint is the mix of topics at a time.
--- a/measure/eventqueue/eventqueue.go
+++ b/measure/eventqueue/eventqueue.go
@@ -22,7 +22,7 @@
 }
 
 // Next returns the time of the first event; false if there is none.
-func (q *Queue[E]) Next() (at time.Duration, ok bool) {
+func (q *Queue[E]) NextTime() (at time.Duration, ok bool) {
 	if len(q.items) == 0 {
 		return 0, false
 	}
--- a/measure/eventqueue/eventqueue_test.go
+++ b/measure/eventqueue/eventqueue_test.go
@@ -16,7 +16,7 @@
 		q.Add(time.Duration(i%2), i)
 	}
 	var taken []int
-	for at, ok := q.Next(); ok; at, ok = q.Next() {
+	for at, ok := q.NextTime(); ok; at, ok = q.NextTime() {
 		takenAt, event := q.Take()
 		is.Equal(takenAt, at)
 		if event == 0 {
--- a/measure/fairness/simulation.go
+++ b/measure/fairness/simulation.go
@@ -115,7 +115,7 @@
 		s.add(r)
 	}
 	for {
-		at, ok := s.events.Next()
+		at, ok := s.events.NextTime()
 		if !ok {
 			return s
 		}
--- a/measure/picking/clock.go
+++ b/measure/picking/clock.go
@@ -18,7 +18,7 @@
 
 // runUntil runs all events up to the given time.
 func (c *clock) runUntil(end time.Duration) {
-	for at, ok := c.queue.Next(); ok && at <= end; at, ok = c.queue.Next() {
+	for at, ok := c.queue.NextTime(); ok && at <= end; at, ok = c.queue.NextTime() {
 		var run func()
 		c.now, run = c.queue.Take()
 		run()
