--- a/measure/balancing/cmd/main.go
+++ b/measure/balancing/cmd/main.go
@@ -1,5 +1,5 @@
-// Command cmd writes the report of package balancing: the table to standard
-// output, and report.md and skew.svg to a directory.
+// Command cmd runs the measurements of package balancing. It writes the report
+// to standard output, and report.md and skew.svg to a directory.
 package main
 
 import (
@@ -11,11 +11,11 @@
 )
 
 func main() {
-	seed := flag.Uint64("seed", 1, "seed of the noise")
-	out := flag.String("out", "docs/balancing", "directory to write to")
+	seed := flag.Uint64("seed", 1, "random seed of the noise")
+	out := flag.String("out", "docs/balancing", "output directory")
 	flag.Parse()
 	if err := balancing.Run(os.Stdout, *seed, *out); err != nil {
-		slog.New(slog.NewJSONHandler(os.Stderr, nil)).Error("no report was written", "error", err)
+		slog.New(slog.NewJSONHandler(os.Stderr, nil)).Error("failed to write the balancing report", "error", err)
 		os.Exit(1)
 	}
 }
--- a/measure/balancing/doc.go
+++ b/measure/balancing/doc.go
@@ -1,8 +1,8 @@
-// Package balancing measures policies for rebalancing expert maps against each
-// other, on workloads that are data files of this package.
+// Package balancing compares policies for rebalancing expert maps on the
+// workloads in the workloads directory.
 //
-// All policies of a workload see the same popularity and the same noise, drawn
-// from one seed, so the same seed gives the same figures. Ranks are sums and
-// maxima of loads; there is no simulated cluster. Run writes the table and plot
-// of docs/balancing.
+// Within a workload, all policies see the same expert popularity and the same
+// noise, both derived from one seed, so a seed determines the results. The cost
+// of a step is computed from the loads of the ranks; no cluster is simulated.
+// Run writes the report and the plot in docs/balancing.
 package balancing
--- a/measure/balancing/offline.go
+++ b/measure/balancing/offline.go
@@ -8,127 +8,132 @@
 	"github.com/lilackeel/lilackeel/group/balance"
 )
 
-// Grids of the offline plan.
+// Time resolution of the offline plan.
 const (
-	planGrid   = 2 * time.Minute  // switches happen at multiples of this
-	planSample = 20 * time.Second // the popularity is looked at this often
+	planInterval       = 2 * time.Minute  // switches are only considered at multiples of this
+	planSampleInterval = 20 * time.Second // sampling interval of the popularity
 )
 
-// moveBudgets are the numbers of moves per rank that the plan tries at every
+// moveBudgets are the limits of moves per rank that are tried at each possible
 // switch.
 var moveBudgets = []float64{0.25, 0.5, 1, 2, 4, 24}
 
-// plan is the best way found to get to a point in time.
+// plan is the sequence of switches with the lowest weighted loss found up to a point
+// in time.
 type plan struct {
-	value float64 // weighted seconds lost so far
-	now   group.Map
-	times []time.Duration
-	maps  []group.Map
+	weightedLoss float64 // in seconds, up to that point
+	current      group.Map
+	times        []time.Duration
+	maps         []group.Map
 }
 
-// offline plans the switches of a workload with its whole future known, for a
-// deployment's weight. It is a dynamic program over the times of switches; for
-// each last switch only the best way to get there is kept, so it is near the
-// optimum but not proved to be it. It never switches against the adversary,
-// which moves only after a switch.
-func offline(w Workload, shape group.Shape, evenness float64) *planned {
+// planOffline plans the switches of a workload whose whole course is known, for a
+// deployment's evenness weight. It is a dynamic program over the times of switches.
+// Only the best plan up to each point in time is kept, so the result is close
+// to the optimum, but optimality is not guaranteed. For a workload with
+// ShiftsAfterSwitch the plan never switches, because each switch would change the
+// popularity for which it is made.
+func planOffline(w Workload, shape group.Shape, evenness float64) *scheduled {
 	if w.ShiftsAfterSwitch {
-		return &planned{}
+		return &scheduled{}
 	}
-	o := newPlanner(w, shape, evenness)
-	points := int(time.Duration(w.Minutes*float64(time.Minute)) / planGrid)
+	p := newPlanner(w, shape, evenness)
+	points := int(time.Duration(w.Minutes*float64(time.Minute)) / planInterval)
 	best := make([]plan, points+1)
 	for i := range best {
-		best[i].value = math.Inf(1)
+		best[i].weightedLoss = math.Inf(1)
 	}
-	best[0] = plan{now: startMap(w, shape)}
-	for i := range points {
-		for j := i + 1; j <= points; j++ {
-			o.extend(&best[j], best[i], i, j)
+	best[0] = plan{current: initialMap(w, shape)}
+	for from := range points {
+		for to := from + 1; to <= points; to++ {
+			p.extend(&best[to], best[from], from, to)
 		}
 	}
-	return &planned{times: best[points].times, maps: best[points].maps}
+	return &scheduled{times: best[points].times, maps: best[points].maps}
 }
 
-// planner plans over the popularity of a whole workload.
+// planner holds the expected loads and the token costs of a whole workload, sampled
+// at planSampleInterval. A point is a multiple of planInterval.
 type planner struct {
-	shape    group.Shape
-	evenness float64
-	perPoint int
-	loads    [][]float64
-	costs    [][]float64
+	shape           group.Shape
+	evenness        float64
+	samplesPerPoint int
+	loads           [][]float64
+	costs           [][]float64
 }
 
 func newPlanner(w Workload, shape group.Shape, evenness float64) *planner {
-	o := &planner{shape: shape, evenness: evenness, perPoint: int(planGrid / planSample)}
-	c := newPopularity(w, shape, 0)
+	p := &planner{shape: shape, evenness: evenness, samplesPerPoint: int(planInterval / planSampleInterval)}
+	demand := newPopularity(w, shape, 0)
 	end := time.Duration(w.Minutes * float64(time.Minute))
-	for now := planSample / 2; now < end; now += planSample {
+	for now := planSampleInterval / 2; now < end; now += planSampleInterval {
 		load := make([]float64, shape.Layers*shape.Experts)
-		c.load(w.weights(now.Minutes()), float64(tokensPerRank*shape.Ranks), load)
-		o.loads = append(o.loads, load)
-		o.costs = append(o.costs, w.cost(shape, now.Minutes()))
+		demand.expectedLoad(w.mixAt(now.Minutes()), float64(tokensPerRank*shape.Ranks), load)
+		p.loads = append(p.loads, load)
+		p.costs = append(p.costs, w.tokenCosts(shape, now.Minutes()))
 	}
-	return o
+	return p
 }
 
-// extend tries to use one map from point i to point j, after a plan for the time
-// before, and keeps the result if it is the best so far.
-func (o *planner) extend(best *plan, before plan, i, j int) {
-	if math.IsInf(before.value, 1) {
+// extend tries to continue the plan prefix, which ends at point from, with one map
+// up to point to, and sets best to the result if its weighted loss is the lowest so
+// far.
+func (p *planner) extend(best *plan, prefix plan, from, to int) {
+	if math.IsInf(prefix.weightedLoss, 1) {
 		return
 	}
-	start := time.Duration(i) * planGrid
-	o.offer(best, before, before.now, start, o.lost(before.now, i, j))
-	load, cost := o.mean(i, j)
+	start := time.Duration(from) * planInterval
+	p.keepIfBetter(best, prefix, prefix.current, start, p.skewLoss(prefix.current, from, to))
+	load, cost := p.meanLoad(from, to)
 	for _, perRank := range moveBudgets {
-		budget := int(perRank * float64(o.shape.Ranks))
-		next := balance.Improve(o.shape, before.now, load, cost, budget)
-		o.offer(best, before, next, start, o.lost(next, i, j))
+		budget := int(perRank * float64(p.shape.Ranks))
+		next := balance.Improve(p.shape, prefix.current, load, cost, budget)
+		p.keepIfBetter(best, prefix, next, start, p.skewLoss(next, from, to))
 	}
 }
 
-// offer keeps the plan that goes on with the map next, if it is the best so far.
-// lost is the time in seconds that next loses to skew.
-func (o *planner) offer(best *plan, before plan, next group.Map, start time.Duration, lost float64) {
-	moves := countMoves(before.now, next)
-	value := before.value + o.evenness*lost
+// keepIfBetter sets best to the plan that continues prefix with the map next, if its
+// weighted loss is lower. skewLoss is the time in seconds that next loses to skew.
+func (p *planner) keepIfBetter(best *plan, prefix plan, next group.Map, start time.Duration, skewLoss float64) {
+	moves := countMoves(prefix.current, next)
+	weightedLoss := prefix.weightedLoss + p.evenness*skewLoss
 	if moves > 0 {
-		loading := float64(moves) * expertBytes / storeRate
-		price := switchStall.Seconds() + loading*loadShare + float64(moves)*cachePerMove.Seconds()
-		value += (1 - o.evenness) * price
+		loadSeconds := float64(moves) * expertBytes / storeRate
+		switchCost := switchStall.Seconds() + loadSeconds*loadShare + float64(moves)*cachePerMove.Seconds()
+		weightedLoss += (1 - p.evenness) * switchCost
 	}
-	if value >= best.value {
+	if weightedLoss >= best.weightedLoss {
 		return
 	}
-	*best = plan{value: value, now: next, times: before.times, maps: before.maps}
+	*best = plan{weightedLoss: weightedLoss, current: next, times: prefix.times, maps: prefix.maps}
 	if moves > 0 {
-		best.times = append(append([]time.Duration(nil), before.times...), start)
-		best.maps = append(append([]group.Map(nil), before.maps...), next)
+		best.times = append(append([]time.Duration(nil), prefix.times...), start)
+		best.maps = append(append([]group.Map(nil), prefix.maps...), next)
 	}
 }
 
-// lost is the time lost to skew from point i to point j, in seconds.
-func (o *planner) lost(m group.Map, i, j int) float64 {
+// skewLoss returns the time lost to skew with the map m between two points, in
+// seconds.
+func (p *planner) skewLoss(m group.Map, from, to int) float64 {
 	var sum float64
-	for k := i * o.perPoint; k < j*o.perPoint; k++ {
-		busiest, mean := balance.StepLoad(o.shape, m, o.loads[k], o.costs[k])
-		sum += (busiest - mean) * tokenTime(o.shape) / stepTime.Seconds() * planSample.Seconds()
+	for sample := from * p.samplesPerPoint; sample < to*p.samplesPerPoint; sample++ {
+		busiest, mean := balance.StepLoad(p.shape, m, p.loads[sample], p.costs[sample])
+		sum += (busiest - mean) * tokenTime(p.shape) / stepTime.Seconds() * planSampleInterval.Seconds()
 	}
 	return sum
 }
 
-// mean returns the mean load from point i to point j, and the mean cost.
-func (o *planner) mean(i, j int) (load, cost []float64) {
-	load = make([]float64, o.shape.Layers*o.shape.Experts)
-	cost = make([]float64, o.shape.Ranks)
-	samples := float64((j - i) * o.perPoint)
-	for k := i * o.perPoint; k < j*o.perPoint; k++ {
-		for e, tokens := range o.loads[k] {
+// meanLoad returns the mean load and the mean token cost between two points.
+func (p *planner) meanLoad(from, to int) (load, cost []float64) {
+	load = make([]float64, p.shape.Layers*p.shape.Experts)
+	cost = make([]float64, p.shape.Ranks)
+	samples := float64((to - from) * p.samplesPerPoint)
+	for sample := from * p.samplesPerPoint; sample < to*p.samplesPerPoint; sample++ {
+		for e, tokens := range p.loads[sample] {
 			load[e] += tokens / samples
 		}
-		for rank, c := range o.costs[k] {
-			cost[rank] += c / samples
+		for rank, tokenCost := range p.costs[sample] {
+			cost[rank] += tokenCost / samples
 		}
 	}
 	return load, cost
--- a/measure/balancing/plot.go
+++ b/measure/balancing/plot.go
@@ -13,8 +13,8 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// plotted are the policies of the plot and their colours.
-var plotted = []struct {
+// plottedPolicies are the policies in the plot and their colours.
+var plottedPolicies = []struct {
 	policy string
 	colour color.RGBA
 }{
@@ -26,12 +26,12 @@
 	{policyOfflineNawras, color.RGBA{R: 130, G: 60, B: 160, A: 255}},
 }
 
-// legendRoom is the room left for the legend above the highest point, as a share
+// legendMargin is the space for the legend above the highest point, as a fraction
 // of the range of the points.
-const legendRoom = 0.25
+const legendMargin = 0.25
 
-// writePlot draws p99 skew against bytes loaded, one point for each policy and
-// workload, one panel for each size.
+// writePlot plots p99 skew against bytes loaded, with one point for each policy
+// and workload and one panel for each size.
 func writePlot(path string, results []Result) error {
 	const width, height = 9 * vg.Inch, 4 * vg.Inch
 	canvas := vgsvg.New(width, height)
@@ -55,7 +55,7 @@
 	return trace.ConvertSystemError(file.Close())
 }
 
-// panel draws the results of one size.
+// panel returns the plot of one size.
 func panel(size string, results []Result) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = size
@@ -65,7 +65,7 @@
 	p.X.Tick.Marker = plot.LogTicks{Prec: -1}
 	p.Legend.Top = true
 	p.Legend.TextStyle.Font.Size = font.Length(7)
-	for _, series := range plotted {
+	for _, series := range plottedPolicies {
 		var points plotter.XYs
 		for _, r := range results {
 			if r.Size == size && r.Policy == series.policy {
@@ -81,6 +81,6 @@
 		p.Add(scatter)
 		p.Legend.Add(series.policy, scatter)
 	}
-	p.Y.Max += legendRoom * (p.Y.Max - p.Y.Min)
+	p.Y.Max += legendMargin * (p.Y.Max - p.Y.Min)
 	return p, nil
 }
--- a/measure/balancing/policy.go
+++ b/measure/balancing/policy.go
@@ -7,38 +7,40 @@
 	"github.com/lilackeel/lilackeel/group/balance"
 )
 
-// policy decides which map to use.
+// policy decides when to switch to which map.
 type policy interface {
-	// observe takes in counters as they arrive: late and noisy.
+	// observe receives the counters of one tick: the tokens per step of every
+	// expert and the time per token on every rank. They are delayed and noisy.
 	observe(load, cost []float64)
 	// decide returns the map to switch to, if any.
 	decide(now time.Duration, current group.Map) (group.Map, bool)
-	// switched says that the last map decided is in force.
+	// switched notifies the policy that the map of its last decision has replaced
+	// from.
 	switched(from group.Map)
 }
 
-// never keeps the first map.
-type never struct{}
+// keepInitial never switches.
+type keepInitial struct{}
 
-func (never) observe([]float64, []float64) {}
-func (never) decide(time.Duration, group.Map) (group.Map, bool) {
+func (keepInitial) observe([]float64, []float64) {}
+func (keepInitial) decide(time.Duration, group.Map) (group.Map, bool) {
 	return group.Map{}, false
 }
-func (never) switched(group.Map) {}
+func (keepInitial) switched(group.Map) {}
 
-// greedy rebuilds the map from the mean of the last interval's counters, every
-// interval or, with a threshold, when the skew they show is above it.
+// greedy rebuilds the map at each greedyInterval from the mean of the counters
+// since the last one, if the skew that they show is at least threshold.
 type greedy struct {
-	shape     group.Shape
-	threshold float64
-	load      []float64
-	cost      []float64
-	count     int
-	next      time.Duration
+	shape        group.Shape
+	threshold    float64
+	load         []float64
+	cost         []float64
+	observations int
+	nextRebuild  time.Duration
 }
 
 func newGreedy(shape group.Shape, threshold float64) *greedy {
-	return &greedy{shape: shape, threshold: threshold, load: make([]float64, shape.Layers*shape.Experts), next: greedyInterval}
+	return &greedy{shape: shape, threshold: threshold, load: make([]float64, shape.Layers*shape.Experts), nextRebuild: greedyInterval}
 }
 
 func (g *greedy) observe(load, cost []float64) {
@@ -46,20 +48,20 @@
 		g.load[i] += load[i]
 	}
 	g.cost = cost
-	g.count++
+	g.observations++
 }
 
 func (g *greedy) decide(now time.Duration, current group.Map) (group.Map, bool) {
-	if now < g.next || g.count == 0 {
+	if now < g.nextRebuild || g.observations == 0 {
 		return group.Map{}, false
 	}
-	g.next = now + greedyInterval
+	g.nextRebuild = now + greedyInterval
 	load := make([]float64, len(g.load))
 	for i := range load {
-		load[i] = g.load[i] / float64(g.count)
+		load[i] = g.load[i] / float64(g.observations)
 	}
 	clear(g.load)
-	g.count = 0
+	g.observations = 0
 	busiest, mean := balance.StepLoad(g.shape, current, load, g.cost)
 	if busiest/mean < g.threshold {
 		return group.Map{}, false
@@ -69,35 +71,35 @@
 
 func (g *greedy) switched(group.Map) {}
 
-// balanced drives a Balancer.
-type balanced struct {
-	balancer *balance.Balancer
-	decision balance.Decision
+// netGain switches as balance.Balancer decides.
+type netGain struct {
+	balancer     *balance.Balancer
+	lastDecision balance.Decision
 }
 
-func newBalanced(config balance.Config) (*balanced, error) {
+func newNetGain(config balance.Config) (*netGain, error) {
 	balancer, err := balance.New(config)
-	return &balanced{balancer: balancer}, err
+	return &netGain{balancer: balancer}, err
 }
 
-func (b *balanced) observe(load, cost []float64) { b.balancer.Observe(load, cost) }
+func (b *netGain) observe(load, cost []float64) { b.balancer.Observe(load, cost) }
 
-func (b *balanced) decide(_ time.Duration, current group.Map) (group.Map, bool) {
-	b.decision = b.balancer.Decide(current)
-	return b.decision.Map, b.decision.Switch
+func (b *netGain) decide(_ time.Duration, current group.Map) (group.Map, bool) {
+	b.lastDecision = b.balancer.Decide(current)
+	return b.lastDecision.Map, b.lastDecision.Switch
 }
 
-func (b *balanced) switched(from group.Map) { b.balancer.Switched(from, b.decision) }
+func (b *netGain) switched(from group.Map) { b.balancer.Switched(from, b.lastDecision) }
 
-// planned switches at times known in advance.
-type planned struct {
+// scheduled switches to given maps at given times.
+type scheduled struct {
 	times []time.Duration
 	maps  []group.Map
 }
 
-func (p *planned) observe([]float64, []float64) {}
+func (p *scheduled) observe([]float64, []float64) {}
 
-func (p *planned) decide(now time.Duration, _ group.Map) (group.Map, bool) {
+func (p *scheduled) decide(now time.Duration, _ group.Map) (group.Map, bool) {
 	if len(p.times) == 0 || now < p.times[0] {
 		return group.Map{}, false
 	}
@@ -106,4 +108,4 @@
 	return m, true
 }
 
-func (p *planned) switched(group.Map) {}
+func (p *scheduled) switched(group.Map) {}
--- a/measure/balancing/report.go
+++ b/measure/balancing/report.go
@@ -13,7 +13,8 @@
 	"github.com/lilackeel/lilackeel/group/balance"
 )
 
-// Names of the policies.
+// Names of the policies. Nawras and Haneul are the two deployments whose evenness
+// weights are measured.
 const (
 	policyNever         = "never"
 	policyGreedy        = "greedy every minute"
@@ -27,15 +28,16 @@
 	policyOfflineHaneul = "offline, Haneul"
 )
 
-// workers is the number of workloads measured at once.
+// workers is the number of jobs that run concurrently.
 const workers = 4
 
-// stallLeads are the distances tried; zero stands for the computed one.
+// stallLeads are the values of mapswitch.Options.LeadSteps that are measured; zero
+// selects the computed lead.
 var stallLeads = []uint64{2, 4, 8, 16, 0}
 
-// Run measures all policies on all workloads and sizes and what a switch stalls,
-// writes the report to w, and report.md and skew.svg to outDir. It takes a few
-// minutes; the same seed gives the same figures.
+// Run measures all policies on all workloads and sizes, and the stall of a switch.
+// It writes the report to w, and report.md and skew.svg to outDir. It takes a few
+// minutes; the same seed gives the same results.
 func Run(w io.Writer, seed uint64, outDir string) error {
 	results, err := measureAll(seed)
 	if err != nil {
@@ -56,7 +58,7 @@
 	return trace.Wrap(writePlot(filepath.Join(outDir, "skew.svg"), results))
 }
 
-// job is one workload at one size.
+// job is the measurement of one workload at one size.
 type job struct {
 	size     Size
 	workload Workload
@@ -75,19 +77,19 @@
 			jobs = append(jobs, &job{size: size, workload: w})
 		}
 	}
-	queue := make(chan *job)
+	pending := make(chan *job)
 	var wait sync.WaitGroup
 	for range workers {
 		wait.Go(func() {
-			for j := range queue {
+			for j := range pending {
 				j.results, j.err = measureWorkload(j.workload, j.size, seed)
 			}
 		})
 	}
 	for _, j := range jobs {
-		queue <- j
+		pending <- j
 	}
-	close(queue)
+	close(pending)
 	wait.Wait()
 	var results []Result
 	for _, j := range jobs {
@@ -99,23 +101,23 @@
 	return results, nil
 }
 
-// measureWorkload runs every policy on one workload.
+// measureWorkload measures all policies on one workload.
 func measureWorkload(w Workload, size Size, seed uint64) ([]Result, error) {
 	shape := size.Shape
 	var results []Result
-	add := func(name string, p policy) { results = append(results, run(w, size, name, p, seed)) }
-	add(policyNever, never{})
+	add := func(name string, p policy) { results = append(results, simulate(w, size, name, p, seed)) }
+	add(policyNever, keepInitial{})
 	add(policyGreedy, newGreedy(shape, 0))
 	add(policyThreshold, newGreedy(shape, thresholdSkew))
 	for _, variant := range variants(shape) {
-		p, err := newBalanced(variant.config)
+		p, err := newNetGain(variant.config)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
 		add(variant.name, p)
 	}
-	add(policyOfflineNawras, offline(w, shape, nawrasEvenness))
-	add(policyOfflineHaneul, offline(w, shape, haneulEvenness))
+	add(policyOfflineNawras, planOffline(w, shape, nawrasEvenness))
+	add(policyOfflineHaneul, planOffline(w, shape, haneulEvenness))
 	return results, nil
 }
 
@@ -124,7 +126,8 @@
 	config balance.Config
 }
 
-// variants are the balancer at both weights, and with safeguards left out.
+// variants returns the balancer with the evenness weight of each deployment, and
+// with one safeguard disabled at a time.
 func variants(shape group.Shape) []variant {
 	nawras := BalancerConfig(shape, nawrasEvenness)
 	noMargin, noBackoff, lastValue := nawras, nawras, nawras
@@ -155,10 +158,10 @@
 	_, _ = fmt.Fprintf(w, "# Rebalancing expert maps: figures\n\nWritten by balancing.Run with seed %d. Skew is the load of the busiest rank over the\n"+
 		"mean, per step. Time lost is to skew, loading and stalls, as a share of balanced steps.\n\n", seed)
 	writeAims(w, results)
-	last := ""
+	lastSection := ""
 	for _, r := range results {
-		if section := r.Workload + ", " + r.Size; section != last {
-			last = section
+		if section := r.Workload + ", " + r.Size; section != lastSection {
+			lastSection = section
 			_, _ = fmt.Fprintf(w, "\n## %s\n\n| policy | skew p50 | skew p99 | time lost | GB loaded | switches |\n|---|---|---|---|---|---|\n", section)
 		}
 		_, _ = fmt.Fprintf(w, "| %s | %.3f | %.3f | %.2f%% | %.1f | %d |\n", r.Policy, r.SkewP50, r.SkewP99, r.LostPercent, r.Gigabytes, r.Switches)
--- a/measure/balancing/setup.go
+++ b/measure/balancing/setup.go
@@ -7,19 +7,19 @@
 	"github.com/lilackeel/lilackeel/group/balance"
 )
 
-// Constants of all runs.
+// Parameters of all runs.
 const (
-	tick           = 5 * time.Second // one observation, also one decision
-	lagTicks       = 2               // observations arrive this much late
-	stepsPerTick   = 4               // steps whose skew is measured per tick
+	tick           = 5 * time.Second // interval of observations and of decisions
+	lagTicks       = 2               // delay of observations, in ticks
+	stepsPerTick   = 4               // steps sampled per tick to measure skew
 	tokensPerRank  = 1024            // tokens routed per rank, layer and step
-	counterNoise   = 0.05            // relative error of an observed counter
-	dispersion     = 2.0             // variance over mean of tokens per step
+	counterNoise   = 0.05            // relative standard deviation of an observed counter
+	dispersion     = 2.0             // variance-to-mean ratio of an expert's tokens per step
 	stepTime       = 4500 * time.Microsecond
-	expertPart     = 0.5 // share of a balanced step spent in experts
+	expertShare    = 0.5 // share of a balanced step spent in expert computation
 	expertBytes    = 40 << 20
-	storeRate      = 1 << 30 // bytes a second
-	loadShare      = 0.05    // slowdown while weights are loaded
+	storeRate      = 1 << 30 // bytes per second
+	loadShare      = 0.05    // share of step time lost while weights are loaded
 	switchStall    = 5 * time.Millisecond
 	cachePerMove   = 2 * time.Millisecond
 	maxHold        = 20 * time.Minute
@@ -29,16 +29,17 @@
 	haneulEvenness = 0.3
 )
 
-// Size is a group measured.
+// Size is a group size that is measured.
 type Size struct {
-	// Name heads the panel of the size and its rows.
+	// Name is the title of the size's plot panel and part of its section titles in
+	// the report.
 	Name string
-	// Shape is the group.
+	// Shape is the shape of the group.
 	Shape group.Shape
 }
 
-// Sizes returns the groups of the report. Four layers stand for all: layers do
-// not influence each other's balance.
+// Sizes returns the group sizes in the report. Each has only four layers, because
+// the balance of one layer does not depend on the others.
 func Sizes() []Size {
 	return []Size{
 		{Name: "16 ranks × 64 experts", Shape: group.Shape{Layers: 4, Experts: 64, Ranks: 16, Slots: 6, Zones: zones(16)}},
@@ -46,7 +47,7 @@
 	}
 }
 
-// zones spreads ranks over three availability zones in blocks.
+// zones assigns the ranks to three availability zones in contiguous blocks.
 func zones(ranks int) []int {
 	out := make([]int, ranks)
 	for rank := range out {
@@ -55,12 +56,13 @@
 	return out
 }
 
-// tokenTime is the time in seconds that one token takes in a layer.
+// tokenTime returns the time in seconds that one token takes in a layer.
 func tokenTime(shape group.Shape) float64 {
-	return stepTime.Seconds() * expertPart / float64(shape.Layers*tokensPerRank)
+	return stepTime.Seconds() * expertShare / float64(shape.Layers*tokensPerRank)
 }
 
-// Config returns the balancer's settings for a shape and weight.
+// BalancerConfig returns the balancer configuration for a group shape and an
+// evenness weight.
 func BalancerConfig(shape group.Shape, evenness float64) balance.Config {
 	return balance.Config{
 		Shape:        shape,
--- a/measure/balancing/stall.go
+++ b/measure/balancing/stall.go
@@ -9,193 +9,199 @@
 	"github.com/lilackeel/lilackeel/group/mapswitch"
 )
 
-// Constants of the stall measurement.
+// Parameters of the stall measurement.
 const (
-	stallTick     = 500 * time.Microsecond
-	stallSwitches = 300
-	stallGap      = 300 * time.Millisecond // from one proposal to the next
-	stallGroup    = "lilackeel-pool"
+	stallTick        = 500 * time.Microsecond
+	stallSwitches    = 300
+	proposalInterval = 300 * time.Millisecond // between two proposals
+	stallGroup       = "lilackeel-pool"
 )
 
-// StallResult is what switches cost the steps of a group.
+// StallResult is the time for which map switches stall a group.
 type StallResult struct {
 	// Ranks is the number of ranks of the group.
 	Ranks int
-	// Lead is the distance of the chosen step, in steps.
+	// Lead is the number of steps from the current one to the one at which the new
+	// map takes effect.
 	Lead uint64
-	// LostRank says that in a third of the switches one rank gets no request to
-	// promise.
+	// UnreachableRank reports whether in every third switch one rank does not
+	// receive the promise request.
 	UnreachableRank bool
-	// P50, P99 and Max are steps that a switch held the group for.
+	// P50, P99 and Max describe the time for which a switch stalls the group, in
+	// step times.
 	P50, P99, Max float64
-	// Committed is the number of switches that went through, of Proposed.
+	// Committed is the number of switches that were committed, out of Proposed.
 	Committed, Proposed int
 }
 
-// stallBench drives the real machines of one group in virtual time. Messages
-// take half to one and a half milliseconds, one in a hundred up to thirty; a
-// commit takes two to six, one in a hundred thirty more.
-type stallBench struct {
-	rng    *rand.Rand
-	now    time.Duration
-	ranks  []*mapswitch.Rank
-	leader *mapswitch.Coordinator
-	record mapswitch.Record
-	queue  []delivery
-	step   uint64
-	ends   time.Duration
-	held   time.Duration
-	// unreachable is the rank that gets no request to promise; -1 for none.
+// switchSimulation drives the mapswitch state machines of one group in virtual
+// time. A message takes 0.5 to 1.5 ms, and one in a hundred up to 30 ms; a commit
+// takes 2 to 6 ms, and one in a hundred 30 ms longer.
+type switchSimulation struct {
+	rng         *rand.Rand
+	now         time.Duration
+	ranks       []*mapswitch.Rank
+	coordinator *mapswitch.Coordinator
+	record      mapswitch.Record
+	events      []event
+	step        uint64
+	stepEnd     time.Duration
+	heldTime    time.Duration
+	// unreachable is the rank that does not receive promise requests; -1 for none.
 	unreachable int
-	done        int // switches committed
+	committed   int // number of committed switches
 }
 
-type delivery struct {
+// event is a message or a commit that takes effect at a virtual time.
+type event struct {
 	at  time.Duration
-	act func()
+	run func()
 }
 
-// MeasureStall runs switches one after another and returns what they cost.
-func MeasureStall(ranks int, lead uint64, lostRank bool, seed uint64) StallResult {
-	b := newStallBench(ranks, lead, seed)
-	var held []float64
+// MeasureStall runs switches one after another and returns how long they stall the
+// group. A lead of zero selects the computed one.
+func MeasureStall(ranks int, lead uint64, unreachableRank bool, seed uint64) StallResult {
+	s := newSwitchSimulation(ranks, lead, seed)
+	var heldSteps []float64
 	for i := range stallSwitches {
-		b.unreachable = -1
-		if lostRank && i%3 == 0 {
-			b.unreachable = b.rng.IntN(ranks)
+		s.unreachable = -1
+		if unreachableRank && i%3 == 0 {
+			s.unreachable = s.rng.IntN(ranks)
 		}
-		b.held = 0
-		effects, err := b.leader.Propose(b.now, group.Map{Slots: []uint16{uint16(i)}})
+		s.heldTime = 0
+		effects, err := s.coordinator.Propose(s.now, group.Map{Slots: []uint16{uint16(i)}})
 		if err == nil {
-			b.perform(effects)
+			s.execute(effects)
 		}
-		for end := b.now + stallGap; b.now < end; b.now += stallTick {
-			b.advance()
+		for end := s.now + proposalInterval; s.now < end; s.now += stallTick {
+			s.advance()
 		}
-		held = append(held, b.held.Seconds()/stepTime.Seconds())
+		heldSteps = append(heldSteps, s.heldTime.Seconds()/stepTime.Seconds())
 	}
-	slices.Sort(held)
-	used := mapswitch.Options{LeadSteps: lead, StepTime: stepTime}
+	slices.Sort(heldSteps)
+	options := mapswitch.Options{LeadSteps: lead, StepTime: stepTime}
 	return StallResult{
 		Ranks:           ranks,
-		Lead:            used.Lead(),
-		UnreachableRank: lostRank,
-		P50:             held[len(held)/2],
-		P99:             held[len(held)*99/100],
-		Max:             held[len(held)-1],
-		Committed:       b.done,
+		Lead:            options.Lead(),
+		UnreachableRank: unreachableRank,
+		P50:             heldSteps[len(heldSteps)/2],
+		P99:             heldSteps[len(heldSteps)*99/100],
+		Max:             heldSteps[len(heldSteps)-1],
+		Committed:       s.committed,
 		Proposed:        stallSwitches,
 	}
 }
 
-func newStallBench(ranks int, lead, seed uint64) *stallBench {
-	b := &stallBench{rng: rand.New(rand.NewPCG(seed, 11)), unreachable: -1}
-	b.record, _ = b.record.Apply(mapswitch.Entry{Kind: mapswitch.EntryCreate, Group: stallGroup, Token: 1})
+func newSwitchSimulation(ranks int, lead, seed uint64) *switchSimulation {
+	s := &switchSimulation{rng: rand.New(rand.NewPCG(seed, 11)), unreachable: -1}
+	s.record, _ = s.record.Apply(mapswitch.Entry{Kind: mapswitch.EntryCreate, Group: stallGroup, Token: 1})
 	options := mapswitch.Options{StepTime: stepTime, LeadSteps: lead}
-	b.leader = mapswitch.NewCoordinator(stallGroup, ranks, 1, b.record, options)
+	s.coordinator = mapswitch.NewCoordinator(stallGroup, ranks, 1, s.record, options)
 	for id := range ranks {
 		rank := mapswitch.NewRank(id, stallGroup, 1)
-		b.ranks = append(b.ranks, rank)
-		b.send(rank.Tick(b.now))
+		s.ranks = append(s.ranks, rank)
+		s.send(rank.Tick(s.now))
 	}
 	for range 100 {
-		b.advance()
-		b.now += stallTick
+		s.advance()
+		s.now += stallTick
 	}
-	return b
+	return s
 }
 
-// advance delivers what is due, ticks the machines and runs the group's steps.
-func (b *stallBench) advance() {
-	due := b.queue
-	b.queue = nil
-	for _, d := range due {
-		if d.at <= b.now {
-			d.act()
+// advance runs the events that are due, ticks the state machines and starts the next
+// step when the current one has ended.
+func (s *switchSimulation) advance() {
+	due := s.events
+	s.events = nil
+	for _, e := range due {
+		if e.at <= s.now {
+			e.run()
 			continue
 		}
-		b.queue = append(b.queue, d)
+		s.events = append(s.events, e)
 	}
-	b.perform(b.leader.Tick(b.now))
-	for _, rank := range b.ranks {
-		b.send(rank.Tick(b.now))
+	s.execute(s.coordinator.Tick(s.now))
+	for _, rank := range s.ranks {
+		s.send(rank.Tick(s.now))
 	}
-	if b.now >= b.ends {
-		b.beginStep()
+	if s.now >= s.stepEnd {
+		s.beginStep()
 	}
 }
 
-// beginStep starts the next step once all ranks may run it.
-func (b *stallBench) beginStep() {
-	for _, rank := range b.ranks {
-		if _, ok := rank.MayRun(b.step); !ok {
-			b.held += stallTick
+// beginStep starts the next step if all ranks may run it; otherwise the group stalls
+// for a tick.
+func (s *switchSimulation) beginStep() {
+	for _, rank := range s.ranks {
+		if _, ok := rank.MayRun(s.step); !ok {
+			s.heldTime += stallTick
 			return
 		}
 	}
-	b.step++
-	b.ends = b.now + stepTime
+	s.step++
+	s.stepEnd = s.now + stepTime
 }
 
-func (b *stallBench) after(delay time.Duration, act func()) {
-	b.queue = append(b.queue, delivery{at: b.now + delay, act: act})
+func (s *switchSimulation) schedule(delay time.Duration, run func()) {
+	s.events = append(s.events, event{at: s.now + delay, run: run})
 }
 
-func (b *stallBench) latency() time.Duration {
-	if b.rng.IntN(100) == 0 {
-		return time.Duration(b.rng.IntN(30_000)) * time.Microsecond
+func (s *switchSimulation) messageDelay() time.Duration {
+	if s.rng.IntN(100) == 0 {
+		return time.Duration(s.rng.IntN(30_000)) * time.Microsecond
 	}
-	return time.Duration(500+b.rng.IntN(1000)) * time.Microsecond
+	return time.Duration(500+s.rng.IntN(1000)) * time.Microsecond
 }
 
-func (b *stallBench) commitTime() time.Duration {
-	spent := time.Duration(2000+b.rng.IntN(4000)) * time.Microsecond
-	if b.rng.IntN(100) == 0 {
-		spent += 30 * time.Millisecond
+func (s *switchSimulation) commitDelay() time.Duration {
+	delay := time.Duration(2000+s.rng.IntN(4000)) * time.Microsecond
+	if s.rng.IntN(100) == 0 {
+		delay += 30 * time.Millisecond
 	}
-	return spent
+	return delay
 }
 
-func (b *stallBench) perform(effects []mapswitch.Effect) {
+func (s *switchSimulation) execute(effects []mapswitch.Effect) {
 	for _, e := range effects {
 		if e.Kind == mapswitch.Commit {
-			b.after(b.commitTime(), func() { b.commit(e.Entry) })
+			s.schedule(s.commitDelay(), func() { s.commit(e.Entry) })
 			continue
 		}
-		if e.Message.Kind != mapswitch.KindPromise || e.Message.Rank != b.unreachable {
-			b.send([]mapswitch.Message{e.Message})
+		if e.Message.Kind != mapswitch.KindPromise || e.Message.Rank != s.unreachable {
+			s.send([]mapswitch.Message{e.Message})
 		}
 	}
 }
 
-func (b *stallBench) commit(entry mapswitch.Entry) {
-	record, err := b.record.Apply(entry)
+func (s *switchSimulation) commit(entry mapswitch.Entry) {
+	record, err := s.record.Apply(entry)
 	if err != nil {
-		return // a repetition of an entry that is applied already
+		return // duplicate of an entry that has been applied
 	}
-	b.record = record
+	s.record = record
 	if entry.Kind == mapswitch.EntryCommit {
-		b.done++
+		s.committed++
 	}
-	b.perform(b.leader.Committed(b.now, record))
+	s.execute(s.coordinator.Committed(s.now, record))
 }
 
-func (b *stallBench) send(messages []mapswitch.Message) {
+func (s *switchSimulation) send(messages []mapswitch.Message) {
 	for _, m := range messages {
-		b.after(b.latency(), func() { b.deliver(m) })
+		s.schedule(s.messageDelay(), func() { s.deliver(m) })
 	}
 }
 
-func (b *stallBench) deliver(m mapswitch.Message) {
+func (s *switchSimulation) deliver(m mapswitch.Message) {
 	switch m.Kind.Destination() {
 	case mapswitch.ToRank:
-		b.send(b.ranks[m.Rank].Step(b.now, m))
+		s.send(s.ranks[m.Rank].Step(s.now, m))
 	case mapswitch.ToCoordinator:
-		b.perform(b.leader.Step(b.now, m))
+		s.execute(s.coordinator.Step(s.now, m))
 	case mapswitch.ToControl:
-		b.send([]mapswitch.Message{mapswitch.Answer(m, b.record, true)})
+		s.send([]mapswitch.Message{mapswitch.Answer(m, s.record, true)})
 	case mapswitch.ToEngine:
 		m.Kind = mapswitch.KindLoaded
-		b.send(b.ranks[m.Rank].Step(b.now, m))
+		s.send(s.ranks[m.Rank].Step(s.now, m))
 	}
 }
