--- a/measure/eventqueue/eventqueue.go
+++ b/measure/eventqueue/eventqueue.go
@@ -1,5 +1,4 @@
-// Package eventqueue holds the events of a discrete-event simulation, ordered by
-// virtual time.
+// Package eventqueue implements the event queue of a discrete-event simulation.
 package eventqueue
 
 import (
@@ -7,21 +6,22 @@
 	"time"
 )
 
-// Queue gives out events by time; events of the same time come in the order in
-// which they were added, so that a run depends on its seed alone. The zero value
-// is empty. It is not safe for concurrent use.
+// Queue is a priority queue of events ordered by virtual time. Events with the same
+// time are returned in the order in which they were added, so that a simulation is
+// deterministic for a given seed. The zero value is an empty queue. A Queue is not
+// safe for concurrent use.
 type Queue[E any] struct {
 	items items[E]
 	added uint64
 }
 
-// Add puts in an event that happens at the given virtual time.
+// Add adds an event that happens at the given virtual time.
 func (q *Queue[E]) Add(at time.Duration, event E) {
 	q.added++
 	heap.Push(&q.items, item[E]{at: at, order: q.added, event: event})
 }
 
-// Next returns the time of the first event; false if there is none.
+// NextTime returns the time of the earliest event; ok is false if the queue is empty.
 func (q *Queue[E]) NextTime() (at time.Duration, ok bool) {
 	if len(q.items) == 0 {
 		return 0, false
@@ -29,14 +29,14 @@
 	return q.items[0].at, true
 }
 
-// Take removes the first event and returns it with its time. It panics if there
-// is none; Next tells.
+// Take removes the earliest event and returns it with its time. It panics if the
+// queue is empty, which NextTime reports.
 func (q *Queue[E]) Take() (at time.Duration, event E) {
 	first := heap.Pop(&q.items).(item[E])
 	return first.at, first.event
 }
 
-// item is an event in its place.
+// item is an event with its sort key: the time, then the order of addition.
 type item[E any] struct {
 	at    time.Duration
 	order uint64
--- a/measure/eventqueue/eventqueue_test.go
+++ b/measure/eventqueue/eventqueue_test.go
@@ -7,9 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// TestEventsOfOneTimeKeepTheirOrder demands order by time, then by addition, also
-// when events are added between takes.
-func TestEventsOfOneTimeKeepTheirOrder(t *testing.T) {
+// TestEqualTimesKeepInsertionOrder checks that events are returned by time, then in
+// the order in which they were added, also if an event is added between two calls
+// of Take.
+func TestEqualTimesKeepInsertionOrder(t *testing.T) {
 	is := is.New(t)
 	var q Queue[int]
 	for i := range 100 {
@@ -20,7 +21,7 @@
 		takenAt, event := q.Take()
 		is.Equal(takenAt, at)
 		if event == 0 {
-			q.Add(1, 101) // after all that are there for that time
+			q.Add(1, 101) // returned after all earlier events with the same time
 		}
 		taken = append(taken, event)
 	}
