--- a/measure/picking/cache.go
+++ b/measure/picking/cache.go
@@ -1,12 +1,14 @@
 package picking
 
-// blockCache is an engine's prefix cache: blocks in least-recently-used order
-// within a bounded memory. It keeps the changes that are yet to be published.
+// blockCache is an engine's prefix cache: an LRU cache of prompt blocks that records
+// the changes to be published.
 type blockCache struct {
 	capacity int
 	nodes    map[uint64]*blockNode
-	// newest and oldest are the ends of the list of use.
-	newest, oldest  *blockNode
+	// newest and oldest are the ends of the LRU list.
+	newest, oldest *blockNode
+	// stored and removed are the blocks added and evicted since the last
+	// takeChanges.
 	stored, removed []uint64
 }
 
@@ -19,8 +21,8 @@
 	return &blockCache{capacity: capacity, nodes: map[uint64]*blockNode{}}
 }
 
-// match returns the number of leading blocks in the cache.
-func (c *blockCache) match(blocks []uint64) int {
+// matchPrefix returns the number of leading blocks that are cached.
+func (c *blockCache) matchPrefix(blocks []uint64) int {
 	n := 0
 	for n < len(blocks) && c.nodes[blocks[n]] != nil {
 		n++
@@ -28,9 +30,9 @@
 	return n
 }
 
-// use puts the blocks into the cache as the newest, the first one last, so
-// that the ends of prompts are evicted before their beginnings.
-func (c *blockCache) use(blocks []uint64) {
+// insert adds the blocks or marks them as recently used, in reverse order, so that
+// the end of a prompt is evicted before its beginning.
+func (c *blockCache) insert(blocks []uint64) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		node := c.nodes[blocks[i]]
 		if node == nil {
@@ -40,19 +42,19 @@
 		} else {
 			c.unlink(node)
 		}
-		c.link(node)
+		c.linkNewest(node)
 	}
 	for len(c.nodes) > c.capacity {
-		last := c.oldest
-		c.unlink(last)
-		delete(c.nodes, last.block)
-		c.removed = append(c.removed, last.block)
+		oldest := c.oldest
+		c.unlink(oldest)
+		delete(c.nodes, oldest.block)
+		c.removed = append(c.removed, oldest.block)
 	}
 }
 
-// publish returns the changes since the last call, those that undid each other
-// left out.
-func (c *blockCache) publish() (stored, removed []uint64) {
+// takeChanges returns the blocks added and evicted since the last call, without
+// those that have been evicted or added again since.
+func (c *blockCache) takeChanges() (stored, removed []uint64) {
 	for _, block := range c.stored {
 		if c.nodes[block] != nil {
 			stored = append(stored, block)
@@ -67,7 +69,7 @@
 	return stored, removed
 }
 
-func (c *blockCache) link(node *blockNode) {
+func (c *blockCache) linkNewest(node *blockNode) {
 	node.older, node.newer = c.newest, nil
 	if c.newest != nil {
 		c.newest.newer = node
--- a/measure/picking/clock.go
+++ b/measure/picking/clock.go
@@ -6,17 +6,17 @@
 	"github.com/lilackeel/lilackeel/measure/eventqueue"
 )
 
-// clock is virtual time with a queue of events. Events at the same time run in
-// the order in which they were set.
+// clock is a virtual clock with an event queue. Events at the same time run in the
+// order in which they were scheduled.
 type clock struct {
 	now   time.Duration
 	queue eventqueue.Queue[func()]
 }
 
-// after runs f when d has passed.
+// after schedules f to run after d.
 func (c *clock) after(d time.Duration, f func()) { c.queue.Add(c.now+max(d, 0), f) }
 
-// runUntil runs all events up to the given time.
+// runUntil advances the clock to end and runs all events up to then.
 func (c *clock) runUntil(end time.Duration) {
 	for at, ok := c.queue.NextTime(); ok && at <= end; at, ok = c.queue.NextTime() {
 		var run func()
--- a/measure/picking/compare.go
+++ b/measure/picking/compare.go
@@ -3,67 +3,68 @@
 import "sync"
 
 const (
-	// seedsPerFigure is the number of runs whose mean a figure is.
-	seedsPerFigure = 3
-	// workers is the number of runs at a time.
+	// seedsPerResult is the number of runs, each with its own seed, whose mean is
+	// reported.
+	seedsPerResult = 3
+	// workers is the maximum number of concurrent runs.
 	workers = 4
 )
 
-// job is one policy in one scenario.
+// job is the measurement of one policy in one scenario.
 type job struct {
 	scenario scenario
 	policy   policy
 	seeds    int
-	// runs are the figures of each seed, mean their mean.
-	runs []figures
-	mean figures
+	// runs has one result for each seed; mean is their mean.
+	runs []summary
+	mean summary
 }
 
-// runJobs runs all jobs, each with its seeds, a few at a time. The result does
-// not depend on how many.
+// runJobs runs all jobs, each with its number of seeds. The results do not depend on
+// the number of concurrent runs.
 func runJobs(seed uint64, jobs []*job) {
-	limit := make(chan struct{}, workers)
-	var group sync.WaitGroup
+	semaphore := make(chan struct{}, workers)
+	var wg sync.WaitGroup
 	for _, j := range jobs {
-		j.runs = make([]figures, j.seeds)
+		j.runs = make([]summary, j.seeds)
 		for i := range j.runs {
-			limit <- struct{}{}
-			group.Go(func() {
+			semaphore <- struct{}{}
+			wg.Go(func() {
 				j.runs[i] = runOnce(j.scenario, j.policy, seed+uint64(i))
-				<-limit
+				<-semaphore
 			})
 		}
 	}
-	group.Wait()
+	wg.Wait()
 	for _, j := range jobs {
-		for _, f := range j.runs {
-			j.mean.add(f, 1/float64(j.seeds))
+		for _, run := range j.runs {
+			j.mean.addScaled(run, 1/float64(j.seeds))
 		}
 	}
 }
 
-// runOnce runs one policy in one scenario. The arrivals are a function of the
-// scenario and the seed alone.
-func runOnce(sc scenario, p policy, seed uint64) figures {
-	return newSim(sc, p, seed).run(sc.load.arrivals(seed)).figures()
+// runOnce simulates one policy in one scenario. The arrivals depend only on the
+// scenario and the seed.
+func runOnce(sc scenario, p policy, seed uint64) summary {
+	return newSim(sc, p, seed).run(sc.workload.generateArrivals(seed)).summarize()
 }
 
-// compareJobs are the jobs of the main comparison.
+// compareJobs returns the jobs of the main comparison.
 func compareJobs() []*job {
 	var jobs []*job
 	for _, sc := range scenarios() {
-		for _, p := range compared() {
-			jobs = append(jobs, &job{scenario: sc, policy: p, seeds: seedsPerFigure})
+		for _, p := range comparedPolicies() {
+			jobs = append(jobs, &job{scenario: sc, policy: p, seeds: seedsPerResult})
 		}
 	}
 	return jobs
 }
 
-// variantJobs are the jobs of the variants.
+// variantJobs returns the jobs for the variants of the entry's policy.
 func variantJobs() []*job {
 	var jobs []*job
-	for _, p := range variants() {
-		jobs = append(jobs, &job{scenario: baseScenario(), policy: p, seeds: seedsPerFigure})
+	for _, p := range policyVariants() {
+		jobs = append(jobs, &job{scenario: baseScenario(), policy: p, seeds: seedsPerResult})
 	}
 	return append(jobs, faultVariants()...)
 }
--- a/measure/picking/ejection.go
+++ b/measure/picking/ejection.go
@@ -10,181 +10,192 @@
 )
 
 const (
-	ejectionSpan = time.Hour
-	// sampleEvery is the time between samples of one endpoint.
-	sampleEvery = 250 * time.Millisecond
-	// usualLatency is the median latency of a healthy endpoint.
-	usualLatency = 10 * time.Millisecond
+	// faultFreeTime is the time without a fault over which false ejections are
+	// counted.
+	faultFreeTime = time.Hour
+	// sampleInterval is the time between samples of one endpoint.
+	sampleInterval = 250 * time.Millisecond
+	// medianLatency is the median latency of a healthy endpoint.
+	medianLatency = 10 * time.Millisecond
 )
 
-// noise is how latencies vary at healthy endpoints.
-type noise struct {
+// latencyNoise describes how the latencies of healthy endpoints vary.
+type latencyNoise struct {
 	name string
-	// sigma is the standard deviation of the logarithm.
+	// sigma is the standard deviation of the logarithm of the latency.
 	sigma float64
-	// tail is the share of samples that take tailFactor times as long.
-	tail, tailFactor float64
-	// peak multiplies all endpoints' latencies in the last minute of each
-	// peakEvery.
-	peak      float64
-	peakEvery time.Duration
+	// tailShare is the share of samples that take tailFactor times as long.
+	tailShare, tailFactor float64
+	// peakFactor multiplies the latencies of all endpoints in the last minute of
+	// each peakInterval.
+	peakFactor   float64
+	peakInterval time.Duration
 }
 
-func noises() []noise {
-	return []noise{
-		{name: "sigma 0.3", sigma: 0.3, peak: 1},
-		{name: "sigma 0.8", sigma: 0.8, peak: 1},
-		{name: "sigma 0.5, 2% take 20 times as long", sigma: 0.5, tail: 0.02, tailFactor: 20, peak: 1},
-		{name: "sigma 0.5, all 4 times slower 1 minute in 10", sigma: 0.5, peak: 4, peakEvery: 10 * time.Minute},
+func latencyNoises() []latencyNoise {
+	return []latencyNoise{
+		{name: "sigma 0.3", sigma: 0.3, peakFactor: 1},
+		{name: "sigma 0.8", sigma: 0.8, peakFactor: 1},
+		{name: "sigma 0.5, 2% take 20 times as long", sigma: 0.5, tailShare: 0.02, tailFactor: 20, peakFactor: 1},
+		{name: "sigma 0.5, all 4 times slower 1 minute in 10", sigma: 0.5, peakFactor: 4, peakInterval: 10 * time.Minute},
 	}
 }
 
-// sample draws the latency of a healthy endpoint.
-func (n noise) sample(rng *rand.Rand, now time.Duration) time.Duration {
-	latency := float64(usualLatency) * math.Exp(n.sigma*rng.NormFloat64())
-	if rng.Float64() < n.tail {
+// sample returns a random latency of a healthy endpoint.
+func (n latencyNoise) sample(rng *rand.Rand, now time.Duration) time.Duration {
+	latency := float64(medianLatency) * math.Exp(n.sigma*rng.NormFloat64())
+	if rng.Float64() < n.tailShare {
 		latency *= n.tailFactor
 	}
-	if n.peakEvery > 0 && now%n.peakEvery > n.peakEvery-time.Minute {
-		latency *= n.peak
+	if n.peakInterval > 0 && now%n.peakInterval > n.peakInterval-time.Minute {
+		latency *= n.peakFactor
 	}
 	return time.Duration(latency)
 }
 
-// judge is what the ejection figures are measured of.
-type judge interface {
+// detector is the part of outlier.Detector that is measured. The baseline fixedLimit
+// implements it, too.
+type detector interface {
 	Observe(now time.Duration, peers, id string, s outlier.Sample)
 	Tick(now time.Duration)
 	Share(now time.Duration, id string) float64
 	Ejections(id string) int
 }
 
-// ejectionRule is a way to eject.
+// ejectionRule is a named configuration of an ejection detector.
 type ejectionRule struct {
-	name string
-	make func() judge
+	name        string
+	newDetector func() detector
 }
 
 func ejectionRules() []ejectionRule {
-	detector := func(cfg outlier.Config) func() judge {
-		return func() judge { return outlier.New(cfg) }
+	outlierDetector := func(cfg outlier.Config) func() detector {
+		return func() detector { return outlier.New(cfg) }
 	}
 	return []ejectionRule{
-		{"as it stands", detector(outlier.Config{})},
-		{"one strike", detector(outlier.Config{ConsecutiveBad: 1})},
-		{"2 deviations, no ratio", detector(outlier.Config{StdDevFactor: 2, SlowRatio: 1.01})},
-		{"fixed limit of twice the usual", func() judge { return &fixedLimit{limit: 2 * usualLatency, ends: map[string]*fixedState{}} }},
-	}
-}
-
-// ejectionFigures are the numbers of one rule under one noise.
-type ejectionFigures struct {
-	// falsePerHour is the ejections of healthy endpoints per endpoint and hour.
-	falsePerHour float64
-	// mostOut is the largest share of endpoints out of rotation at a time.
-	mostOut float64
-	// foundIn is the time to eject an endpoint that becomes 3 times slower,
-	// fullAfter the time from its recovery to its full share; negative: never.
-	foundIn, fullAfter time.Duration
-}
-
-// runEjection measures a rule over an hour without a fault, then with one.
-func runEjection(n noise, rule ejectionRule, size int, seed uint64) ejectionFigures {
+		{"as it stands", outlierDetector(outlier.Config{})},
+		{"one strike", outlierDetector(outlier.Config{ConsecutiveBad: 1})},
+		{"2 deviations, no ratio", outlierDetector(outlier.Config{StdDevFactor: 2, SlowRatio: 1.01})},
+		{"fixed limit of twice the usual", func() detector { return &fixedLimit{limit: 2 * medianLatency, states: map[string]*limitState{}} }},
+	}
+}
+
+// ejectionResult is the result of one rule under one noise.
+type ejectionResult struct {
+	// falseEjectionsPerHour is the number of ejections of healthy endpoints per
+	// endpoint and hour.
+	falseEjectionsPerHour float64
+	// maxEjectedShare is the largest share of endpoints that were ejected at the same
+	// time.
+	maxEjectedShare float64
+	// timeToEject is the time from when an endpoint becomes 3 times slower to its
+	// ejection, timeToFullShare the time from its recovery to its full share of the
+	// traffic. Negative: it did not happen.
+	timeToEject, timeToFullShare time.Duration
+}
+
+// runEjection measures a rule over an hour without a fault, then with a slow
+// endpoint.
+func runEjection(noise latencyNoise, rule ejectionRule, size int, seed uint64) ejectionResult {
 	rng := rand.New(rand.NewPCG(seed, 0xe1))
 	ids := make([]string, size)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("engine-%02d", i)
 	}
-	var f ejectionFigures
-	j := rule.make()
-	run := ejectionRun{noise: n, judge: j, rng: rng, ids: ids}
-	for now := time.Duration(0); now < ejectionSpan; now += sampleEvery {
+	var result ejectionResult
+	d := rule.newDetector()
+	run := ejectionRun{noise: noise, detector: d, rng: rng, ids: ids}
+	for now := time.Duration(0); now < faultFreeTime; now += sampleInterval {
 		run.step(now, 1)
-		f.mostOut = math.Max(f.mostOut, run.out(now))
+		result.maxEjectedShare = math.Max(result.maxEjectedShare, run.ejectedShare(now))
 	}
 	for _, id := range ids {
-		f.falsePerHour += float64(j.Ejections(id)) / float64(size) / ejectionSpan.Hours()
+		result.falseEjectionsPerHour += float64(d.Ejections(id)) / float64(size) / faultFreeTime.Hours()
 	}
-	f.foundIn, f.fullAfter = run.fault(ejectionSpan)
-	return f
+	result.timeToEject, result.timeToFullShare = run.measureSlowdown(faultFreeTime)
+	return result
 }
 
-// ejectionRun drives a judge.
+// ejectionRun feeds samples to a detector.
 type ejectionRun struct {
-	noise noise
-	judge judge
-	rng   *rand.Rand
-	ids   []string
+	noise    latencyNoise
+	detector detector
+	rng      *rand.Rand
+	ids      []string
 }
 
-// step gives each endpoint a sample, the first one slowed by the factor.
+// step observes one sample of each endpoint. The latency of the first endpoint is
+// multiplied by factor.
 func (r *ejectionRun) step(now time.Duration, factor float64) {
 	for i, id := range r.ids {
 		latency := r.noise.sample(r.rng, now)
 		if i == 0 {
 			latency = time.Duration(float64(latency) * factor)
 		}
-		r.judge.Observe(now, "peers", id, outlier.Sample{Latency: latency})
+		r.detector.Observe(now, "peers", id, outlier.Sample{Latency: latency})
 	}
 	if now%time.Second == 0 {
-		r.judge.Tick(now)
+		r.detector.Tick(now)
 	}
 }
 
-// out is the share of endpoints out of rotation.
-func (r *ejectionRun) out(now time.Duration) float64 {
-	out := 0
+// ejectedShare returns the share of endpoints that are ejected.
+func (r *ejectionRun) ejectedShare(now time.Duration) float64 {
+	ejected := 0
 	for _, id := range r.ids {
-		if r.judge.Share(now, id) == 0 {
-			out++
+		if r.detector.Share(now, id) == 0 {
+			ejected++
 		}
 	}
-	return float64(out) / float64(len(r.ids))
+	return float64(ejected) / float64(len(r.ids))
 }
 
-// fault slows the first endpoint for two minutes.
-func (r *ejectionRun) fault(start time.Duration) (foundIn, fullAfter time.Duration) {
+// measureSlowdown slows the first endpoint down for two minutes and returns the
+// detector's reaction times; see ejectionResult.
+func (r *ejectionRun) measureSlowdown(start time.Duration) (timeToEject, timeToFullShare time.Duration) {
 	const (
-		slowFor = 2 * time.Minute
-		watch   = 20 * time.Minute
-		factor  = 3
+		slowPeriod     = 2 * time.Minute
+		recoveryPeriod = 20 * time.Minute
+		slowdown       = 3
 	)
-	foundIn, fullAfter = -1, -1
+	timeToEject, timeToFullShare = -1, -1
 	now := start
-	for ; now < start+slowFor; now += sampleEvery {
-		r.step(now, factor)
-		if foundIn < 0 && r.judge.Share(now, r.ids[0]) == 0 {
-			foundIn = now - start
+	for ; now < start+slowPeriod; now += sampleInterval {
+		r.step(now, slowdown)
+		if timeToEject < 0 && r.detector.Share(now, r.ids[0]) == 0 {
+			timeToEject = now - start
 		}
 	}
-	for ; now < start+slowFor+watch; now += sampleEvery {
+	for ; now < start+slowPeriod+recoveryPeriod; now += sampleInterval {
 		r.step(now, 1)
-		if r.judge.Share(now, r.ids[0]) == 1 {
-			return foundIn, now - start - slowFor
+		if r.detector.Share(now, r.ids[0]) == 1 {
+			return timeToEject, now - start - slowPeriod
 		}
 	}
-	return foundIn, fullAfter
+	return timeToEject, timeToFullShare
 }
 
-// fixedLimit is the baseline that knows no peers: an endpoint whose mean over
-// eight samples exceeds the limit is out for ten seconds.
+// fixedLimit is a baseline that does not compare an endpoint with its peers: an
+// endpoint whose mean latency over eight samples exceeds the limit is ejected for ten
+// seconds.
 type fixedLimit struct {
-	limit time.Duration
-	ends  map[string]*fixedState
+	limit  time.Duration
+	states map[string]*limitState
 }
 
-type fixedState struct {
-	sum       time.Duration
-	count     int
-	until     time.Duration
-	ejections int
+// limitState is the state of one endpoint.
+type limitState struct {
+	sum          time.Duration
+	count        int
+	ejectedUntil time.Duration
+	ejections    int
 }
 
 func (f *fixedLimit) Observe(now time.Duration, _, id string, s outlier.Sample) {
-	state := f.ends[id]
+	state := f.states[id]
 	if state == nil {
-		state = &fixedState{}
-		f.ends[id] = state
+		state = &limitState{}
+		f.states[id] = state
 	}
 	state.sum += s.Latency
 	state.count++
@@ -193,8 +204,8 @@
 	}
 	mean := state.sum / time.Duration(state.count)
 	state.sum, state.count = 0, 0
-	if mean > f.limit && now >= state.until {
-		state.until = now + outlier.DefaultBaseEjectionTime
+	if mean > f.limit && now >= state.ejectedUntil {
+		state.ejectedUntil = now + outlier.DefaultBaseEjectionTime
 		state.ejections++
 	}
 }
@@ -202,14 +213,14 @@
 func (f *fixedLimit) Tick(time.Duration) {}
 
 func (f *fixedLimit) Share(now time.Duration, id string) float64 {
-	if state := f.ends[id]; state != nil && now < state.until {
+	if state := f.states[id]; state != nil && now < state.ejectedUntil {
 		return 0
 	}
 	return 1
 }
 
 func (f *fixedLimit) Ejections(id string) int {
-	if state := f.ends[id]; state != nil {
+	if state := f.states[id]; state != nil {
 		return state.ejections
 	}
 	return 0
--- a/measure/picking/engine.go
+++ b/measure/picking/engine.go
@@ -6,52 +6,54 @@
 	"github.com/lilackeel/lilackeel/endpoint"
 )
 
-// The model of an engine. A step takes stepBase, plus stepPerRequest for each
-// request of the fullest rank, plus stepPerToken for each prompt token of the
-// rank that computes most of them.
+// Parameters of the engine model. The compute time of a rank in a step is stepBase,
+// plus stepPerRequest for each running request, plus stepPerToken for each prompt
+// token; a step of a group takes as long as its slowest rank.
 const (
 	stepBase       = 4500 * time.Microsecond
 	stepPerRequest = 100 * time.Microsecond
 	stepPerToken   = 30 * time.Microsecond
-	// chunkTokens is the number of prompt tokens that a rank computes a step.
-	chunkTokens = 256
-	// engineSlots is the number of requests that a rank runs at once.
+	// maxChunkTokens is the maximum number of prompt tokens that a rank computes in a
+	// step.
+	maxChunkTokens = 256
+	// engineSlots is the maximum number of requests that a rank runs concurrently.
 	engineSlots = 32
 	// residentAdapters is the number of adapters in an engine's memory, and
-	// adapterLoad the time to load another.
+	// adapterLoadTime the time to load another one.
 	residentAdapters = 2
-	adapterLoad      = 200 * time.Millisecond
+	adapterLoadTime  = 200 * time.Millisecond
 )
 
-// lockstep is a group of ranks that step together; a stand-alone engine is a
-// group of one.
-type lockstep struct {
+// rankGroup is a group of ranks whose steps are synchronized. A stand-alone engine is
+// a group of one.
+type rankGroup struct {
 	sim      *sim
 	ranks    []*rank
 	stepping bool
 }
 
-// rank is one engine.
+// rank is the engine of one rank.
 type rank struct {
 	record endpoint.Endpoint
-	group  *lockstep
+	group  *rankGroup
 	cache  *blockCache
-	// slow multiplies the rank's compute time.
-	slow float64
-	// lies is true when the rank reports that it has nothing to do.
-	lies bool
+	// slowdown is the factor applied to the rank's compute time.
+	slowdown float64
+	// reportsIdle makes the rank report that it has no load.
+	reportsIdle bool
 
 	waiting  []*call
 	prefills []*call
 	running  []*call
 	adapters []string
 
-	chunk int
-	// Means over recent steps, as the rank reports them.
+	// chunkSize is the number of prompt tokens in the current step.
+	chunkSize int
+	// Moving averages over recent steps, as reported by the rank.
 	stepTime, ownStep time.Duration
 	prefillRate       float64
 	eventSeq          uint64
-	arrivals          int
+	windowArrivals    int
 }
 
 // call is one call at a rank.
@@ -59,34 +61,35 @@
 	*arrival
 	entry   *entry
 	attempt *attempt
-	// ready is when the call's adapter is loaded.
-	ready time.Duration
-	// left is the prompt tokens still to compute, remaining the tokens still to
-	// produce.
-	left, remaining int
-	matched         int
-	imported        int
+	// readyAt is the time when the call's adapter is loaded.
+	readyAt time.Duration
+	// prefillLeft is the number of prompt tokens still to compute, tokensLeft the
+	// number of tokens still to generate.
+	prefillLeft, tokensLeft int
+	cachedBlocks            int
+	importedBlocks          int
 }
 
-// accept takes a call in.
+// accept queues a call and starts to load its adapter.
 func (r *rank) accept(c *call) {
-	r.arrivals++
-	c.remaining = max(c.answerTokens, 1)
-	c.ready = r.group.sim.clock.now + r.loadAdapter(c.adapter)
+	r.windowArrivals++
+	c.tokensLeft = max(c.answerTokens, 1)
+	c.readyAt = r.group.sim.clock.now + r.loadAdapter(c.adapter)
 	r.waiting = append(r.waiting, c)
-	if wait := c.ready - r.group.sim.clock.now; wait > 0 {
-		r.group.sim.clock.after(wait, r.group.wake)
+	if wait := c.readyAt - r.group.sim.clock.now; wait > 0 {
+		r.group.sim.clock.after(wait, r.group.startStepIfIdle)
 	}
-	r.group.wake()
+	r.group.startStepIfIdle()
 }
 
-// loadAdapter makes the adapter resident and returns the time that it takes.
+// loadAdapter makes the adapter resident, evicts the least recently used one if
+// necessary, and returns the time that the loading takes.
 func (r *rank) loadAdapter(name string) time.Duration {
 	if name == "" {
 		return 0
 	}
-	for i, held := range r.adapters {
-		if held == name {
+	for i, resident := range r.adapters {
+		if resident == name {
 			r.adapters = append(append(r.adapters[:i], r.adapters[i+1:]...), name)
 			return 0
 		}
@@ -95,38 +98,38 @@
 	if len(r.adapters) > residentAdapters {
 		r.adapters = r.adapters[1:]
 	}
-	return adapterLoad
+	return adapterLoadTime
 }
 
-// wake starts a step if there is work and none is under way.
-func (g *lockstep) wake() {
+// startStepIfIdle starts a step if there is work and no step is in progress.
+func (g *rankGroup) startStepIfIdle() {
 	if g.stepping || !g.admit() {
 		return
 	}
 	g.stepping = true
 	length := time.Duration(0)
 	for _, r := range g.ranks {
-		own := r.plan()
-		length = max(length, own)
+		computeTime := r.planStep()
+		length = max(length, computeTime)
 	}
 	for _, r := range g.ranks {
-		r.measure(length)
+		r.updateMeans(length)
 	}
-	g.sim.clock.after(length, func() { g.finish(length) })
+	g.sim.clock.after(length, func() { g.finishStep(length) })
 }
 
-// admit gives free slots to waiting calls and reports whether there is work.
-func (g *lockstep) admit() bool {
+// admit moves waiting calls into free slots and reports whether there is work.
+func (g *rankGroup) admit() bool {
 	busy := false
 	for _, r := range g.ranks {
 		kept := r.waiting[:0]
 		for _, c := range r.waiting {
-			if len(r.running)+len(r.prefills) >= engineSlots || c.ready > g.sim.clock.now {
+			if len(r.running)+len(r.prefills) >= engineSlots || c.readyAt > g.sim.clock.now {
 				kept = append(kept, c)
 				continue
 			}
-			c.matched = max(r.cache.match(c.prompt), c.imported)
-			c.left = max(c.promptTokens-c.matched*blockTokens, 1)
+			c.cachedBlocks = max(r.cache.matchPrefix(c.prompt), c.importedBlocks)
+			c.prefillLeft = max(c.promptTokens-c.cachedBlocks*blockTokens, 1)
 			r.prefills = append(r.prefills, c)
 		}
 		r.waiting = kept
@@ -135,75 +138,78 @@
 	return busy
 }
 
-// plan chooses the prompt tokens of the step and returns its compute time.
-func (r *rank) plan() time.Duration {
-	budget := chunkTokens
+// planStep allocates the prompt tokens of the step to the calls in prefill and
+// returns the compute time of the rank.
+func (r *rank) planStep() time.Duration {
+	budget := maxChunkTokens
 	for _, c := range r.prefills {
-		take := min(budget, c.left)
-		c.left -= take
-		budget -= take
+		tokens := min(budget, c.prefillLeft)
+		c.prefillLeft -= tokens
+		budget -= tokens
 	}
-	r.chunk = chunkTokens - budget
-	own := stepBase + time.Duration(len(r.running))*stepPerRequest + time.Duration(r.chunk)*stepPerToken
-	own = time.Duration(float64(own) * r.slow)
-	r.ownStep += (own - r.ownStep) / 16
-	return own
+	r.chunkSize = maxChunkTokens - budget
+	computeTime := stepBase + time.Duration(len(r.running))*stepPerRequest + time.Duration(r.chunkSize)*stepPerToken
+	computeTime = time.Duration(float64(computeTime) * r.slowdown)
+	r.ownStep += (computeTime - r.ownStep) / 16
+	return computeTime
 }
 
-// measure updates what the rank reports.
-func (r *rank) measure(length time.Duration) {
+// updateMeans updates the moving averages that the rank reports. The prefill rate is
+// only measured in steps with a full chunk.
+func (r *rank) updateMeans(length time.Duration) {
 	r.stepTime += (length - r.stepTime) / 16
-	if r.chunk < chunkTokens {
+	if r.chunkSize < maxChunkTokens {
 		return
 	}
-	rate := float64(r.chunk) / length.Seconds()
+	rate := float64(r.chunkSize) / length.Seconds()
 	r.prefillRate += (rate - r.prefillRate) / 16
 }
 
-// finish ends a step: one token for each running call, first tokens for the
-// prompts that are done.
-func (g *lockstep) finish(length time.Duration) {
-	g.sim.metrics.step(g, length)
+// finishStep ends a step: each running call gets a token, and each call whose prompt
+// is computed gets its first token.
+func (g *rankGroup) finishStep(length time.Duration) {
+	g.sim.metrics.recordStep(g, length)
 	for _, r := range g.ranks {
-		r.produce()
-		r.begin()
+		r.decode()
+		r.startDecoding()
 	}
 	g.stepping = false
-	g.wake()
+	g.startStepIfIdle()
 }
 
-// produce gives each running call a token.
-func (r *rank) produce() {
+// decode generates one token for each running call.
+func (r *rank) decode() {
 	kept := r.running[:0]
 	for _, c := range r.running {
-		c.remaining--
-		if c.remaining > 0 {
+		c.tokensLeft--
+		if c.tokensLeft > 0 {
 			kept = append(kept, c)
 			continue
 		}
-		r.cache.use(c.whole)
-		c.entry.finished(c)
+		r.cache.insert(c.fullSequence)
+		c.entry.onFinished(c)
 	}
 	r.running = kept
 }
 
-// begin moves the calls whose prompt is computed to the running ones.
-func (r *rank) begin() {
+// startDecoding generates the first token of each call whose prompt is computed and
+// moves it to the running calls.
+func (r *rank) startDecoding() {
 	kept := r.prefills[:0]
 	for _, c := range r.prefills {
-		if c.left > 0 {
+		if c.prefillLeft > 0 {
 			kept = append(kept, c)
 			continue
 		}
-		r.cache.use(c.prompt)
-		r.group.sim.metrics.firstToken(c, r.group.sim.clock.now)
-		c.entry.firstToken(c)
-		c.remaining--
-		if c.remaining > 0 {
+		r.cache.insert(c.prompt)
+		r.group.sim.metrics.recordFirstToken(c, r.group.sim.clock.now)
+		c.entry.onFirstToken(c)
+		c.tokensLeft--
+		if c.tokensLeft > 0 {
 			r.running = append(r.running, c)
 			continue
 		}
-		c.entry.finished(c)
+		c.entry.onFinished(c)
 	}
 	r.prefills = kept
 }
--- a/measure/picking/entry.go
+++ b/measure/picking/entry.go
@@ -15,26 +15,26 @@
 // One-way delays between an entry and an endpoint.
 const (
 	sameZoneDelay  = 500 * time.Microsecond
-	otherZoneDelay = 1500 * time.Microsecond
+	crossZoneDelay = 1500 * time.Microsecond
 )
 
-// entry is one entry with its own view of the fleet.
+// entry is one entry. Each has its own view of the fleet.
 type entry struct {
-	sim      *sim
-	zone     string
-	rng      *rand.Rand
-	loads    *load.Tracker
-	index    *prefix.Index
-	outliers *outlier.Detector
-	picker   *pick.Picker
-	turn     int
+	sim             *sim
+	zone            string
+	rng             *rand.Rand
+	loads           *load.Tracker
+	index           *prefix.Index
+	outliers        *outlier.Detector
+	picker          *pick.Picker
+	roundRobinIndex int
 }
 
-// attempt is a call that the entry has dispatched.
+// attempt is the dispatch of a call to a rank.
 type attempt struct {
-	tracked load.Call
-	rank    *rank
-	delay   time.Duration
+	trackedCall  load.Call
+	rank         *rank
+	networkDelay time.Duration
 }
 
 func newEntry(s *sim, i int) *entry {
@@ -47,18 +47,19 @@
 		index:    prefix.New(p.prefix),
 		outliers: outlier.New(p.outlier),
 	}
-	e.turn = e.rng.IntN(len(s.ranks))
+	e.roundRobinIndex = e.rng.IntN(len(s.ranks))
 	e.picker = pick.New(p.pick, s.table, e.loads, e.index, e.outliers)
 	return e
 }
 
-// arrive dispatches a call, or asks again later when the picker refuses it.
-func (e *entry) arrive(a *arrival) {
+// handleArrival dispatches a call. If the policy refuses it, the call arrives again
+// after the delay that the refusal demands.
+func (e *entry) handleArrival(a *arrival) {
 	r := e.request(a)
 	id, explain, err := e.sim.policy.choose(e, r)
 	if err != nil {
 		e.sim.metrics.refused++
-		e.sim.clock.after(retryAfter(err), func() { e.arrive(a) })
+		e.sim.clock.after(retryAfter(err), func() { e.handleArrival(a) })
 		return
 	}
 	e.dispatch(a, e.sim.byID[id], explain)
@@ -71,10 +72,11 @@
 	}
 }
 
+// retryAfter returns the delay after which a refused call may be retried.
 func retryAfter(err error) time.Duration {
 	f := fault.As(err)
 	if f == nil || f.RetryAfter <= 0 {
-		panic(fmt.Sprintf("a refusal that cannot be repeated: %v", err))
+		panic(fmt.Sprintf("picker refused a call without a retry delay: %v", err))
 	}
 	return f.RetryAfter
 }
@@ -87,39 +89,40 @@
 		matched = explain.ImportBlocks
 	}
 	work := load.Work{PromptTokens: a.promptTokens - matched*blockTokens, MaxTokens: a.answerTokens}
-	t := &attempt{tracked: e.loads.Sent(now, r.record.ID, work), rank: r, delay: otherZoneDelay}
+	t := &attempt{trackedCall: e.loads.Sent(now, r.record.ID, work), rank: r, networkDelay: crossZoneDelay}
 	if r.record.Zone == e.zone {
-		t.delay = sameZoneDelay
+		t.networkDelay = sameZoneDelay
 	}
 	if e.sim.policy.usesIndex {
 		e.index.Sent(now, r.record.ID, a.prompt)
 	}
 	c := &call{arrival: a, entry: e, attempt: t}
-	delay := t.delay + e.sim.importTime(c, explain)
-	e.sim.metrics.sent(c)
+	delay := t.networkDelay + e.sim.startImport(c, explain)
+	e.sim.metrics.recordDispatch(c)
 	e.sim.clock.after(delay, func() { r.accept(c) })
 }
 
-// firstToken is called by the rank; the entry hears of it a delay later.
-func (e *entry) firstToken(c *call) {
-	e.sim.clock.after(c.attempt.delay, func() {
-		e.loads.FirstToken(e.sim.clock.now, &c.attempt.tracked)
+// onFirstToken is called by the rank when it has produced the first token, which
+// reaches the entry after the network delay.
+func (e *entry) onFirstToken(c *call) {
+	e.sim.clock.after(c.attempt.networkDelay, func() {
+		e.loads.FirstToken(e.sim.clock.now, &c.attempt.trackedCall)
 	})
 }
 
-// finished is called by the rank after the last token.
-func (e *entry) finished(c *call) {
-	e.sim.clock.after(c.attempt.delay, func() { e.done(c) })
+// onFinished is called by the rank when it has produced the last token.
+func (e *entry) onFinished(c *call) {
+	e.sim.clock.after(c.attempt.networkDelay, func() { e.complete(c) })
 }
 
-// done ends the call at the entry.
-func (e *entry) done(c *call) {
-	e.loads.Done(e.sim.clock.now, &c.attempt.tracked, load.Result{Tokens: c.answerTokens})
+// complete ends the call at the entry.
+func (e *entry) complete(c *call) {
+	e.loads.Done(e.sim.clock.now, &c.attempt.trackedCall, load.Result{Tokens: c.answerTokens})
 }
 
-// takeReport takes in one rank's report. A rank is judged against its group, a
-// stand-alone engine against its pool.
-func (e *entry) takeReport(r *rank, report load.Report) {
+// handleReport processes the load report of a rank. For outlier detection, a rank is
+// compared with its group, a stand-alone engine with its pool.
+func (e *entry) handleReport(r *rank, report load.Report) {
 	e.loads.Report(e.sim.clock.now, r.record.ID, report)
 	peers := r.record.Group
 	if peers == "" {
--- a/measure/picking/metrics.go
+++ b/measure/picking/metrics.go
@@ -7,57 +7,63 @@
 )
 
 const (
-	// gapResolution is the resolution of the histogram of times between tokens.
-	gapResolution = 100 * time.Microsecond
-	gapBuckets    = 5000
+	// interTokenResolution is the bucket width of the histogram of inter-token
+	// latencies.
+	interTokenResolution = 100 * time.Microsecond
+	interTokenBuckets    = 5000
 )
 
-// metrics is what one run measures of the calls that arrived after the warm-up.
+// metrics holds the measurements of one run. Calls that arrived during the warm-up
+// are not counted.
 type metrics struct {
-	sim         *sim
-	firstTokens []time.Duration
-	gaps        [gapBuckets]int
-	gapCount    int
-	matched     int
-	blocks      int
-	// skews are time-weighted sums of the busiest rank over the mean rank.
+	sim              *sim
+	firstTokenTimes  []time.Duration
+	interTokenCounts [interTokenBuckets]int
+	interTokenTotal  int
+	cachedBlocks     int
+	promptBlocks     int
+	// skewSum / skewTime is the time-weighted mean of the skew of a group: the
+	// running calls of its busiest rank divided by the mean of its ranks.
 	skewSum, skewTime float64
-	// bursts are the busiest rank's arrivals over the mean, one per window.
-	bursts   []float64
-	calls    int
-	toFirst  int
-	refused  int
-	imports  int
-	unserved int
+	// bursts has one value for each window: the arrivals at the busiest rank divided
+	// by the mean of all ranks.
+	bursts       []float64
+	calls        int
+	callsToFirst int
+	refused      int
+	imports      int
+	unserved     int
 }
 
-func (m *metrics) counted(a *arrival) bool { return a.at >= m.sim.warmUp }
+func (m *metrics) afterWarmUp(a *arrival) bool { return a.at >= m.sim.warmUp }
 
-// sent counts a dispatch.
-func (m *metrics) sent(c *call) {
-	if !m.counted(c.arrival) {
+// recordDispatch counts a dispatched call.
+func (m *metrics) recordDispatch(c *call) {
+	if !m.afterWarmUp(c.arrival) {
 		return
 	}
 	m.calls++
 	if c.attempt.rank == m.sim.ranks[0] {
-		m.toFirst++
+		m.callsToFirst++
 	}
 }
 
-// firstToken counts the time since the call's arrival at the entry.
-func (m *metrics) firstToken(c *call, now time.Duration) {
-	if !m.counted(c.arrival) {
+// recordFirstToken records the time from the call's arrival at the entry to the
+// arrival of its first token there.
+func (m *metrics) recordFirstToken(c *call, now time.Duration) {
+	if !m.afterWarmUp(c.arrival) {
 		return
 	}
-	m.firstTokens = append(m.firstTokens, now+c.attempt.delay-c.at)
-	m.matched += c.matched
-	m.blocks += len(c.prompt)
+	m.firstTokenTimes = append(m.firstTokenTimes, now+c.attempt.networkDelay-c.at)
+	m.cachedBlocks += c.cachedBlocks
+	m.promptBlocks += len(c.prompt)
 }
 
-// step counts a step of a group: a time between tokens for each running call.
-func (m *metrics) step(g *lockstep, length time.Duration) {
+// recordStep records a step of a group. Its length is an inter-token latency of each
+// running call.
+func (m *metrics) recordStep(g *rankGroup, length time.Duration) {
 	now := m.sim.clock.now
-	if now < m.sim.warmUp || now > m.sim.load.span {
+	if now < m.sim.warmUp || now > m.sim.workload.duration {
 		return
 	}
 	running, peak := 0, 0
@@ -68,107 +74,110 @@
 	if running == 0 {
 		return
 	}
-	bucket := min(int(length/gapResolution), gapBuckets-1)
-	m.gaps[bucket] += running
-	m.gapCount += running
+	bucket := min(int(length/interTokenResolution), interTokenBuckets-1)
+	m.interTokenCounts[bucket] += running
+	m.interTokenTotal += running
 	mean := float64(running) / float64(len(g.ranks))
 	m.skewSum += float64(peak) / mean * length.Seconds()
 	m.skewTime += length.Seconds()
 }
 
-// window closes a window of arrivals per rank.
-func (m *metrics) window(s *sim) {
+// closeWindow ends the current window of arrivals at the ranks.
+func (m *metrics) closeWindow(s *sim) {
 	total, peak := 0, 0
 	for _, r := range s.ranks {
-		total += r.arrivals
-		peak = max(peak, r.arrivals)
-		r.arrivals = 0
+		total += r.windowArrivals
+		peak = max(peak, r.windowArrivals)
+		r.windowArrivals = 0
 	}
-	if s.clock.now < s.warmUp || s.clock.now > s.load.span || total == 0 {
+	if s.clock.now < s.warmUp || s.clock.now > s.workload.duration || total == 0 {
 		return
 	}
 	m.bursts = append(m.bursts, float64(peak)*float64(len(s.ranks))/float64(total))
 }
 
-// outstanding is the number of counted calls without a first token.
-func (m *metrics) outstanding() int { return m.calls - len(m.firstTokens) }
+// outstanding returns the number of counted calls that have no first token yet.
+func (m *metrics) outstanding() int { return m.calls - len(m.firstTokenTimes) }
 
-// end counts the calls without a first token as having waited to the end.
-func (m *metrics) end(at time.Duration) {
+// recordUnserved counts the outstanding calls as unserved, with the given time as
+// their time to first token.
+func (m *metrics) recordUnserved(at time.Duration) {
 	m.unserved = m.outstanding()
 	for range m.unserved {
-		m.firstTokens = append(m.firstTokens, at)
+		m.firstTokenTimes = append(m.firstTokenTimes, at)
 	}
 }
 
-// figures are the numbers of one run, or their means over several.
-type figures struct {
-	firstP50, firstP95, firstP99 float64 // ms
-	gapP50, gapP95               float64 // ms
-	hits                         float64 // share of prompt blocks
-	burst                        float64 // busiest endpoint over mean, p95
-	skew                         float64 // busiest rank over mean
-	struck                       float64 // calls to the struck endpoint over its fair share
-	refused                      float64 // refusals per call
-	unserved                     float64 // share of calls
-	imports                      float64 // moves per call
+// summary holds the results of one run, or the means over several runs.
+type summary struct {
+	firstTokenP50, firstTokenP95, firstTokenP99 float64 // ms
+	interTokenP50, interTokenP95                float64 // ms
+	cacheHitRate                                float64 // share of prompt blocks
+	burst                                       float64 // arrivals at the busiest endpoint over the mean, p95
+	skew                                        float64 // running calls of the busiest rank over the mean
+	firstEndpointShare                          float64 // calls to the first endpoint over its fair share
+	refusalRate                                 float64 // refusals per call
+	unservedRate                                float64 // share of calls
+	importRate                                  float64 // prefix imports per call
 }
 
-func (m *metrics) figures() figures {
-	slices.Sort(m.firstTokens)
+func (m *metrics) summarize() summary {
+	slices.Sort(m.firstTokenTimes)
 	slices.Sort(m.bursts)
 	calls := float64(max(m.calls, 1))
-	return figures{
-		firstP50: millis(quantile(m.firstTokens, 0.50)),
-		firstP95: millis(quantile(m.firstTokens, 0.95)),
-		firstP99: millis(quantile(m.firstTokens, 0.99)),
-		gapP50:   m.gapQuantile(0.50),
-		gapP95:   m.gapQuantile(0.95),
-		hits:     float64(m.matched) / float64(max(m.blocks, 1)),
-		burst:    quantile(m.bursts, 0.95),
-		skew:     m.skewSum / math.Max(m.skewTime, 1e-9),
-		struck:   float64(m.toFirst) / calls * float64(len(m.sim.ranks)),
-		refused:  float64(m.refused) / calls,
-		unserved: float64(m.unserved) / calls,
-		imports:  float64(m.imports) / calls,
+	return summary{
+		firstTokenP50:      milliseconds(quantile(m.firstTokenTimes, 0.50)),
+		firstTokenP95:      milliseconds(quantile(m.firstTokenTimes, 0.95)),
+		firstTokenP99:      milliseconds(quantile(m.firstTokenTimes, 0.99)),
+		interTokenP50:      m.interTokenQuantile(0.50),
+		interTokenP95:      m.interTokenQuantile(0.95),
+		cacheHitRate:       float64(m.cachedBlocks) / float64(max(m.promptBlocks, 1)),
+		burst:              quantile(m.bursts, 0.95),
+		skew:               m.skewSum / math.Max(m.skewTime, 1e-9),
+		firstEndpointShare: float64(m.callsToFirst) / calls * float64(len(m.sim.ranks)),
+		refusalRate:        float64(m.refused) / calls,
+		unservedRate:       float64(m.unserved) / calls,
+		importRate:         float64(m.imports) / calls,
 	}
 }
 
-// add sums figures up, scaled.
-func (f *figures) add(o figures, scale float64) {
-	f.firstP50 += o.firstP50 * scale
-	f.firstP95 += o.firstP95 * scale
-	f.firstP99 += o.firstP99 * scale
-	f.gapP50 += o.gapP50 * scale
-	f.gapP95 += o.gapP95 * scale
-	f.hits += o.hits * scale
+// addScaled adds o multiplied by scale.
+func (f *summary) addScaled(o summary, scale float64) {
+	f.firstTokenP50 += o.firstTokenP50 * scale
+	f.firstTokenP95 += o.firstTokenP95 * scale
+	f.firstTokenP99 += o.firstTokenP99 * scale
+	f.interTokenP50 += o.interTokenP50 * scale
+	f.interTokenP95 += o.interTokenP95 * scale
+	f.cacheHitRate += o.cacheHitRate * scale
 	f.burst += o.burst * scale
 	f.skew += o.skew * scale
-	f.struck += o.struck * scale
-	f.refused += o.refused * scale
-	f.unserved += o.unserved * scale
-	f.imports += o.imports * scale
+	f.firstEndpointShare += o.firstEndpointShare * scale
+	f.refusalRate += o.refusalRate * scale
+	f.unservedRate += o.unservedRate * scale
+	f.importRate += o.importRate * scale
 }
 
-func (m *metrics) gapQuantile(q float64) float64 {
-	limit := int(q * float64(m.gapCount))
-	seen := 0
-	for i, n := range m.gaps {
-		seen += n
-		if seen > limit {
-			return millis(time.Duration(i) * gapResolution)
+// interTokenQuantile returns the q-quantile of the inter-token latency in
+// milliseconds.
+func (m *metrics) interTokenQuantile(q float64) float64 {
+	target := int(q * float64(m.interTokenTotal))
+	cumulative := 0
+	for i, n := range m.interTokenCounts {
+		cumulative += n
+		if cumulative > target {
+			return milliseconds(time.Duration(i) * interTokenResolution)
 		}
 	}
-	return millis(gapBuckets * gapResolution)
+	return milliseconds(interTokenBuckets * interTokenResolution)
 }
 
-// quantile returns the quantile of a sorted list.
+// quantile returns the q-quantile of a sorted list; 0 if the list is empty.
 func quantile[T float64 | time.Duration](sorted []T, q float64) T {
 	if len(sorted) == 0 {
 		return 0
 	}
-	at := int(q * float64(len(sorted)))
-	return sorted[min(at, len(sorted)-1)]
+	index := int(q * float64(len(sorted)))
+	return sorted[min(index, len(sorted)-1)]
 }
 
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/measure/picking/picking_test.go
+++ b/measure/picking/picking_test.go
@@ -7,14 +7,14 @@
 	"github.com/matryer/is"
 )
 
-// TestSameSeedSameFigures runs a small fleet twice: nothing in a run may
-// depend on anything but the seed.
-func TestSameSeedSameFigures(t *testing.T) {
+// TestSameSeedGivesSameResults simulates a small fleet twice with the same seed. The
+// results of a run must depend only on the seed.
+func TestSameSeedGivesSameResults(t *testing.T) {
 	is := is.New(t)
 	sc := baseScenario()
 	sc.groups, sc.entries = 1, 4
-	sc.load.perSecond, sc.load.span, sc.warmUp = 60, 6*time.Second, 2*time.Second
-	first, second := runOnce(sc, lilackeel(), 7), runOnce(sc, lilackeel(), 7)
+	sc.workload.callsPerSecond, sc.workload.duration, sc.warmUp = 60, 6*time.Second, 2*time.Second
+	first, second := runOnce(sc, lilackeelPolicy(), 7), runOnce(sc, lilackeelPolicy(), 7)
 	is.Equal(first, second)
-	is.True(first != runOnce(sc, lilackeel(), 8)) // another seed gives other figures
+	is.True(first != runOnce(sc, lilackeelPolicy(), 8)) // a different seed gives different results
 }
--- a/measure/picking/plot.go
+++ b/measure/picking/plot.go
@@ -10,8 +10,8 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// drawComparison draws the time to first token p95 of each policy in each
-// scenario, on a logarithmic axis.
+// drawComparison plots the p95 time to first token of each policy in each scenario
+// on a logarithmic axis.
 func drawComparison(jobs []*job, path string) error {
 	p := plot.New()
 	p.Title.Text = "Time to first token, p95, by policy"
@@ -26,7 +26,7 @@
 	for _, sc := range scenarios() {
 		names = append(names, sc.name)
 	}
-	for i, policy := range compared() {
+	for i, policy := range comparedPolicies() {
 		if err := addPolicy(p, i, policy.name, jobs); err != nil {
 			return err
 		}
@@ -38,7 +38,7 @@
 	return p.Save(24*vg.Centimeter, 14*vg.Centimeter, path)
 }
 
-// plainTicks are logarithmic ticks whose labels have no exponent.
+// plainTicks are logarithmic ticks with labels in decimal notation.
 type plainTicks struct{}
 
 // Ticks implements plot.Ticker.
@@ -52,14 +52,15 @@
 	return ticks
 }
 
-// addPolicy adds the points of one policy, a little beside those of the others.
+// addPolicy plots the points of the i-th policy, shifted horizontally so that the
+// policies do not overlap.
 func addPolicy(p *plot.Plot, i int, name string, jobs []*job) error {
 	const step = 0.08
-	shift := (float64(i) - float64(len(compared())-1)/2) * step
+	shift := (float64(i) - float64(len(comparedPolicies())-1)/2) * step
 	var points plotter.XYs
 	for _, j := range jobs {
 		if j.policy.name == name {
-			points = append(points, plotter.XY{X: float64(len(points)) + shift, Y: j.mean.firstP95})
+			points = append(points, plotter.XY{X: float64(len(points)) + shift, Y: j.mean.firstTokenP95})
 		}
 	}
 	scatter, err := plotter.NewScatter(points)
--- a/measure/picking/run.go
+++ b/measure/picking/run.go
@@ -12,47 +12,47 @@
 
 // The files that Run writes.
 const (
-	// figuresFile holds what is a function of the seed.
+	// figuresFile holds the results that depend only on the seed.
 	figuresFile = "figures.md"
-	// timesFile holds what is measured on the machine that runs it.
+	// timesFile holds the times measured on the machine.
 	timesFile = "times.md"
 	plotFile  = "first-token.svg"
 )
 
-// Run measures all policies and writes tables to w, and the tables and a plot
-// to outDir. All but the times of the decision code is the same for the same
-// seed.
+// Run measures all policies. It writes the tables to w, and the tables and a plot to
+// outDir. The same seed gives the same results, except for the times of the decision
+// code.
 func Run(w io.Writer, seed uint64, outDir string) error {
 	if err := os.MkdirAll(outDir, 0o755); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	compare := compareJobs()
+	comparison := compareJobs()
 	var figures bytes.Buffer
-	writeFigures(&figures, seed, compare)
-	if err := publish(w, filepath.Join(outDir, figuresFile), figures.Bytes()); err != nil {
+	writeFigures(&figures, seed, comparison)
+	if err := writePage(w, filepath.Join(outDir, figuresFile), figures.Bytes()); err != nil {
 		return trace.Wrap(err)
 	}
-	if err := drawComparison(compare, filepath.Join(outDir, plotFile)); err != nil {
+	if err := drawComparison(comparison, filepath.Join(outDir, plotFile)); err != nil {
 		return trace.Wrap(err)
 	}
 	var times bytes.Buffer
 	writeTimes(&times, seed)
-	return trace.Wrap(publish(w, filepath.Join(outDir, timesFile), times.Bytes()))
+	return trace.Wrap(writePage(w, filepath.Join(outDir, timesFile), times.Bytes()))
 }
 
-// publish writes the page to w and to a file.
-func publish(w io.Writer, path string, page []byte) error {
+// writePage writes the page to w and to the file at path.
+func writePage(w io.Writer, path string, page []byte) error {
 	if _, err := w.Write(page); err != nil {
 		return trace.Wrap(err)
 	}
 	return trace.ConvertSystemError(os.WriteFile(path, page, 0o644))
 }
 
-// writeFigures runs and writes all that is a function of the seed.
-func writeFigures(w io.Writer, seed uint64, compare []*job) {
-	variant := variantJobs()
+// writeFigures runs all jobs and writes the results that depend only on the seed.
+func writeFigures(w io.Writer, seed uint64, comparison []*job) {
+	variants := variantJobs()
 	target := targetJobs()
-	all := append(append(append([]*job(nil), compare...), variant...), target...)
+	all := append(append(append([]*job(nil), comparison...), variants...), target...)
 	runJobs(seed, all)
 	base := baseScenario()
 	fmt.Fprintf(w, "# Picking: figures\n\nSeed %d; each figure is the mean of %d runs. "+
@@ -61,12 +61,12 @@
 		"rank skew the fullest rank over the mean rank; "+
 		"struck the share of calls that went to the first endpoint (the one with the fault, where there is one) over its fair share. "+
 		"Calls without a first token at the end of a run count as having waited until then.\n\n## Policies\n",
-		seed, seedsPerFigure, base.groups*base.ranks, base.entries, base.load.perSecond, base.load.span-base.warmUp, base.warmUp)
-	writeComparison(w, compare)
+		seed, seedsPerResult, base.groups*base.ranks, base.entries, base.workload.callsPerSecond, base.workload.duration-base.warmUp, base.warmUp)
+	writeComparison(w, comparison)
 	fmt.Fprint(w, "\n## One decision changed at a time\n")
-	writeComparison(w, variant)
+	writeComparison(w, variants)
 	fmt.Fprintf(w, "\n## At the target\n\n%d endpoints in %d groups, %d workspaces, %.0f calls a second, one run.\n",
-		target[0].scenario.groups*target[0].scenario.ranks, target[0].scenario.groups, target[0].scenario.load.workspaces, target[0].scenario.load.perSecond)
+		target[0].scenario.groups*target[0].scenario.ranks, target[0].scenario.groups, target[0].scenario.workload.workspaces, target[0].scenario.workload.callsPerSecond)
 	writeComparison(w, target)
 	fmt.Fprint(w, "\n## Ejection\n\nAn hour without a fault, four samples a second; then one endpoint 3 times slower for two minutes.\n\n")
 	writeEjection(w, seed)
@@ -74,14 +74,14 @@
 	writeBreakEven(w)
 }
 
-// writeTimes measures and writes what depends on the machine.
+// writeTimes measures and writes the cost of the decision code on this machine.
 func writeTimes(w io.Writer, seed uint64) {
 	fmt.Fprintf(w, "# Picking: cost to one entry\n\nMeasured on the machine that ran the command; differs from run to run. "+
 		"The index holds %d blocks for each endpoint. The share of a core is for the entry's part of the calls, "+
 		"and for the reports and cache events of all endpoints.\n\n", indexEntriesPerEndpoint)
-	var all []growth
+	var all []entryCost
 	for _, size := range fleetSizes() {
-		all = append(all, measureGrowth(size, seed))
+		all = append(all, measureEntryCost(size, seed))
 	}
-	writeGrowth(w, all)
+	writeEntryCosts(w, all)
 }
--- a/measure/picking/sim.go
+++ b/measure/picking/sim.go
@@ -17,56 +17,60 @@
 	zones     = 3
 )
 
-// scenario is a fleet with its faults.
+// scenario describes a fleet, its workload and the fault to inject.
 type scenario struct {
 	name string
-	// groups of ranks each; ranks of one are stand-alone engines.
+	// groups is the number of groups, ranks the number of ranks in each. If ranks is
+	// one, the engines are stand-alone.
 	groups, ranks int
 	entries       int
-	load          workload
-	// cacheBlocks is the size of an engine's prefix cache.
+	workload      workload
+	// cacheBlocks is the capacity of an engine's prefix cache in blocks.
 	cacheBlocks int
-	// reportEvery is the time between reports, reportLag their age on arrival.
-	reportEvery, reportLag time.Duration
-	// eventLag is the mean lag of cache events, eventLoss the share lost.
-	eventLag  time.Duration
-	eventLoss float64
-	// warmUp is the time whose calls are not counted; fault, if any, strikes
-	// the first rank at its end.
-	warmUp time.Duration
-	fault  func(r *rank)
+	// reportInterval is the time between load reports, reportLag their age on
+	// arrival.
+	reportInterval, reportLag time.Duration
+	// eventLag is the mean delay of cache events, eventLossRate the fraction of them
+	// that is lost.
+	eventLag      time.Duration
+	eventLossRate float64
+	// warmUp is the initial period whose calls are not counted. injectFault, if not
+	// nil, is applied to the first rank at its end.
+	warmUp      time.Duration
+	injectFault func(r *rank)
 }
 
-// publishEvery is the time between the cache events of an engine.
-const publishEvery = 200 * time.Millisecond
+// publishInterval is the time between the cache events of an engine.
+const publishInterval = 200 * time.Millisecond
 
-// sim is one run of one policy in one scenario.
+// sim is a simulation of one policy in one scenario.
 type sim struct {
 	scenario
-	seed    uint64
-	policy  policy
-	clock   clock
-	net     *rand.Rand
-	table   *endpoint.Table
-	groups  []*lockstep
-	ranks   []*rank
-	byID    map[string]*rank
-	entries []*entry
-	metrics metrics
-	// lastReports is the number of calls in the last report that arrived.
-	lastReports map[string]int
+	seed       uint64
+	policy     policy
+	clock      clock
+	networkRNG *rand.Rand
+	table      *endpoint.Table
+	groups     []*rankGroup
+	ranks      []*rank
+	byID       map[string]*rank
+	entries    []*entry
+	metrics    metrics
+	// reportedCalls is the number of running and waiting calls in the last report
+	// that arrived, by endpoint ID.
+	reportedCalls map[string]int
 }
 
 func newSim(sc scenario, p policy, seed uint64) *sim {
 	s := &sim{
 		scenario: sc, seed: seed, policy: p,
-		net:   rand.New(rand.NewPCG(seed, 0x11)),
-		table: endpoint.NewTable(), byID: map[string]*rank{}, lastReports: map[string]int{},
+		networkRNG: rand.New(rand.NewPCG(seed, 0x11)),
+		table:      endpoint.NewTable(), byID: map[string]*rank{}, reportedCalls: map[string]int{},
 	}
 	s.metrics.sim = s
 	var records []endpoint.Endpoint
 	for g := range sc.groups {
-		group := &lockstep{sim: s}
+		group := &rankGroup{sim: s}
 		for i := range sc.ranks {
 			r := s.newRank(group, g, i)
 			group.ranks = append(group.ranks, r)
@@ -83,7 +87,7 @@
 	return s
 }
 
-func (s *sim) newRank(group *lockstep, g, i int) *rank {
+func (s *sim) newRank(group *rankGroup, g, i int) *rank {
 	record := endpoint.Endpoint{
 		ID:   fmt.Sprintf("engine-%03d-%02d", g, i),
 		Zone: zoneName(g), Pool: poolName, Model: modelName, Rank: i, Slots: engineSlots, Revision: 1,
@@ -91,58 +95,63 @@
 	if s.scenario.ranks > 1 {
 		record.Group = fmt.Sprintf("group-%03d", g)
 	}
-	for a := range s.load.adapters {
+	for a := range s.workload.adapters {
 		record.Adapters = append(record.Adapters, adapterName(a))
 	}
 	return &rank{
-		record: record, group: group, cache: newBlockCache(s.cacheBlocks), slow: 1,
-		stepTime: stepBase, ownStep: stepBase, prefillRate: chunkTokens / (stepBase + chunkTokens*stepPerToken).Seconds(),
+		record: record, group: group, cache: newBlockCache(s.cacheBlocks), slowdown: 1,
+		stepTime: stepBase, ownStep: stepBase, prefillRate: maxChunkTokens / (stepBase + maxChunkTokens*stepPerToken).Seconds(),
 	}
 }
 
 func zoneName(i int) string { return fmt.Sprintf("zone-%d", i%zones) }
 
-// run drives the scenario with the arrivals and returns what was measured.
+// run simulates the scenario with the given arrivals and returns the metrics. Each
+// call arrives at a random entry.
 func (s *sim) run(arrivals []*arrival) *metrics {
 	for _, a := range arrivals {
-		s.clock.after(a.at, func() { s.entries[s.net.IntN(len(s.entries))].arrive(a) })
+		s.clock.after(a.at, func() { s.entries[s.networkRNG.IntN(len(s.entries))].handleArrival(a) })
 	}
-	if s.fault != nil {
-		s.clock.after(s.warmUp, func() { s.fault(s.ranks[0]) })
+	if s.injectFault != nil {
+		s.clock.after(s.warmUp, func() { s.injectFault(s.ranks[0]) })
 	}
-	s.every(s.reportEvery, s.report)
-	s.every(publishEvery, s.publish)
+	s.every(s.reportInterval, s.sendReports)
+	s.every(publishInterval, s.publishCacheEvents)
 	s.every(time.Second, s.tick)
-	s.clock.runUntil(s.load.span)
-	for end := s.load.span + drainTime; s.clock.now < end && s.metrics.outstanding() > 0; {
+	s.clock.runUntil(s.workload.duration)
+	for end := s.workload.duration + maxDrainTime; s.clock.now < end && s.metrics.outstanding() > 0; {
 		s.clock.runUntil(s.clock.now + time.Second)
 	}
-	s.metrics.end(s.load.span + drainTime)
+	s.metrics.recordUnserved(s.workload.duration + maxDrainTime)
 	return &s.metrics
 }
 
-// drainTime is how long a run goes on at most after the last arrival.
-const drainTime = 20 * time.Second
+// maxDrainTime is the maximum time for which a run continues after the end of the
+// arrivals.
+const maxDrainTime = 20 * time.Second
 
-// every runs f at each multiple of d.
+// every runs f at each multiple of d in virtual time.
 func (s *sim) every(d time.Duration, f func()) {
-	var again func()
-	again = func() {
+	var repeat func()
+	repeat = func() {
 		f()
-		s.clock.after(d, again)
+		s.clock.after(d, repeat)
 	}
-	s.clock.after(d, again)
+	s.clock.after(d, repeat)
 }
 
+// tick ends a window of the metrics and updates the outlier detectors; it runs once
+// per second.
 func (s *sim) tick() {
-	s.metrics.window(s)
+	s.metrics.closeWindow(s)
 	for _, e := range s.entries {
 		e.outliers.Tick(s.clock.now)
 	}
 }
 
-// report takes a report of every rank; all entries get it a lag later.
-func (s *sim) report() {
+// sendReports takes a load report of every rank; it reaches all entries after
+// reportLag.
+func (s *sim) sendReports() {
 	if !s.policy.usesReports {
 		return
 	}
@@ -153,15 +162,15 @@
 	s.clock.after(s.reportLag, func() {
 		for i, r := range s.ranks {
 			reports[i].Age = s.reportLag
-			s.lastReports[r.record.ID] = reports[i].Running + reports[i].Waiting
+			s.reportedCalls[r.record.ID] = reports[i].Running + reports[i].Waiting
 			for _, e := range s.entries {
-				e.takeReport(r, reports[i])
+				e.handleReport(r, reports[i])
 			}
 		}
 	})
 }
 
-// report is what the rank says of itself.
+// report returns the rank's load report.
 func (r *rank) report() load.Report {
 	report := load.Report{
 		Running: len(r.running), Waiting: len(r.waiting) + len(r.prefills),
@@ -169,54 +178,56 @@
 		Adapters: append([]string(nil), r.adapters...),
 	}
 	for _, c := range r.prefills {
-		report.PrefillTokens += c.left
+		report.PrefillTokens += c.prefillLeft
 	}
 	for _, c := range r.waiting {
-		report.PrefillTokens += c.promptTokens - r.cache.match(c.prompt)*blockTokens
+		report.PrefillTokens += c.promptTokens - r.cache.matchPrefix(c.prompt)*blockTokens
 	}
-	if r.lies {
+	if r.reportsIdle {
 		report.Running, report.Waiting, report.PrefillTokens = 0, 0, 0
 	}
 	return report
 }
 
-// publish sends out the cache events, each with its own lag and its own loss
-// at each entry.
-func (s *sim) publish() {
+// publishCacheEvents sends the cache events of all ranks to the entries. Each event
+// has a random delay.
+func (s *sim) publishCacheEvents() {
 	if !s.policy.usesIndex {
 		return
 	}
 	for _, r := range s.ranks {
-		stored, removed := r.cache.publish()
+		stored, removed := r.cache.takeChanges()
 		if len(stored)+len(removed) == 0 {
 			continue
 		}
 		r.eventSeq++
 		e := prefix.Event{Endpoint: r.record.ID, Incarnation: 1, Seq: r.eventSeq, Stored: stored, Removed: removed}
-		lag := seconds(s.eventLag.Seconds() * (0.5 + s.net.ExpFloat64()/2))
-		s.clock.after(lag, func() { s.deliver(e) })
+		lag := seconds(s.eventLag.Seconds() * (0.5 + s.networkRNG.ExpFloat64()/2))
+		s.clock.after(lag, func() { s.deliverCacheEvent(e) })
 	}
 }
 
-func (s *sim) deliver(e prefix.Event) {
-	for _, at := range s.entries {
-		if s.net.Float64() >= s.eventLoss {
-			at.index.Apply(s.clock.now, e)
+// deliverCacheEvent applies the event at each entry, unless it is lost there.
+func (s *sim) deliverCacheEvent(e prefix.Event) {
+	for _, receiver := range s.entries {
+		if s.networkRNG.Float64() >= s.eventLossRate {
+			receiver.index.Apply(s.clock.now, e)
 		}
 	}
 }
 
-// importTime is the time to move the prefix that the picker asked to move, if
-// its holder still has it.
-func (s *sim) importTime(c *call, explain pick.Explain) time.Duration {
+// startImport sets the number of blocks that the call imports, if the picker
+// requested an import, and returns the time that the transfer takes. Only the blocks
+// that the source still caches are imported.
+func (s *sim) startImport(c *call, explain pick.Explain) time.Duration {
 	if explain.ImportFrom == "" {
 		return 0
 	}
-	held := s.byID[explain.ImportFrom].cache.match(c.prompt)
-	c.imported = min(held, explain.ImportBlocks)
-	have := c.attempt.rank.cache.match(c.prompt)
-	m := s.policy.pick.Import
+	heldBlocks := s.byID[explain.ImportFrom].cache.matchPrefix(c.prompt)
+	c.importedBlocks = min(heldBlocks, explain.ImportBlocks)
+	localBlocks := c.attempt.rank.cache.matchPrefix(c.prompt)
+	cost := s.policy.pick.Import
 	s.metrics.imports++
-	bytes := float64(max(c.imported-have, 0)*blockTokens) * m.TokenBytes
-	return m.Overhead + seconds(bytes/m.Bandwidth)
+	bytes := float64(max(c.importedBlocks-localBlocks, 0)*blockTokens) * cost.TokenBytes
+	return cost.Overhead + seconds(bytes/cost.Bandwidth)
 }
--- a/measure/picking/variants.go
+++ b/measure/picking/variants.go
@@ -6,43 +6,45 @@
 	"github.com/lilackeel/lilackeel/endpoint/pick"
 )
 
-// kvLink is the link over which engines move cached prefixes: 70 kB a token
-// at 2 GB/s, 5 ms for the orders.
+// kvLink returns the cost of moving cached prefixes between engines: 70 kB per token
+// at 2 GB/s, plus 5 ms for the orders.
 func kvLink() *pick.Import {
 	return &pick.Import{Overhead: 5 * time.Millisecond, TokenBytes: 70e3, Bandwidth: 2e9}
 }
 
-// noEjection is a share of which no whole endpoint is made.
-const noEjection = 1e-6
+// noEjectionShare is a value of MaxEjected that rounds down to zero endpoints; zero
+// itself selects the default.
+const noEjectionShare = 1e-6
 
-// faultVariants are the policy without what is there for a fault, in the
-// scenario with that fault.
+// faultVariants returns, for each scenario with a fault, a job in which the policy
+// lacks the mechanism that handles this fault.
 func faultVariants() []*job {
-	noSurprise := lilackeel()
-	noSurprise.name = "no surprise at first tokens"
-	noSurprise.load.PredictionErrorTTL = -1
-	keepAll := lilackeel()
-	keepAll.name = "no ejection"
-	keepAll.outlier.MaxEjected = noEjection
+	noPredictionErrors := lilackeelPolicy()
+	noPredictionErrors.name = "no surprise at first tokens"
+	noPredictionErrors.load.PredictionErrorTTL = -1
+	noEjection := lilackeelPolicy()
+	noEjection.name = "no ejection"
+	noEjection.outlier.MaxEjected = noEjectionShare
 	var jobs []*job
 	for _, sc := range scenarios() {
-		if sc.fault == nil {
+		if sc.injectFault == nil {
 			continue
 		}
-		p := keepAll
-		if sc.name == liarName {
-			p = noSurprise
+		p := noEjection
+		if sc.name == falseReportName {
+			p = noPredictionErrors
 		}
-		jobs = append(jobs, &job{scenario: sc, policy: p, seeds: seedsPerFigure})
+		jobs = append(jobs, &job{scenario: sc, policy: p, seeds: seedsPerResult})
 	}
 	return jobs
 }
 
-// variants are the entry's policy with one decision changed each.
-func variants() []policy {
+// policyVariants returns the entry's policy and variants of it that differ in one
+// setting each.
+func policyVariants() []policy {
 	var all []policy
 	add := func(name string, change func(p *policy)) {
-		p := lilackeel()
+		p := lilackeelPolicy()
 		p.name = name
 		change(&p)
 		all = append(all, p)
