--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -53,10 +53,10 @@
 	ctx := telemetry.WithAttributes(stream.Context(),
 		slog.String("request_id", d.GetRequestId()), slog.String("workspace", d.GetWorkspace()),
 		slog.String("endpoint", d.GetEndpoint()), slog.Uint64("attempt", uint64(d.GetAttempt())))
-	ctx, span := telemetry.Span(ctx, "agent", attribute.String("endpoint", d.GetEndpoint()))
+	ctx, span := telemetry.StartSpan(ctx, "agent", attribute.String("endpoint", d.GetEndpoint()))
 	out := &sender{stream: stream, dispatch: d, incarnation: p.lockedGate.incarnation()}
 	err := p.decide(ctx, d, out)
-	telemetry.End(span, err)
+	telemetry.EndSpan(span, err)
 	return err
 }
 
@@ -167,9 +167,9 @@
 // run returns how the call ended, and why if it is not whole.
 func (c *call) run(ctx context.Context) (gate.Outcome, error) {
 	e := c.endpoints[c.dispatch.GetEndpoint()]
-	ctx, span := telemetry.Span(ctx, "endpoint", attribute.String("endpoint", e.ID))
+	ctx, span := telemetry.StartSpan(ctx, "endpoint", attribute.String("endpoint", e.ID))
 	outcome, err := c.ask(ctx, e)
-	telemetry.End(span, err)
+	telemetry.EndSpan(span, err)
 	return outcome, err
 }
 
--- a/agent/settings.go
+++ b/agent/settings.go
@@ -73,7 +73,7 @@
 	s.registerLimits(set)
 	s.Telemetry.AdminListen = defaultAdminListen
 	link.Settings(set, &s.Link)
-	telemetry.Settings(set, &s.Telemetry)
+	telemetry.RegisterSettings(set, &s.Telemetry)
 	set.Check(func() error { return s.Link.CheckListen(s.Listen) })
 	set.Check(s.checkAdvertise)
 	set.Check(s.complete)
--- a/control/calls.go
+++ b/control/calls.go
@@ -23,8 +23,8 @@
 func (c *callTracker) count(ctx context.Context, request any, info *grpc.UnaryServerInfo, handler grpc.UnaryHandler) (response any, err error) {
 	c.inFlight.Add(1)
 	defer c.inFlight.Add(-1)
-	ctx, span := telemetry.Span(ctx, "control "+path.Base(info.FullMethod))
-	defer func() { telemetry.End(span, err) }()
+	ctx, span := telemetry.StartSpan(ctx, "control "+path.Base(info.FullMethod))
+	defer func() { telemetry.EndSpan(span, err) }()
 	return handler(ctx, request)
 }
 
--- a/control/settings.go
+++ b/control/settings.go
@@ -102,7 +102,7 @@
 	set.String(&s.GroupsFile, "groups", "", "YAML file that describes the groups of ranks, the same at every replica; empty for none")
 	s.Telemetry.AdminListen = defaultAdminListen
 	link.Settings(set, &s.Link)
-	telemetry.Settings(set, &s.Telemetry)
+	telemetry.RegisterSettings(set, &s.Telemetry)
 	set.Check(func() error { return s.Link.CheckListen(s.Listen) })
 	set.Check(func() error { return s.resolve(id, peers) })
 	set.Check(s.readGroups)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -67,8 +67,8 @@
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
-	logger := telemetry.Logger(os.Stdout, p.Telemetry.LogLevel, set.Daemon(), p.Telemetry.Host)
-	telemetry.Install(logger)
+	logger := telemetry.NewLogger(os.Stdout, p.Telemetry.LogLevel, set.Daemon(), p.Telemetry.Host)
+	telemetry.SetDefaultLogger(logger)
 	logger.Info("starting", slog.String("version", setting.Version()), slog.Any("settings", set))
 	for _, warning := range set.Warnings() {
 		logger.Warn(warning)
@@ -91,7 +91,7 @@
 
 // run serves until ctx ends.
 func (p Program) run(ctx context.Context, logger *slog.Logger, reloads *reloader) (err error) {
-	flush, err := telemetry.Tracing(ctx, *p.Telemetry)
+	flush, err := telemetry.StartTracing(ctx, *p.Telemetry)
 	if err != nil {
 		return err
 	}
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -48,7 +48,7 @@
 		target = x.refreshTarget(target)
 	}
 	x.target = target
-	ctx, span := telemetry.Span(x.workCtx, "dispatch", attribute.String("endpoint", target.Endpoint), attribute.Int("attempt", int(a.Attempt)))
+	ctx, span := telemetry.StartSpan(x.workCtx, "dispatch", attribute.String("endpoint", target.Endpoint), attribute.Int("attempt", int(a.Attempt)))
 	ctx, cancel := context.WithCancel(ctx)
 	s := x.server
 	x.attempt = &attempt{
--- a/entry/config.go
+++ b/entry/config.go
@@ -110,7 +110,7 @@
 	s.Duration(&cfg.CallerIdle, "caller-idle", idleTimeout, "how long an idle connection of a caller is kept open", setting.Min(time.Second))
 	s.Duration(&cfg.DrainDelay, "drain-delay", 2*time.Second, "how long a stopping entry that is no longer ready still accepts requests", setting.Min(time.Duration(0)))
 	s.Duration(&cfg.StopLimit, "stop-limit", 30*time.Second, "longest planned stop of an entry with -routed; requests still in flight are aborted", setting.Min(time.Second))
-	telemetry.Settings(s, &cfg.Telemetry)
+	telemetry.RegisterSettings(s, &cfg.Telemetry)
 	link.Settings(s, &cfg.Link)
 	s.Check(cfg.check)
 	s.Check(cfg.checkRelay)
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -232,7 +232,7 @@
 }
 
 func (x *exchange) pick(a *call.Action) call.Action {
-	_, span := telemetry.Span(x.callerCtx, "pick")
+	_, span := telemetry.StartSpan(x.callerCtx, "pick")
 	defer span.End()
 	x.closeAttempt()
 	// A claimed call needs no check here: it is not sent again after it may have run.
@@ -284,13 +284,13 @@
 
 func (x *exchange) claim(a *call.Action) call.Action {
 	q, s := x.request, x.server
-	ctx, span := telemetry.Span(x.callerCtx, "claim", attribute.String("endpoint", a.Target.Endpoint))
+	ctx, span := telemetry.StartSpan(x.callerCtx, "claim", attribute.String("endpoint", a.Target.Endpoint))
 	startedAt := x.now()
 	response, err := s.Claims.Claim(ctx, &controlv1.ClaimRequest{
 		Workspace: q.workspace.GetName(), Key: q.idempotencyKey, Digest: call.Digest(q.method, q.requestURI, q.body), ClaimId: a.ClaimID,
 		Endpoint: a.Target.Endpoint, Agent: a.Target.Agent, Incarnation: a.Target.Incarnation, AgentAddr: a.Target.AgentAddr,
 	})
-	telemetry.End(span, err)
+	telemetry.EndSpan(span, err)
 	s.metrics.claimSeconds.Update((x.now() - startedAt).Seconds())
 	return x.single.Claimed(x.now(), response, faultOrNil(err))
 }
--- a/entry/server.go
+++ b/entry/server.go
@@ -85,7 +85,7 @@
 		id = s.ids.next()
 	}
 	w.Header().Set(call.HeaderRequestID, id)
-	ctx, span := telemetry.Span(telemetry.Extract(r.Context(), r.Header), "entry", attribute.String("request_id", id))
+	ctx, span := telemetry.StartSpan(telemetry.Extract(r.Context(), r.Header), "entry", attribute.String("request_id", id))
 	defer span.End()
 	r = r.WithContext(context.WithValue(ctx, requestIDKey{}, id))
 	if strings.HasPrefix(r.URL.Path, "/v1/") {
--- a/link/option.go
+++ b/link/option.go
@@ -61,8 +61,8 @@
 		grpc.Creds(creds),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: serverPing, Timeout: silentTimeout}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: leastClientPing, PermitWithoutStream: true}),
-		grpc.ChainUnaryInterceptor(telemetry.UnaryServer, unaryServer),
-		grpc.ChainStreamInterceptor(telemetry.StreamServer, streamServer),
+		grpc.ChainUnaryInterceptor(telemetry.UnaryServerInterceptor, unaryServer),
+		grpc.ChainStreamInterceptor(telemetry.StreamServerInterceptor, streamServer),
 	}, nil
 }
 
@@ -95,7 +95,7 @@
 			MinConnectTimeout: connectTimeout,
 		}),
 		grpc.WithStatsHandler(sentRecorder{}),
-		grpc.WithChainUnaryInterceptor(unaryClient, telemetry.UnaryClient),
-		grpc.WithChainStreamInterceptor(streamClient, telemetry.StreamClient),
+		grpc.WithChainUnaryInterceptor(unaryClient, telemetry.UnaryClientInterceptor),
+		grpc.WithChainStreamInterceptor(streamClient, telemetry.StreamClientInterceptor),
 	}, nil
 }
--- a/rankhost/settings.go
+++ b/rankhost/settings.go
@@ -46,7 +46,7 @@
 	set.Duration(&s.HeartbeatInterval, "heartbeat-interval", time.Second, "time between two announcements", millisecond)
 	s.Telemetry.AdminListen = defaultAdminListen
 	link.Settings(set, &s.Link)
-	telemetry.Settings(set, &s.Telemetry)
+	telemetry.RegisterSettings(set, &s.Telemetry)
 	set.Check(func() error { return s.Link.CheckListen(s.Listen) })
 	set.Check(func() error {
 		s.Telemetry.Host = s.Name
--- a/routed/exchange.go
+++ b/routed/exchange.go
@@ -174,7 +174,7 @@
 	}
 	x.target = target
 	x.tried = append(x.tried, target.ID)
-	ctx, span := telemetry.Span(x.workContext(), "dispatch", attribute.String("endpoint", target.ID))
+	ctx, span := telemetry.StartSpan(x.workContext(), "dispatch", attribute.String("endpoint", target.ID))
 	defer span.End()
 	ctx, cancel := context.WithTimeout(ctx, max(q.deadline-s.clock(), 0)+responseGrace)
 	defer cancel()
--- a/routed/server.go
+++ b/routed/server.go
@@ -171,7 +171,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.metrics.inFlight.Add(1)
 	defer s.metrics.inFlight.Add(-1)
-	ctx, span := telemetry.Span(telemetry.Extract(r.Context(), r.Header), "entry")
+	ctx, span := telemetry.StartSpan(telemetry.Extract(r.Context(), r.Header), "entry")
 	defer span.End()
 	if s.keepAlivesDisabled.Load() {
 		w.Header().Set("Connection", "close")
--- a/setting/file.go
+++ b/setting/file.go
@@ -14,19 +14,19 @@
 // "name = value", with the names of the flags; empty lines and lines that begin
 // with # are skipped, and an empty value leaves the setting unset. The
 // environment and the flags go before the file.
-func (s *Set) readFile() Faults {
+func (s *Set) readFile() Errors {
 	if s.file == "" {
 		return nil
 	}
 	text, err := os.ReadFile(s.file)
 	if err != nil {
-		return Faults{fault.New(fault.Invalid, "the file of settings cannot be read", "name a readable file with -"+fileName).WithCause(err)}
+		return Errors{fault.New(fault.Invalid, "the file of settings cannot be read", "name a readable file with -"+fileName).WithCause(err)}
 	}
 	byName := make(map[string]*setting, len(s.settings))
 	for _, entry := range s.settings {
 		byName[entry.name] = entry
 	}
-	var faults Faults
+	var faults Errors
 	number := 0
 	for line := range strings.Lines(string(text)) {
 		number++
--- a/setting/parse.go
+++ b/setting/parse.go
@@ -12,10 +12,10 @@
 
 // Faults is the error of Parse: every fault found, in the order of the
 // settings. errors.As finds the single faults.
-type Faults []*fault.Error
+type Errors []*fault.Error
 
 // Error lists all faults, one a line.
-func (f Faults) Error() string {
+func (f Errors) Error() string {
 	lines := make([]string, 0, len(f)+1)
 	lines = append(lines, fmt.Sprintf("%d faults in the settings", len(f)))
 	if len(f) == 1 {
@@ -28,7 +28,7 @@
 }
 
 // Unwrap returns the single faults.
-func (f Faults) Unwrap() []error {
+func (f Errors) Unwrap() []error {
 	errs := make([]error, len(f))
 	for i, each := range f {
 		errs[i] = each
@@ -68,7 +68,7 @@
 }
 
 // parseFlags runs package flag over args again and again, past each fault.
-func (s *Set) parseFlags(args []string) (faults Faults, help bool) {
+func (s *Set) parseFlags(args []string) (faults Errors, help bool) {
 	for len(args) > 0 {
 		err := s.flags.Parse(args)
 		rest := s.flags.Args()
@@ -224,22 +224,22 @@
 }
 
 // flatten turns the error of a check into faults.
-func flatten(err error) Faults {
+func flatten(err error) Errors {
 	if err == nil {
 		return nil
 	}
 	if typed, ok := err.(*fault.Error); ok {
-		return Faults{typed}
+		return Errors{typed}
 	}
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
-		var faults Faults
+		var faults Errors
 		for _, each := range joined.Unwrap() {
 			faults = append(faults, flatten(each)...)
 		}
 		return faults
 	}
 	if typed := fault.As(err); typed != nil {
-		return Faults{typed}
+		return Errors{typed}
 	}
-	return Faults{fault.New(fault.Invalid, err.Error(), "see -help for all settings")}
+	return Errors{fault.New(fault.Invalid, err.Error(), "see -help for all settings")}
 }
--- a/setting/setting_test.go
+++ b/setting/setting_test.go
@@ -52,7 +52,7 @@
 		[]string{"-lissten", "x:1", "-wait", "5", "stray", "-streams=1000", "-ratio", "NaN", "-trace", "-wait=6s", "-peers", "a:1", "-peers=nowhere", "-body"},
 		[]string{"LILACKEEL_LISTEN=8080", "LILACKEEL_WORKSPACE_KEY=@/nonexistent/key"},
 	)
-	var faults Faults
+	var faults Errors
 	is.True(errors.As(err, &faults))
 	expected := []string{
 		"unknown flag -lissten (did you mean -listen?",
--- a/telemetry/admin.go
+++ b/telemetry/admin.go
@@ -47,7 +47,7 @@
 // Admin serves /metrics in the Prometheus text format, /healthz (200 while the
 // process serves at all) and /readyz (200 while it takes new work, else 503
 // with the reason).
-func Admin(ready *Ready) http.Handler {
+func AdminHandler(ready *Ready) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
@@ -85,7 +85,7 @@
 			"cannot listen on %s", cfg.AdminListen).WithCause(err)
 	}
 	server := &http.Server{
-		Handler:           Admin(ready),
+		Handler:           AdminHandler(ready),
 		ReadHeaderTimeout: adminTimeout,
 		ErrorLog:          slog.NewLogLogger(logger.Handler(), slog.LevelWarn),
 	}
--- a/telemetry/budget.go
+++ b/telemetry/budget.go
@@ -7,13 +7,13 @@
 
 const (
 	// BudgetLines is the number of lines that a LineBudget allows in each BudgetTime.
-	BudgetLines = 20
-	BudgetTime  = 10 * time.Second
+	LogLimiterBurst    = 20
+	LogLimiterInterval = 10 * time.Second
 )
 
 // LineBudget bounds how often something is logged that others cause at any rate. The zero
 // value is ready. It is safe for concurrent use; its lock is a leaf.
-type LineBudget struct {
+type LogLimiter struct {
 	mu      sync.Mutex
 	until   time.Time
 	lines   int
@@ -22,11 +22,11 @@
 
 // Take reports whether a line may be logged, and how many were left out since the last
 // one.
-func (b *LineBudget) Take(now time.Time) (leftOut int, ok bool) {
+func (b *LogLimiter) Allow(now time.Time) (leftOut int, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if now.After(b.until) {
-		b.until, b.lines = now.Add(BudgetTime), BudgetLines
+		b.until, b.lines = now.Add(LogLimiterInterval), LogLimiterBurst
 	}
 	if b.lines == 0 {
 		b.leftOut++
--- a/telemetry/budget_test.go
+++ b/telemetry/budget_test.go
@@ -9,16 +9,16 @@
 
 func TestALineBudgetCountsWhatItLeavesOut(t *testing.T) {
 	is := is.New(t)
-	var b LineBudget
+	var b LogLimiter
 	now := time.Now()
 	logged := 0
 	for range 1000 {
-		if _, ok := b.Take(now); ok {
+		if _, ok := b.Allow(now); ok {
 			logged++
 		}
 	}
-	is.Equal(logged, BudgetLines)
-	leftOut, ok := b.Take(now.Add(2 * BudgetTime))
+	is.Equal(logged, LogLimiterBurst)
+	leftOut, ok := b.Allow(now.Add(2 * LogLimiterInterval))
 	is.True(ok)
-	is.Equal(leftOut, 1000-BudgetLines)
+	is.Equal(leftOut, 1000-LogLimiterBurst)
 }
--- a/telemetry/config.go
+++ b/telemetry/config.go
@@ -41,7 +41,7 @@
 
 // Settings registers the settings of cfg. A cfg.AdminListen set beforehand is
 // the default of -admin-listen, so that daemons of one host can differ.
-func Settings(s *setting.Set, cfg *Config) {
+func RegisterSettings(s *setting.Set, cfg *Config) {
 	cfg.Daemon = s.Daemon()
 	adminListen := cfg.AdminListen
 	if adminListen == "" {
--- a/telemetry/grpc.go
+++ b/telemetry/grpc.go
@@ -58,12 +58,12 @@
 }
 
 // UnaryServer passes the trace of an incoming call to its handler.
-func UnaryServer(ctx context.Context, request any, _ *grpc.UnaryServerInfo, handler grpc.UnaryHandler) (any, error) {
+func UnaryServerInterceptor(ctx context.Context, request any, _ *grpc.UnaryServerInfo, handler grpc.UnaryHandler) (any, error) {
 	return handler(ExtractIncoming(ctx), request)
 }
 
 // StreamServer passes the trace of an incoming stream to its handler.
-func StreamServer(server any, stream grpc.ServerStream, _ *grpc.StreamServerInfo, handler grpc.StreamHandler) error {
+func StreamServerInterceptor(server any, stream grpc.ServerStream, _ *grpc.StreamServerInfo, handler grpc.StreamHandler) error {
 	return handler(server, &tracedStream{stream, ExtractIncoming(stream.Context())})
 }
 
@@ -77,11 +77,11 @@
 func (s *tracedStream) Context() context.Context { return s.ctx }
 
 // UnaryClient sends the trace of ctx with a call.
-func UnaryClient(ctx context.Context, method string, request, reply any, conn *grpc.ClientConn, invoke grpc.UnaryInvoker, opts ...grpc.CallOption) error {
+func UnaryClientInterceptor(ctx context.Context, method string, request, reply any, conn *grpc.ClientConn, invoke grpc.UnaryInvoker, opts ...grpc.CallOption) error {
 	return invoke(InjectOutgoing(ctx), method, request, reply, conn, opts...)
 }
 
 // StreamClient sends the trace of ctx with a stream.
-func StreamClient(ctx context.Context, desc *grpc.StreamDesc, conn *grpc.ClientConn, method string, streamer grpc.Streamer, opts ...grpc.CallOption) (grpc.ClientStream, error) {
+func StreamClientInterceptor(ctx context.Context, desc *grpc.StreamDesc, conn *grpc.ClientConn, method string, streamer grpc.Streamer, opts ...grpc.CallOption) (grpc.ClientStream, error) {
 	return streamer(InjectOutgoing(ctx), desc, conn, method, opts...)
 }
--- a/telemetry/install.go
+++ b/telemetry/install.go
@@ -15,7 +15,7 @@
 // Install makes logger the default of the process and the destination of what
 // the libraries log (package log, gRPC, OpenTelemetry), so that everything on
 // the log is JSON lines. A daemon calls it once, before it makes connections.
-func Install(logger *slog.Logger) {
+func SetDefaultLogger(logger *slog.Logger) {
 	slog.SetDefault(logger)
 	grpclog.SetLoggerV2(&grpcLogger{logger: logger.With("library", "grpc"), last: map[string]warning{}})
 	otel.SetErrorHandler(otel.ErrorHandlerFunc(func(err error) {
--- a/telemetry/log.go
+++ b/telemetry/log.go
@@ -15,7 +15,7 @@
 const redacted = "[redacted]"
 
 // Logger returns a logger of JSON lines. An unknown level counts as info.
-func Logger(w io.Writer, level, daemon, host string) *slog.Logger {
+func NewLogger(w io.Writer, level, daemon, host string) *slog.Logger {
 	var least slog.Level
 	if err := least.UnmarshalText([]byte(level)); err != nil {
 		least = slog.LevelInfo
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -27,7 +27,7 @@
 func TestLinesCarryTheRequestAndNoSecrets(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	logger := Logger(&out, "info", "lilackeel-entry", "host-1")
+	logger := NewLogger(&out, "info", "lilackeel-entry", "host-1")
 	ctx := WithAttributes(t.Context(), slog.String("request_id", "r-17"), slog.String("workspace", "nawras"))
 	address := &url.URL{Scheme: "http", User: url.UserPassword("u", "hush-1"), Host: "h", RawQuery: "key=hush-2"}
 	logger.With("workspace-key", "hush-3").WithGroup("caller").InfoContext(ctx, "refused",
@@ -49,7 +49,7 @@
 	var out bytes.Buffer
 	before := slog.Default()
 	defer slog.SetDefault(before)
-	Install(Logger(&out, "info", "lilackeel-entry", "host-1"))
+	SetDefaultLogger(NewLogger(&out, "info", "lilackeel-entry", "host-1"))
 	log.Print("from package log")
 	grpclog.Warningf("from %s", "gRPC")
 	otel.Handle(errors.New("from OpenTelemetry"))
@@ -65,9 +65,9 @@
 	received := make(chan string, 1)
 	collector := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { received <- r.URL.Path }))
 	defer collector.Close()
-	shutdown, err := Tracing(t.Context(), Config{TraceExporter: ExporterOTLP, TraceEndpoint: collector.URL, TraceRatio: 1})
+	shutdown, err := StartTracing(t.Context(), Config{TraceExporter: ExporterOTLP, TraceEndpoint: collector.URL, TraceRatio: 1})
 	is.NoErr(err)
-	_, span := Span(t.Context(), "pick")
+	_, span := StartSpan(t.Context(), "pick")
 	span.End()
 	is.NoErr(shutdown(context.Background()))
 	is.Equal(<-received, "/v1/traces")
@@ -76,14 +76,14 @@
 func TestSpansAreRecordedInTheTraceOfTheCaller(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "spans.json")
-	shutdown, err := Tracing(t.Context(), Config{Daemon: "lilackeel-entry", TraceExporter: ExporterFile, TraceEndpoint: path, TraceRatio: 1})
+	shutdown, err := StartTracing(t.Context(), Config{Daemon: "lilackeel-entry", TraceExporter: ExporterFile, TraceEndpoint: path, TraceRatio: 1})
 	is.NoErr(err)
 	const traceID = "4bf92f3577b34da6a3ce929d0e0e4736"
 	incoming := http.Header{"Traceparent": {"00-" + traceID + "-00f067aa0ba902b7-01"}}
-	ctx, span := Span(Extract(t.Context(), incoming), "pick", attribute.Int("attempt", 1))
+	ctx, span := StartSpan(Extract(t.Context(), incoming), "pick", attribute.Int("attempt", 1))
 	outgoing := http.Header{}
 	Inject(ctx, outgoing)
-	End(span, fault.New(fault.Overloaded, "a caller's data", "wait"))
+	EndSpan(span, fault.New(fault.Overloaded, "a caller's data", "wait"))
 	is.NoErr(shutdown(context.Background()))
 	recorded, err := os.ReadFile(path)
 	is.NoErr(err)
@@ -93,7 +93,7 @@
 	is.True(strings.Contains(outgoing.Get("traceparent"), traceID))
 	is.True(outgoing.Get("traceparent") != incoming.Get("traceparent")) // the new span is the parent now
 
-	ctx, _ = Span(Extract(t.Context(), incoming), "pick") // off again
+	ctx, _ = StartSpan(Extract(t.Context(), incoming), "pick") // off again
 	Inject(ctx, outgoing)
 	is.Equal(outgoing.Get("traceparent"), incoming.Get("traceparent")) // passed on unchanged
 }
@@ -103,7 +103,7 @@
 	ready := NewReady()
 	get := func(path string) (int, string) {
 		recorder := httptest.NewRecorder()
-		Admin(ready).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, path, nil))
+		AdminHandler(ready).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, path, nil))
 		return recorder.Code, recorder.Body.String()
 	}
 	code, _ := get("/readyz")
@@ -130,7 +130,7 @@
 		{"-trace-endpoint=/tmp/spans"},
 	} {
 		s := setting.New("lilackeel-sample")
-		Settings(s, &Config{})
+		RegisterSettings(s, &Config{})
 		_, err := s.Parse(args, nil)
 		is.True(err != nil)
 	}
@@ -140,7 +140,7 @@
 func BenchmarkSpan(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		_, span := Span(b.Context(), "pick", attribute.Int("attempt", 1))
-		End(span, nil)
+		_, span := StartSpan(b.Context(), "pick", attribute.Int("attempt", 1))
+		EndSpan(span, nil)
 	}
 }
--- a/telemetry/trace.go
+++ b/telemetry/trace.go
@@ -39,7 +39,7 @@
 
 // Tracing starts the recording of spans as cfg says, for the whole process. The
 // returned function sends what is still buffered and stops the recording.
-func Tracing(ctx context.Context, cfg Config) (shutdown func(context.Context) error, err error) {
+func StartTracing(ctx context.Context, cfg Config) (shutdown func(context.Context) error, err error) {
 	exporter, sink, err := newExporter(ctx, cfg)
 	if err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 
 // Span starts a span below the one in ctx. The caller ends it, best with End.
 // While tracing is off it returns ctx itself and a span that does nothing.
-func Span(ctx context.Context, name string, attrs ...attribute.KeyValue) (context.Context, trace.Span) {
+func StartSpan(ctx context.Context, name string, attrs ...attribute.KeyValue) (context.Context, trace.Span) {
 	tracer := recorder.Load()
 	if tracer == nil {
 		return ctx, idleSpan
@@ -118,7 +118,7 @@
 
 // End ends a span. A non-nil error marks it as failed, with the kind of the
 // fault; the message is left out, as it may quote a caller's data.
-func End(span trace.Span, err error) {
+func EndSpan(span trace.Span, err error) {
 	if err != nil && span.IsRecording() {
 		kind := string(fault.KindOf(err))
 		span.SetAttributes(attribute.String("fault.kind", kind))
