--- a/telemetry/admin.go
+++ b/telemetry/admin.go
@@ -15,21 +15,21 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// adminTimeout bounds how long reading one admin request may take.
-const adminTimeout = 5 * time.Second
+// adminReadHeaderTimeout bounds reading the headers of an admin request.
+const adminReadHeaderTimeout = 5 * time.Second
 
-// Ready says whether a daemon takes new work. It starts as not ready and is
-// safe for concurrent use.
+// Ready is the readiness of a daemon: whether it accepts new work. It is safe for
+// concurrent use.
 type Ready struct {
 	mu     sync.Mutex
 	ready  bool
 	reason string
 }
 
-// NewReady returns a Ready that is not ready because the daemon is starting.
+// NewReady returns a Ready that is not ready, with the reason "starting".
 func NewReady() *Ready { return &Ready{reason: "starting"} }
 
-// Set changes the readiness. The reason is shown while not ready.
+// Set changes the readiness. The reason is reported while the daemon is not ready.
 func (r *Ready) Set(ready bool, reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -37,16 +37,16 @@
 	r.reason = reason
 }
 
-// Get returns the readiness and the reason given last.
+// Get returns the readiness and the reason passed to the last Set.
 func (r *Ready) Get() (ready bool, reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ready, r.reason
 }
 
-// Admin serves /metrics in the Prometheus text format, /healthz (200 while the
-// process serves at all) and /readyz (200 while it takes new work, else 503
-// with the reason).
+// AdminHandler serves /metrics in the Prometheus text format, /healthz (always
+// 200) and /readyz (200 while the daemon accepts new work, otherwise 503 with the
+// reason).
 func AdminHandler(ready *Ready) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -67,14 +67,14 @@
 	return mux
 }
 
-// AdminServer is a running admin listener.
+// AdminServer serves AdminHandler on a listener of its own.
 type AdminServer struct {
 	server *http.Server
 	addr   string
 }
 
-// ServeAdmin listens on cfg.AdminListen and serves Admin in the background. With
-// an empty address it serves nothing.
+// ServeAdmin listens on cfg.AdminListen and serves AdminHandler in the background.
+// If the address is empty, it does nothing.
 func ServeAdmin(cfg Config, ready *Ready, logger *slog.Logger) (*AdminServer, error) {
 	if cfg.AdminListen == "" {
 		return &AdminServer{}, nil
@@ -86,7 +86,7 @@
 	}
 	server := &http.Server{
 		Handler:           AdminHandler(ready),
-		ReadHeaderTimeout: adminTimeout,
+		ReadHeaderTimeout: adminReadHeaderTimeout,
 		ErrorLog:          slog.NewLogLogger(logger.Handler(), slog.LevelWarn),
 	}
 	go func() {
@@ -97,10 +97,11 @@
 	return &AdminServer{server: server, addr: listener.Addr().String()}, nil
 }
 
-// Addr returns host:port of the listener, with the port chosen if it was 0.
+// Addr returns the host:port of the listener, with the port that the system chose
+// if the configured port was 0. It is empty if there is no listener.
 func (a *AdminServer) Addr() string { return a.addr }
 
-// Shutdown stops the listener after the requests in flight.
+// Shutdown stops the listener and waits for the requests in flight.
 func (a *AdminServer) Shutdown(ctx context.Context) error {
 	if a.server == nil {
 		return nil
--- a/telemetry/config.go
+++ b/telemetry/config.go
@@ -5,26 +5,26 @@
 	"github.com/lilackeel/lilackeel/setting"
 )
 
-// Exporters of traces.
+// Trace exporters.
 const (
 	// ExporterOff records no spans.
 	ExporterOff = "off"
-	// ExporterStdout writes spans as JSON lines to the standard output.
+	// ExporterStdout writes spans as JSON lines to standard output.
 	ExporterStdout = "stdout"
-	// ExporterFile appends spans as JSON lines to the file trace-endpoint.
+	// ExporterFile appends spans as JSON lines to the file that trace-endpoint names.
 	ExporterFile = "file"
-	// ExporterOTLP sends spans to the OTLP/HTTP collector trace-endpoint.
+	// ExporterOTLP sends spans to the OTLP/HTTP collector at trace-endpoint.
 	ExporterOTLP = "otlp"
 )
 
-// defaultAdminListen is where a daemon serves metrics, health and readiness.
+// defaultAdminListen is the default address of metrics, health and readiness.
 const defaultAdminListen = "127.0.0.1:9090"
 
-// Config is how a daemon reports on itself.
+// Config configures the telemetry of a daemon.
 type Config struct {
-	// Daemon is the name of the program, on every log line and span.
+	// Daemon is the name of the program. Every log line and span carries it.
 	Daemon string
-	// Host is the name of the host, on every log line and span.
+	// Host is the name of the host. Every log line and span carries it.
 	Host string
 	// LogLevel is debug, info, warn or error.
 	LogLevel string
@@ -32,15 +32,17 @@
 	TraceExporter string
 	// TraceEndpoint is a URL for ExporterOTLP and a path for ExporterFile.
 	TraceEndpoint string
-	// TraceRatio is the share of new traces that are recorded, 0 to 1. A trace
-	// that arrives with a decision keeps it.
+	// TraceRatio is the fraction of new traces that are recorded, 0 to 1. The
+	// sampling decision of an incoming trace is kept.
 	TraceRatio float64
-	// AdminListen is host:port of metrics, health and readiness; empty for none.
+	// AdminListen is the host:port of metrics, health and readiness; if it is
+	// empty, there is no admin listener.
 	AdminListen string
 }
 
-// Settings registers the settings of cfg. A cfg.AdminListen set beforehand is
-// the default of -admin-listen, so that daemons of one host can differ.
+// RegisterSettings registers the settings of cfg. If cfg.AdminListen is set
+// beforehand, it is the default of -admin-listen, so that several daemons on one
+// host can have different defaults.
 func RegisterSettings(s *setting.Set, cfg *Config) {
 	cfg.Daemon = s.Daemon()
 	adminListen := cfg.AdminListen
@@ -58,7 +60,7 @@
 	s.Check(cfg.check)
 }
 
-// check finds contradictions between the trace settings.
+// check returns an error if the trace settings contradict each other.
 func (cfg *Config) check() error {
 	needsEndpoint := cfg.TraceExporter == ExporterFile || cfg.TraceExporter == ExporterOTLP
 	switch {
--- a/telemetry/grpc.go
+++ b/telemetry/grpc.go
@@ -9,7 +9,7 @@
 	"google.golang.org/grpc/metadata"
 )
 
-// metadataCarrier lets the propagator read and write gRPC metadata.
+// metadataCarrier adapts gRPC metadata to the propagator.
 type metadataCarrier metadata.MD
 
 var _ propagation.TextMapCarrier = metadataCarrier{}
@@ -35,7 +35,7 @@
 	return keys
 }
 
-// ExtractIncoming returns ctx with the trace of the incoming gRPC metadata.
+// ExtractIncoming returns ctx with the trace context of the incoming gRPC metadata.
 func ExtractIncoming(ctx context.Context) context.Context {
 	incoming, ok := metadata.FromIncomingContext(ctx)
 	if !ok {
@@ -44,7 +44,8 @@
 	return propagator.Extract(ctx, metadataCarrier(incoming))
 }
 
-// InjectOutgoing returns ctx with its trace in the outgoing gRPC metadata.
+// InjectOutgoing returns ctx with its trace context added to the outgoing gRPC
+// metadata.
 func InjectOutgoing(ctx context.Context) context.Context {
 	if !trace.SpanContextFromContext(ctx).IsValid() {
 		return ctx
@@ -57,17 +58,19 @@
 	return ctx
 }
 
-// UnaryServer passes the trace of an incoming call to its handler.
+// UnaryServerInterceptor passes the trace context of an incoming call to its handler.
 func UnaryServerInterceptor(ctx context.Context, request any, _ *grpc.UnaryServerInfo, handler grpc.UnaryHandler) (any, error) {
 	return handler(ExtractIncoming(ctx), request)
 }
 
-// StreamServer passes the trace of an incoming stream to its handler.
+// StreamServerInterceptor passes the trace context of an incoming stream to its
+// handler.
 func StreamServerInterceptor(server any, stream grpc.ServerStream, _ *grpc.StreamServerInfo, handler grpc.StreamHandler) error {
 	return handler(server, &tracedStream{stream, ExtractIncoming(stream.Context())})
 }
 
-// tracedStream is a server stream whose context carries the caller's trace.
+// tracedStream is a server stream whose context carries the trace context of the
+// caller.
 type tracedStream struct {
 	grpc.ServerStream
 	ctx context.Context
@@ -76,12 +79,12 @@
 // Context implements grpc.ServerStream.
 func (s *tracedStream) Context() context.Context { return s.ctx }
 
-// UnaryClient sends the trace of ctx with a call.
+// UnaryClientInterceptor sends the trace context of ctx with a call.
 func UnaryClientInterceptor(ctx context.Context, method string, request, reply any, conn *grpc.ClientConn, invoke grpc.UnaryInvoker, opts ...grpc.CallOption) error {
 	return invoke(InjectOutgoing(ctx), method, request, reply, conn, opts...)
 }
 
-// StreamClient sends the trace of ctx with a stream.
+// StreamClientInterceptor sends the trace context of ctx with a stream.
 func StreamClientInterceptor(ctx context.Context, desc *grpc.StreamDesc, conn *grpc.ClientConn, method string, streamer grpc.Streamer, opts ...grpc.CallOption) (grpc.ClientStream, error) {
 	return streamer(InjectOutgoing(ctx), desc, conn, method, opts...)
 }
--- a/telemetry/log.go
+++ b/telemetry/log.go
@@ -11,39 +11,40 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// redacted stands in place of a secret.
+// redacted replaces the value of a secret.
 const redacted = "[redacted]"
 
-// Logger returns a logger of JSON lines. An unknown level counts as info.
+// NewLogger returns a logger that writes JSON lines. An unknown level is treated as
+// info.
 func NewLogger(w io.Writer, level, daemon, host string) *slog.Logger {
-	var least slog.Level
-	if err := least.UnmarshalText([]byte(level)); err != nil {
-		least = slog.LevelInfo
+	var minLevel slog.Level
+	if err := minLevel.UnmarshalText([]byte(level)); err != nil {
+		minLevel = slog.LevelInfo
 	}
-	handler := slog.NewJSONHandler(w, &slog.HandlerOptions{Level: least, ReplaceAttr: redact})
+	handler := slog.NewJSONHandler(w, &slog.HandlerOptions{Level: minLevel, ReplaceAttr: redact})
 	return slog.New(&contextHandler{handler}).With("daemon", daemon, "host", host)
 }
 
-// attributesKey is the context key of the bound attributes.
+// attributesKey is the context key of the attributes set by WithAttributes.
 type attributesKey struct{}
 
-// WithAttributes binds attributes to ctx, after those bound already. Each line
-// that is logged with the context carries them.
+// WithAttributes returns a context with attrs appended to the attributes of ctx.
+// Every line that is logged with the context carries them.
 func WithAttributes(ctx context.Context, attrs ...slog.Attr) context.Context {
-	bound, _ := ctx.Value(attributesKey{}).([]slog.Attr)
-	joined := make([]slog.Attr, 0, len(bound)+len(attrs))
-	joined = append(joined, bound...)
+	existing, _ := ctx.Value(attributesKey{}).([]slog.Attr)
+	joined := make([]slog.Attr, 0, len(existing)+len(attrs))
+	joined = append(joined, existing...)
 	joined = append(joined, attrs...)
 	return context.WithValue(ctx, attributesKey{}, joined)
 }
 
-// contextHandler adds the attributes and the trace id of the context.
+// contextHandler adds the attributes and the trace id of the context to each record.
 type contextHandler struct{ slog.Handler }
 
 // Handle implements slog.Handler.
 func (h *contextHandler) Handle(ctx context.Context, record slog.Record) error {
-	if bound, ok := ctx.Value(attributesKey{}).([]slog.Attr); ok {
-		record.AddAttrs(bound...)
+	if existing, ok := ctx.Value(attributesKey{}).([]slog.Attr); ok {
+		record.AddAttrs(existing...)
 	}
 	if span := trace.SpanContextFromContext(ctx); span.HasTraceID() {
 		record.AddAttrs(slog.String("trace_id", span.TraceID().String()))
@@ -61,28 +62,28 @@
 	return &contextHandler{h.Handler.WithGroup(name)}
 }
 
-// secretWords are the endings of keys whose values are secrets.
-var secretWords = []string{
+// secretSuffixes are the endings of keys whose values are secrets.
+var secretSuffixes = []string{
 	"authorization", "password", "passwd", "secret", "credential", "credentials",
 	"cookie", "api_key", "apikey", "workspace_key", "private_key", "tls_key", "access_token", "bearer_token",
 }
 
-// isSecret reports whether a key names a secret. Fencing tokens, counts of
-// tokens and idempotency keys are no secrets.
+// isSecret reports whether a key names a secret. Fencing tokens, token counts and
+// idempotency keys are not secrets.
 func isSecret(key string) bool {
 	key = strings.ToLower(strings.ReplaceAll(key, "-", "_"))
 	if key == "token" || key == "key" {
 		return true
 	}
-	for _, word := range secretWords {
-		if strings.HasSuffix(key, word) {
+	for _, suffix := range secretSuffixes {
+		if strings.HasSuffix(key, suffix) {
 			return true
 		}
 	}
 	return false
 }
 
-// redact replaces the values of secrets, also inside headers and URLs.
+// redact replaces the values of secrets, including those in headers and URLs.
 func redact(_ []string, attr slog.Attr) slog.Attr {
 	if isSecret(attr.Key) {
 		return slog.String(attr.Key, redacted)
@@ -97,24 +98,24 @@
 }
 
 func redactHeader(header http.Header) http.Header {
-	safe := make(http.Header, len(header))
+	sanitized := make(http.Header, len(header))
 	for name, values := range header {
 		if isSecret(name) {
 			values = []string{redacted}
 		}
-		safe[name] = values
+		sanitized[name] = values
 	}
-	return safe
+	return sanitized
 }
 
-// redactURL hides the password and the values of the query.
+// redactURL formats a URL with its password and its query redacted.
 func redactURL(address *url.URL) string {
 	if address == nil {
 		return ""
 	}
-	safe := *address
-	if safe.RawQuery != "" {
-		safe.RawQuery = "redacted"
+	sanitized := *address
+	if sanitized.RawQuery != "" {
+		sanitized.RawQuery = "redacted"
 	}
-	return safe.Redacted()
+	return sanitized.Redacted()
 }
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -24,7 +24,7 @@
 	"github.com/lilackeel/lilackeel/setting"
 )
 
-func TestLinesCarryTheRequestAndNoSecrets(t *testing.T) {
+func TestLogLinesCarryContextAttributesButNoSecrets(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	logger := NewLogger(&out, "info", "lilackeel-entry", "host-1")
@@ -40,15 +40,15 @@
 	line := out.String()
 	is.True(!strings.Contains(line, "hush"))
 	for _, part := range []string{`"request_id":"r-17"`, `"workspace":"nawras"`, `"host":"host-1"`, `"fencing_token":41`, "text/plain"} {
-		is.True(strings.Contains(line, part)) // kept on the line
+		is.True(strings.Contains(line, part)) // must not be redacted
 	}
 }
 
-func TestLibrariesLogJSONLinesToo(t *testing.T) {
+func TestLibrariesLogJSONLines(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	before := slog.Default()
-	defer slog.SetDefault(before)
+	previous := slog.Default()
+	defer slog.SetDefault(previous)
 	SetDefaultLogger(NewLogger(&out, "info", "lilackeel-entry", "host-1"))
 	log.Print("from package log")
 	grpclog.Warningf("from %s", "gRPC")
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestSpansReachACollector(t *testing.T) {
+func TestSpansReachOTLPCollector(t *testing.T) {
 	is := is.New(t)
 	received := make(chan string, 1)
 	collector := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { received <- r.URL.Path }))
@@ -73,7 +73,7 @@
 	is.Equal(<-received, "/v1/traces")
 }
 
-func TestSpansAreRecordedInTheTraceOfTheCaller(t *testing.T) {
+func TestSpansJoinIncomingTrace(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "spans.json")
 	shutdown, err := StartTracing(t.Context(), Config{Daemon: "lilackeel-entry", TraceExporter: ExporterFile, TraceEndpoint: path, TraceRatio: 1})
@@ -91,14 +91,14 @@
 	is.True(strings.Contains(string(recorded), "overloaded"))
 	is.True(!strings.Contains(string(recorded), "a caller's data"))
 	is.True(strings.Contains(outgoing.Get("traceparent"), traceID))
-	is.True(outgoing.Get("traceparent") != incoming.Get("traceparent")) // the new span is the parent now
+	is.True(outgoing.Get("traceparent") != incoming.Get("traceparent")) // the new span is the parent
 
-	ctx, _ = StartSpan(Extract(t.Context(), incoming), "pick") // off again
+	ctx, _ = StartSpan(Extract(t.Context(), incoming), "pick") // tracing is off again
 	Inject(ctx, outgoing)
-	is.Equal(outgoing.Get("traceparent"), incoming.Get("traceparent")) // passed on unchanged
+	is.Equal(outgoing.Get("traceparent"), incoming.Get("traceparent")) // propagated unchanged
 }
 
-func TestReadinessFallsWithItsReason(t *testing.T) {
+func TestReadyzReportsReason(t *testing.T) {
 	is := is.New(t)
 	ready := NewReady()
 	get := func(path string) (int, string) {
@@ -107,7 +107,7 @@
 		return recorder.Code, recorder.Body.String()
 	}
 	code, _ := get("/readyz")
-	is.Equal(code, http.StatusServiceUnavailable) // not ready before it says so
+	is.Equal(code, http.StatusServiceUnavailable) // not ready initially
 	ready.Set(true, "")
 	code, _ = get("/readyz")
 	is.Equal(code, http.StatusOK)
@@ -122,7 +122,7 @@
 	is.True(strings.Contains(body, "go_goroutines"))
 }
 
-func TestTraceSettingsThatContradictEachOtherAreRefused(t *testing.T) {
+func TestContradictoryTraceSettingsAreRejected(t *testing.T) {
 	is := is.New(t)
 	for _, args := range [][]string{
 		{"-trace-exporter=otlp"},
@@ -136,7 +136,7 @@
 	}
 }
 
-// BenchmarkSpan compares a span while tracing is off with a plain call.
+// BenchmarkSpan measures the cost of a span while tracing is off.
 func BenchmarkSpan(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
--- a/telemetry/trace.go
+++ b/telemetry/trace.go
@@ -25,22 +25,22 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// scope names the library that makes the spans.
-const scope = "github.com/lilackeel/lilackeel"
+// instrumentationScope is the OpenTelemetry instrumentation scope of the spans.
+const instrumentationScope = "github.com/lilackeel/lilackeel"
 
-// traceFileMode is the permission of a new file of spans.
-const traceFileMode = 0o640
+// spanFileMode is the mode with which ExporterFile creates its file.
+const spanFileMode = 0o640
 
-// propagator reads and writes the traceparent and tracestate headers.
+// propagator handles the W3C traceparent and tracestate headers.
 var propagator = propagation.TraceContext{}
 
-// recorder is the tracer in use; nil while tracing is off.
-var recorder atomic.Pointer[trace.Tracer]
+// activeTracer is the tracer in use; nil while tracing is off.
+var activeTracer atomic.Pointer[trace.Tracer]
 
-// Tracing starts the recording of spans as cfg says, for the whole process. The
-// returned function sends what is still buffered and stops the recording.
+// StartTracing starts recording spans for the whole process as configured by cfg.
+// The returned function exports the buffered spans and stops recording.
 func StartTracing(ctx context.Context, cfg Config) (shutdown func(context.Context) error, err error) {
-	exporter, sink, err := newExporter(ctx, cfg)
+	exporter, closer, err := newExporter(ctx, cfg)
 	if err != nil {
 		return nil, err
 	}
@@ -56,16 +56,16 @@
 		)),
 	)
 	otel.SetTextMapPropagator(propagator)
-	tracer := provider.Tracer(scope)
-	recorder.Store(&tracer)
+	tracer := provider.Tracer(instrumentationScope)
+	activeTracer.Store(&tracer)
 	return func(ctx context.Context) error {
-		recorder.CompareAndSwap(&tracer, nil)
-		return gtrace.Wrap(errors.Join(provider.Shutdown(ctx), sink.Close()))
+		activeTracer.CompareAndSwap(&tracer, nil)
+		return gtrace.Wrap(errors.Join(provider.Shutdown(ctx), closer.Close()))
 	}, nil
 }
 
-// newExporter returns the exporter of cfg and the file to close after it; a nil
-// exporter if tracing is off.
+// newExporter returns the exporter that cfg selects and a closer to call after its
+// shutdown. The exporter is nil if tracing is off.
 func newExporter(ctx context.Context, cfg Config) (sdktrace.SpanExporter, io.Closer, error) {
 	none := io.NopCloser(nil)
 	switch cfg.TraceExporter {
@@ -75,10 +75,10 @@
 		exporter, err := stdouttrace.New()
 		return exporter, none, gtrace.Wrap(err)
 	case ExporterFile:
-		file, err := os.OpenFile(cfg.TraceEndpoint, os.O_CREATE|os.O_APPEND|os.O_WRONLY, traceFileMode)
+		file, err := os.OpenFile(cfg.TraceEndpoint, os.O_CREATE|os.O_APPEND|os.O_WRONLY, spanFileMode)
 		if err != nil {
 			return nil, nil, fault.New(fault.Invalid, "the file of -trace-endpoint cannot be opened",
-				"name a file in a folder that the daemon may write to").WithCause(err)
+				"name a file in a directory that the daemon may write to").WithCause(err)
 		}
 		exporter, err := stdouttrace.New(stdouttrace.WithWriter(file))
 		return exporter, file, gtrace.Wrap(err)
@@ -90,34 +90,34 @@
 		"unknown trace exporter %q", cfg.TraceExporter)
 }
 
-// collectorPath is where OTLP/HTTP collectors take spans.
-const collectorPath = "/v1/traces"
+// defaultCollectorPath is the path at which OTLP/HTTP collectors accept spans.
+const defaultCollectorPath = "/v1/traces"
 
-// collectorURL adds the usual path to the URL of a collector that has none.
+// collectorURL adds defaultCollectorPath to a collector URL that has no path.
 func collectorURL(endpoint string) string {
 	parsed, err := url.Parse(endpoint)
 	if err != nil || strings.Trim(parsed.Path, "/") != "" {
 		return endpoint
 	}
-	parsed.Path = collectorPath
+	parsed.Path = defaultCollectorPath
 	return parsed.String()
 }
 
-// Span starts a span below the one in ctx. The caller ends it, best with End.
-// While tracing is off it returns ctx itself and a span that does nothing.
+// StartSpan starts a child span of the one in ctx. The caller must end it, normally
+// with EndSpan. While tracing is off, it returns ctx unchanged and a no-op span.
 func StartSpan(ctx context.Context, name string, attrs ...attribute.KeyValue) (context.Context, trace.Span) {
-	tracer := recorder.Load()
+	tracer := activeTracer.Load()
 	if tracer == nil {
-		return ctx, idleSpan
+		return ctx, noopSpan
 	}
 	return (*tracer).Start(ctx, name, trace.WithAttributes(slices.Clone(attrs)...))
 }
 
-// idleSpan is the span of a process that does not trace.
-var idleSpan = trace.SpanFromContext(context.Background())
+// noopSpan is the span that StartSpan returns while tracing is off.
+var noopSpan = trace.SpanFromContext(context.Background())
 
-// End ends a span. A non-nil error marks it as failed, with the kind of the
-// fault; the message is left out, as it may quote a caller's data.
+// EndSpan ends a span. A non-nil error marks it as failed, with the kind of the
+// error; the message is omitted because it may quote a caller's data.
 func EndSpan(span trace.Span, err error) {
 	if err != nil && span.IsRecording() {
 		kind := string(fault.KindOf(err))
@@ -127,12 +127,12 @@
 	span.End()
 }
 
-// Extract returns ctx with the trace that the HTTP headers carry, if any.
+// Extract returns ctx with the trace context of the HTTP headers, if there is one.
 func Extract(ctx context.Context, header http.Header) context.Context {
 	return propagator.Extract(ctx, propagation.HeaderCarrier(header))
 }
 
-// Inject writes the trace of ctx to the HTTP headers.
+// Inject writes the trace context of ctx to the HTTP headers.
 func Inject(ctx context.Context, header http.Header) {
 	propagator.Inject(ctx, propagation.HeaderCarrier(header))
 }
