--- a/setting/help.go
+++ b/setting/help.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// Main parses the settings and carries out every action but Run: it prints the
-// version, the help, the result of -check or the faults. With done the daemon
-// exits with code; otherwise it goes on to start.
+// Main parses the settings and performs every action except Run: it prints the
+// version, the help, the result of -check or the errors. If done is true, the
+// program must exit with code; otherwise it starts.
 func (s *Set) Main(args, environ []string, stdout, stderr io.Writer) (code int, done bool) {
 	action, err := s.Parse(args, environ)
 	switch action {
@@ -41,9 +41,9 @@
 	exitUsage = 2
 )
 
-// Usage prints every setting with its environment variable, limits and default.
+// Usage prints every setting with its environment variable, constraints and default.
 func (s *Set) Usage(w io.Writer) {
-	fmt.Fprintf(w, "Usage: %s [flags]\n\nEach flag can be set by its environment variable; the flag wins.\n\n", s.daemon)
+	fmt.Fprintf(w, "Usage: %s [flags]\n\nEach flag can be set by its environment variable; the flag takes precedence.\n\n", s.daemon)
 	for _, entry := range s.settings {
 		fmt.Fprintf(w, "  -%s (%s)\n", entry.name, entry.environmentName())
 		fmt.Fprintf(w, "        %s [%s]\n", entry.description, entry.properties())
@@ -61,13 +61,13 @@
 		fmt.Fprintf(&table, "| `-%s` | `%s` | %s | %s | %s | %s |\n",
 			entry.name, entry.environmentName(), entry.kind,
 			code(entry.printable(entry.defaultText)),
-			escape(entry.limits()), escape(entry.description))
+			escape(entry.constraints()), escape(entry.description))
 	}
 	return table.String()
 }
 
-// LogValue lists the settings that differ from their defaults, with secrets
-// hidden, so that a daemon can log what it runs with.
+// LogValue implements slog.LogValuer. It lists the settings that were set explicitly,
+// with secrets redacted, so that a daemon can log its settings at startup.
 func (s *Set) LogValue() slog.Value {
 	var attrs []slog.Attr
 	for _, entry := range s.settings {
@@ -78,8 +78,8 @@
 	return slog.GroupValue(attrs...)
 }
 
-// Version returns the module version and the revision that the program was
-// built from.
+// Version returns the module version, the VCS revision and the Go version that the
+// program was built with.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -97,11 +97,11 @@
 	return version + " " + info.GoVersion
 }
 
-// properties joins type, limits and default for the help.
+// properties joins the type, the constraints and the default for the help.
 func (e *setting) properties() string {
 	parts := []string{string(e.kind)}
-	if limits := e.limits(); limits != "" {
-		parts = append(parts, limits)
+	if constraints := e.constraints(); constraints != "" {
+		parts = append(parts, constraints)
 	}
 	if e.defaultText != "" {
 		parts = append(parts, "default "+e.printable(e.defaultText))
@@ -109,29 +109,30 @@
 	return strings.Join(parts, "; ")
 }
 
-func (e *setting) limits() string {
-	limits := make([]string, len(e.rules))
+func (e *setting) constraints() string {
+	constraints := make([]string, len(e.rules))
 	for i, rule := range e.rules {
-		limits[i] = rule.limit
+		constraints[i] = rule.constraint
 	}
-	return strings.Join(limits, "; ")
+	return strings.Join(constraints, "; ")
 }
 
-// maxEdits is how many edits a misspelt flag may be away from its suggestion.
+// maxEdits is the maximum edit distance between a misspelt name and its suggestion.
 const maxEdits = 2
 
-// nearest returns the setting whose name is closest to a misspelt one.
-func (s *Set) nearest(name string) string {
-	best, bestEdits := "", maxEdits+1
+// closestName returns the name of the setting closest to a misspelt one; it is empty
+// if none is within maxEdits.
+func (s *Set) closestName(name string) string {
+	closest, closestEdits := "", maxEdits+1
 	for _, entry := range s.settings {
-		if edits := editDistance(name, entry.name); edits < bestEdits {
-			best, bestEdits = entry.name, edits
+		if edits := editDistance(name, entry.name); edits < closestEdits {
+			closest, closestEdits = entry.name, edits
 		}
 	}
-	return best
+	return closest
 }
 
-// editDistance is the Levenshtein distance of two names.
+// editDistance returns the Levenshtein distance of two names.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/setting/kind.go
+++ b/setting/kind.go
@@ -23,10 +23,10 @@
 	kindList     kind = "list"
 )
 
-// redacted stands in place of a secret that is set.
+// redacted replaces the value of a secret in output.
 const redacted = "[redacted]"
 
-// example returns a well-formed value, for the remedy of a malformed one.
+// example describes a well-formed value, for the remedy of a malformed one.
 func (k kind) example() string {
 	switch k {
 	case kindBool:
@@ -44,13 +44,14 @@
 	}
 }
 
-// byteUnit is a suffix of a size and how many bytes it stands for.
+// byteUnit is the suffix of a size and the number of bytes in the unit.
 type byteUnit struct {
 	suffix string
 	bytes  int64
 }
 
-// byteUnits is ordered so that a longer suffix is tried before its own tail.
+// byteUnits has "B" last, because it is a suffix of the other units; ParseBytes tries
+// the units in this order.
 var byteUnits = []byteUnit{
 	{"TiB", 1 << 40},
 	{"GiB", 1 << 30},
@@ -59,8 +60,8 @@
 	{"B", 1},
 }
 
-// ParseBytes reads a size: a whole number of bytes, or a number with one of the
-// units B, KiB, MiB, GiB and TiB.
+// ParseBytes parses a size: a whole number, with one of the units B, KiB, MiB, GiB
+// and TiB or without a unit, which means bytes.
 func ParseBytes(text string) (int64, error) {
 	factor := int64(1)
 	number := text
@@ -80,7 +81,7 @@
 	return value * factor, nil
 }
 
-// FormatBytes prints a size with the largest unit that divides it.
+// FormatBytes formats a size with the largest unit that divides it.
 func FormatBytes(size int64) string {
 	for _, unit := range byteUnits {
 		if unit.bytes > 1 && size != 0 && size%unit.bytes == 0 {
@@ -94,8 +95,8 @@
 
 func parseInt(text string) (int, error) { return strconv.Atoi(text) }
 
-// parseFloat refuses NaN and infinities: no setting has a use for them, and NaN
-// passes every comparison of a rule.
+// parseFloat rejects NaN and infinities: no setting has a use for them, and rules
+// need not consider them.
 func parseFloat(text string) (float64, error) {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -107,7 +108,7 @@
 	return value, nil
 }
 
-// splitList cuts a list at its commas and drops empty items.
+// splitList splits a list at its commas and drops empty items.
 func splitList(text string) []string {
 	var items []string
 	for item := range strings.SplitSeq(text, ",") {
@@ -118,7 +119,8 @@
 	return items
 }
 
-// readSecret stores a secret, read from a file if text is "@" and a path.
+// readSecret stores a secret. If text is "@" followed by a path, the secret is read
+// from that file.
 func readSecret(target *string, text string) error {
 	path, isFile := strings.CutPrefix(text, "@")
 	if !isFile {
@@ -133,7 +135,7 @@
 	return nil
 }
 
-// format prints a default value the way it would be written.
+// format formats a default value as it would be written in a flag.
 func format(k kind, value any) string {
 	switch typed := value.(type) {
 	case int64:
@@ -146,7 +148,7 @@
 	return fmt.Sprint(value)
 }
 
-// formatDuration prints a duration without zero minutes and seconds.
+// formatDuration formats a duration without trailing zero minutes and seconds.
 func formatDuration(d time.Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
--- a/setting/parse.go
+++ b/setting/parse.go
@@ -10,16 +10,16 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// Faults is the error of Parse: every fault found, in the order of the
-// settings. errors.As finds the single faults.
+// Errors is the error type of Parse. It holds all errors, in the order in which the
+// settings were registered; errors.As finds the individual ones.
 type Errors []*fault.Error
 
-// Error lists all faults, one a line.
+// Error lists all errors, one per line.
 func (f Errors) Error() string {
 	lines := make([]string, 0, len(f)+1)
-	lines = append(lines, fmt.Sprintf("%d faults in the settings", len(f)))
+	lines = append(lines, fmt.Sprintf("%d errors in the settings", len(f)))
 	if len(f) == 1 {
-		lines[0] = "1 fault in the settings"
+		lines[0] = "1 error in the settings"
 	}
 	for _, each := range f {
 		lines = append(lines, "  "+each.Error())
@@ -27,7 +27,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns the single faults.
+// Unwrap returns the individual errors.
 func (f Errors) Unwrap() []error {
 	errs := make([]error, len(f))
 	for i, each := range f {
@@ -36,12 +36,12 @@
 	return errs
 }
 
-// Parse reads args (without the program name) and environ (as os.Environ
-// returns it) into the registered targets and runs every rule and check. The
-// error is of type Faults. With PrintVersion and PrintHelp there is no error:
-// these work with any configuration.
+// Parse reads args (without the program name), environ (as os.Environ returns it)
+// and the settings file into the registered targets and runs every rule and check.
+// The error is of type Errors. PrintVersion and PrintHelp are returned without an
+// error, so that they work with any configuration.
 func (s *Set) Parse(args, environ []string) (Action, error) {
-	faults, help := s.parseFlags(args)
+	errs, help := s.parseFlags(args)
 	switch {
 	case help:
 		return PrintHelp, nil
@@ -49,53 +49,54 @@
 		return PrintVersion, nil
 	}
 	s.readEnvironment(environ)
-	faults = append(faults, s.readFile()...)
+	errs = append(errs, s.readFile()...)
 	for _, entry := range s.settings {
 		entry.resolve()
-		faults = append(faults, entry.faults...)
+		errs = append(errs, entry.errs...)
 	}
 	for _, check := range s.checks {
-		faults = append(faults, flatten(check())...)
+		errs = append(errs, flattenErrors(check())...)
 	}
 	action := Run
 	if s.check {
 		action = CheckOnly
 	}
-	if len(faults) > 0 {
-		return action, faults
+	if len(errs) > 0 {
+		return action, errs
 	}
 	return action, nil
 }
 
-// parseFlags runs package flag over args again and again, past each fault.
-func (s *Set) parseFlags(args []string) (faults Errors, help bool) {
+// parseFlags parses args with package flag, which stops at the first error, and
+// resumes after each error until all arguments are parsed.
+func (s *Set) parseFlags(args []string) (errs Errors, help bool) {
 	for len(args) > 0 {
 		err := s.flags.Parse(args)
 		rest := s.flags.Args()
 		switch {
 		case errors.Is(err, flag.ErrHelp):
-			return faults, true
+			return errs, true
 		case err != nil:
-			faults = append(faults, s.flagFault(err))
+			errs = append(errs, s.flagError(err))
 			rest = skipValue(args, rest)
 		case len(rest) > 0:
-			faults = append(faults, fault.Newf(fault.Invalid,
-				"remove it, or write the flag that it belongs to before it; quote values with spaces",
+			errs = append(errs, fault.Newf(fault.Invalid,
+				"remove it, or put the flag that it belongs to before it; quote values with spaces",
 				"unexpected argument %q", rest[0]))
 			rest = rest[1:]
 		}
 		args = rest
 	}
-	return faults, false
+	return errs, false
 }
 
-// flagFault turns an error of package flag into a fault. The message of package
-// flag names the flag only, never the value of an unknown one.
-func (s *Set) flagFault(err error) *fault.Error {
+// flagError converts an error of package flag to a fault.Error. The message of
+// package flag contains only the name of an unknown flag, never its value.
+func (s *Set) flagError(err error) *fault.Error {
 	text := err.Error()
 	remedy := "see -help for all settings"
 	if name, found := strings.CutPrefix(text, "flag provided but not defined: -"); found {
-		if near := s.nearest(name); near != "" {
+		if near := s.closestName(name); near != "" {
 			remedy = "did you mean -" + near + "? " + remedy
 		}
 		return fault.Newf(fault.Invalid, remedy, "unknown flag -%s", name)
@@ -107,20 +108,21 @@
 }
 
 // skipValue drops the value of an unknown flag written as "-name value", which
-// would otherwise be reported a second time as an unexpected argument.
+// would otherwise be reported again as an unexpected argument.
 func skipValue(before, rest []string) []string {
 	consumed := len(before) - len(rest)
 	if consumed < 1 || len(rest) == 0 {
 		return rest
 	}
-	faulty := before[consumed-1]
-	if strings.Contains(faulty, "=") || strings.HasPrefix(rest[0], "-") {
+	flagArg := before[consumed-1]
+	if strings.Contains(flagArg, "=") || strings.HasPrefix(rest[0], "-") {
 		return rest
 	}
 	return rest[1:]
 }
 
-// readEnvironment hands each variable to its setting and notes unknown ones.
+// readEnvironment assigns each variable to its setting and records a warning for
+// unknown ones.
 func (s *Set) readEnvironment(environ []string) {
 	byVariable := make(map[string]*setting, len(s.settings))
 	for _, entry := range s.settings {
@@ -133,7 +135,7 @@
 		}
 		entry, known := byVariable[variable]
 		switch {
-		case variable == EnvironmentPrefix+strings.ToUpper(fileName):
+		case variable == EnvironmentPrefix+strings.ToUpper(settingsFileFlag):
 			if s.file == "" {
 				s.file = text
 			}
@@ -147,8 +149,8 @@
 	sort.Strings(s.warnings)
 }
 
-// setFromFlag keeps the text of a flag. A flag given twice with two values is a
-// contradiction, except for a list, whose values add up.
+// setFromFlag records the value of a flag. A flag given twice with different values
+// is an error, except for a list, where the values are appended.
 func (e *setting) setFromFlag(text string) {
 	if e.source != fromFlag {
 		e.text = text
@@ -160,53 +162,53 @@
 		return
 	}
 	if e.text != text {
-		e.faults = append(e.faults, fault.Newf(fault.Invalid, "keep one of them",
+		e.errs = append(e.errs, fault.Newf(fault.Invalid, "keep one of them",
 			"-%s is given twice with different values", e.name))
 	}
 }
 
-// resolve stores the text and applies the rules.
+// resolve parses the text into the target and applies the rules.
 func (e *setting) resolve() {
 	if e.source != fromDefault {
 		if err := e.store(e.text); err != nil {
-			e.faults = append(e.faults, e.malformed(err))
+			e.errs = append(e.errs, e.malformedError(err))
 			return
 		}
 	}
 	for _, rule := range e.rules {
-		if rule.accepts(e.current()) {
+		if rule.accepts(e.value()) {
 			continue
 		}
-		e.faults = append(e.faults, e.broken(rule))
+		e.errs = append(e.errs, e.ruleError(rule))
 		if rule.required {
 			return
 		}
 	}
 }
 
-// malformed is the fault of a value that cannot be read.
-func (e *setting) malformed(err error) *fault.Error {
+// malformedError returns the error for a value that cannot be parsed.
+func (e *setting) malformedError(err error) *fault.Error {
 	if e.secret {
-		return fault.Newf(fault.Invalid, "give the secret itself, or @ and the path of a readable file", "%s cannot be read", e.origin()).WithCause(err)
+		return fault.Newf(fault.Invalid, "give the secret itself, or @ followed by the path of a readable file", "%s cannot be read", e.origin()).WithCause(err)
 	}
 	return fault.Newf(fault.Invalid, "write "+e.kind.example(), "%s has the malformed value %q", e.origin(), e.text)
 }
 
-// broken is the fault of a value that a rule refuses.
-func (e *setting) broken(rule Rule) *fault.Error {
+// ruleError returns the error for a value that violates rule.
+func (e *setting) ruleError(rule Rule) *fault.Error {
 	if rule.required {
 		return fault.Newf(fault.Invalid,
 			fmt.Sprintf("set -%s or %s: %s", e.name, e.environmentName(), e.description),
 			"-%s is missing", e.name)
 	}
-	return fault.Newf(fault.Invalid, "it must be "+rule.limit, "%s has the value %q", e.origin(), e.printable(e.text))
+	return fault.Newf(fault.Invalid, "it must be "+rule.constraint, "%s has the value %q", e.origin(), e.printable(e.text))
 }
 
-// origin names the input that the value came from.
+// origin describes the input that the value came from.
 func (e *setting) origin() string {
 	switch e.source {
 	case fromFile:
-		return e.name + " in the file of settings"
+		return e.name + " in the settings file"
 	case fromEnvironment:
 		return e.environmentName()
 	case fromFlag:
@@ -215,7 +217,7 @@
 	return "the default of -" + e.name
 }
 
-// printable returns text, or a placeholder for a secret.
+// printable returns text, or a placeholder if the setting is a secret.
 func (e *setting) printable(text string) string {
 	if e.secret && text != "" {
 		return redacted
@@ -223,8 +225,8 @@
 	return text
 }
 
-// flatten turns the error of a check into faults.
-func flatten(err error) Errors {
+// flattenErrors converts the error of a check to Errors.
+func flattenErrors(err error) Errors {
 	if err == nil {
 		return nil
 	}
@@ -232,11 +234,11 @@
 		return Errors{typed}
 	}
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
-		var faults Errors
+		var errs Errors
 		for _, each := range joined.Unwrap() {
-			faults = append(faults, flatten(each)...)
+			errs = append(errs, flattenErrors(each)...)
 		}
-		return faults
+		return errs
 	}
 	if typed := fault.As(err); typed != nil {
 		return Errors{typed}
--- a/setting/rule.go
+++ b/setting/rule.go
@@ -11,76 +11,77 @@
 	"time"
 )
 
-// Rule restricts the value of one setting.
+// Rule constrains the value of one setting.
 type Rule struct {
-	// limit says in words what the rule demands, for the help and the remedy.
-	limit string
-	// required marks a setting that must not be empty.
+	// constraint describes the rule, for the help and the remedy.
+	constraint string
+	// required is true for a rule that requires a value.
 	required bool
-	// accepts reports whether the value satisfies the rule.
+	// accepts reports whether a value satisfies the rule.
 	accepts func(value any) bool
 }
 
-// Required demands a value that is not empty.
+// Required requires a value that is not empty.
 var Required = Rule{
-	limit:    "required",
-	required: true,
-	accepts:  func(value any) bool { return !isEmpty(value) },
+	constraint: "required",
+	required:   true,
+	accepts:    func(value any) bool { return !isEmpty(value) },
 }
 
-// HostPort demands host:port, for each item of a list. Empty text passes; add
-// Required where it must not.
+// HostPort requires the form host:port, for each item of a list. An empty string is
+// accepted; add Required to reject it.
 var HostPort = Rule{
-	limit:   "host:port with a port from 0 to 65535",
-	accepts: eachText(isHostPort),
+	constraint: "host:port with a port from 0 to 65535",
+	accepts:    everyString(isHostPort),
 }
 
-// URL demands an absolute http or https URL. Empty text passes.
+// URL requires an absolute http or https URL. An empty string is accepted.
 var URL = Rule{
-	limit:   "an http:// or https:// URL",
-	accepts: eachText(IsURL),
+	constraint: "an http:// or https:// URL",
+	accepts:    everyString(IsURL),
 }
 
-// Name demands lower-case letters, digits, dots and hyphens, starting with a
-// letter or digit. Empty text passes.
+// Name requires lower-case letters, digits, dots and hyphens, starting with a
+// letter or digit. An empty string is accepted.
 var Name = Rule{
-	limit:   "lower-case letters, digits, dots and hyphens",
-	accepts: eachText(namePattern.MatchString),
+	constraint: "lower-case letters, digits, dots and hyphens",
+	accepts:    everyString(namePattern.MatchString),
 }
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,252}$`)
 
-// Number is a type of setting that Min and Max apply to.
+// Number is the constraint of the types that Min and Max apply to.
 type Number interface {
 	~int | ~int64 | ~float64
 }
 
-// Min demands a value of at least least.
-func Min[T Number](least T) Rule {
+// Min requires a value of at least minimum.
+func Min[T Number](minimum T) Rule {
 	return Rule{
-		limit:   "at least " + formatNumber(least),
-		accepts: func(value any) bool { return toFloat(value) >= float64(least) },
+		constraint: "at least " + formatNumber(minimum),
+		accepts:    func(value any) bool { return toFloat(value) >= float64(minimum) },
 	}
 }
 
-// Max demands a value of at most most.
-func Max[T Number](most T) Rule {
+// Max requires a value of at most maximum.
+func Max[T Number](maximum T) Rule {
 	return Rule{
-		limit:   "at most " + formatNumber(most),
-		accepts: func(value any) bool { return toFloat(value) <= float64(most) },
+		constraint: "at most " + formatNumber(maximum),
+		accepts:    func(value any) bool { return toFloat(value) <= float64(maximum) },
 	}
 }
 
-// OneOf demands one of the given texts.
+// OneOf requires one of the given strings.
 func OneOf(allowed ...string) Rule {
 	return Rule{
-		limit:   "one of " + strings.Join(allowed, ", "),
-		accepts: eachText(func(text string) bool { return slices.Contains(allowed, text) }),
+		constraint: "one of " + strings.Join(allowed, ", "),
+		accepts:    everyString(func(text string) bool { return slices.Contains(allowed, text) }),
 	}
 }
 
-// eachText applies a test to a text or to each item of a list; empty passes.
-func eachText(test func(string) bool) func(any) bool {
+// everyString applies test to a string or to each item of a list; an empty string or
+// list is accepted.
+func everyString(test func(string) bool) func(any) bool {
 	return func(value any) bool {
 		switch typed := value.(type) {
 		case string:
@@ -101,7 +102,7 @@
 	return err == nil
 }
 
-// IsURL reports whether text is an absolute http or https URL.
+// IsURL reports whether text is an absolute URL with the scheme http or https.
 func IsURL(text string) bool {
 	parsed, err := url.Parse(text)
 	if err != nil {
--- a/setting/setting_test.go
+++ b/setting/setting_test.go
@@ -12,8 +12,8 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// sample is a daemon's settings with one of each kind.
-type sample struct {
+// sampleSettings has one setting of each kind.
+type sampleSettings struct {
 	listen, zone, key, cert string
 	wait                    time.Duration
 	streams                 int
@@ -23,8 +23,8 @@
 	peers                   []string
 }
 
-func newSample() (*Set, *sample) {
-	cfg := &sample{}
+func newSample() (*Set, *sampleSettings) {
+	cfg := &sampleSettings{}
 	s := New("lilackeel-sample")
 	s.String(&cfg.listen, "listen", "127.0.0.1:8080", "address callers connect to", HostPort)
 	s.String(&cfg.zone, "zone", "", "availability zone of this host", Required, Name)
@@ -45,15 +45,15 @@
 	return s, cfg
 }
 
-func TestEveryFaultIsReportedTogetherWithItsRemedy(t *testing.T) {
+func TestParseReportsEveryErrorWithItsRemedy(t *testing.T) {
 	is := is.New(t)
 	s, _ := newSample()
 	_, err := s.Parse(
 		[]string{"-lissten", "x:1", "-wait", "5", "stray", "-streams=1000", "-ratio", "NaN", "-trace", "-wait=6s", "-peers", "a:1", "-peers=nowhere", "-body"},
 		[]string{"LILACKEEL_LISTEN=8080", "LILACKEEL_WORKSPACE_KEY=@/nonexistent/key"},
 	)
-	var faults Errors
-	is.True(errors.As(err, &faults))
+	var errs Errors
+	is.True(errors.As(err, &errs))
 	expected := []string{
 		"unknown flag -lissten (did you mean -listen?",
 		`unexpected argument "stray"`,
@@ -73,13 +73,13 @@
 			t.Errorf("not reported: %s\n%v", part, err)
 		}
 	}
-	is.Equal(len(faults), len(expected))
-	for _, each := range faults {
-		is.True(each.Remedy != "") // every fault names its remedy
+	is.Equal(len(errs), len(expected))
+	for _, each := range errs {
+		is.True(each.Remedy != "") // every error states its remedy
 	}
 }
 
-func TestFlagWinsOverEnvironmentOverDefault(t *testing.T) {
+func TestFlagOverridesEnvironmentOverridesDefault(t *testing.T) {
 	is := is.New(t)
 	s, cfg := newSample()
 	action, err := s.Parse(
@@ -90,9 +90,9 @@
 	is.Equal(action, CheckOnly)
 	is.Equal(cfg.streams, 20)         // flag over environment
 	is.Equal(cfg.body, int64(64<<10)) // environment over default
-	is.Equal(cfg.wait, time.Second)   // an empty variable is not set
+	is.Equal(cfg.wait, time.Second)   // an empty variable counts as not set
 	is.Equal(cfg.peers, []string{"a:1", "b:2", "c:3"})
-	is.Equal(len(s.Warnings()), 1) // LILACKEEL_TRCE is pointed out
+	is.Equal(len(s.Warnings()), 1) // LILACKEEL_TRCE is unknown
 }
 
 func TestSecretsAreNeverPrinted(t *testing.T) {
