--- a/operator/command.go
+++ b/operator/command.go
@@ -15,40 +15,40 @@
 	"github.com/lilackeel/lilackeel/setting"
 )
 
-// program is the name of the tool.
+// program is the name of the command-line tool.
 const program = "lilackeelctl"
 
-// command is one verb of the tool.
+// command is a subcommand of the tool.
 type command struct {
 	name string
-	// arguments are the settings that may follow the verb without their flags.
+	// arguments are the names of the settings that may be given as positional arguments.
 	arguments []string
-	// optional marks that the arguments may be left out.
+	// optional is true if the arguments may be omitted.
 	optional bool
 	summary  string
 	run      func(s *session, ctx context.Context) error
-	// unbounded commands run until they are interrupted.
+	// unbounded is true for a command that has no time limit.
 	unbounded bool
-	// offline commands ask no control replica.
+	// offline is true for a command that does not contact the control replicas.
 	offline bool
 }
 
 var commands = []command{
-	{name: "plan", arguments: []string{settingFile}, run: (*session).plan, summary: "state the intent in a file and show what it would change"},
+	{name: "plan", arguments: []string{settingFile}, run: (*session).plan, summary: "submit the intent in a file and show what it would change"},
 	{name: "confirm", arguments: []string{settingIntent, settingDigest}, run: (*session).confirm, summary: "accept a plan by its digest"},
 	{name: "cancel", arguments: []string{settingIntent}, run: (*session).cancel, summary: "withdraw an intent that is not confirmed"},
 	{name: "status", run: (*session).status, summary: "show the replicas, the daemons and what open intents wait for"},
-	{name: "diff", arguments: []string{settingFile}, run: (*session).diff, summary: "show what the intent in a file would change, without stating it"},
+	{name: "diff", arguments: []string{settingFile}, run: (*session).diff, summary: "show what the intent in a file would change, without submitting it"},
 	{name: "history", run: (*session).history, summary: "list intents, newest first"},
-	{name: "explain", arguments: []string{settingIntent}, run: (*session).explain, summary: "show an intent, its plan, how far it has come and why"},
-	{name: "watch", arguments: []string{settingIntent}, optional: true, unbounded: true, run: (*session).watch, summary: "follow the status, or one intent until it is carried out"},
+	{name: "explain", arguments: []string{settingIntent}, run: (*session).explain, summary: "show an intent, its plan, its progress and what it waits for"},
+	{name: "watch", arguments: []string{settingIntent}, optional: true, unbounded: true, run: (*session).watch, summary: "follow the status, or one intent until it is done"},
 	{name: "config", run: (*session).config, summary: "show the accepted configuration"},
-	{name: "explain-request", arguments: []string{settingIntent, settingFile}, offline: true, run: (*session).story, summary: "tell the story of a request from the daemons' logs, files separated by commas"},
-	{name: "summary", arguments: []string{settingFile}, offline: true, run: (*session).summarise, summary: "count what became of requests by time, pool and cause, from the daemons' logs"},
+	{name: "explain-request", arguments: []string{settingIntent, settingFile}, offline: true, run: (*session).explainRequest, summary: "show what happened to a request, from the daemons' logs (files separated by commas)"},
+	{name: "summary", arguments: []string{settingFile}, offline: true, run: (*session).summarizeLogs, summary: "count the outcomes of requests by time, pool and cause, from the daemons' logs (files separated by commas)"},
 	{name: "members", run: (*session).members, summary: "list the control replicas, or change one"},
 }
 
-// session is one run of one command.
+// session is one execution of a command.
 type session struct {
 	settings Settings
 	client   *Client
@@ -56,29 +56,28 @@
 	stdout   io.Writer
 }
 
-// Run carries out one command line (without the program's name) and returns its
-// exit code.
+// Run executes one command line (without the program name) and returns its exit code.
 func Run(ctx context.Context, args, environ []string, stdin io.Reader, stdout, stderr io.Writer) int {
 	if len(args) == 0 || strings.HasPrefix(args[0], "-") {
-		return withoutVerb(args, environ, stdout, stderr)
+		return runWithoutCommand(args, environ, stdout, stderr)
 	}
-	verb := findCommand(args[0])
-	if verb == nil {
-		return usage(stderr, fmt.Sprintf("there is no command %q", args[0]))
+	cmd := findCommand(args[0])
+	if cmd == nil {
+		return usage(stderr, fmt.Sprintf("unknown command %q", args[0]))
 	}
-	flags, ok := verb.flags(args[1:])
+	flags, ok := cmd.expandArguments(args[1:])
 	if !ok {
-		return usage(stderr, "write "+verb.synopsis())
+		return usage(stderr, "too many arguments: use "+cmd.synopsis())
 	}
 	s := &session{stdin: stdin, stdout: stdout}
-	s.settings.offline = verb.offline
+	s.settings.offline = cmd.offline
 	set := setting.New(program)
 	s.settings.Register(set)
 	if code, done := set.Main(flags, environ, stdout, stderr); done {
 		return min(code, ExitUsage)
 	}
-	if !verb.complete(&s.settings) {
-		return usage(stderr, "write "+verb.synopsis())
+	if !cmd.hasRequiredArguments(&s.settings) {
+		return usage(stderr, "missing argument: use "+cmd.synopsis())
 	}
 	options, err := link.DialOptions(s.settings.Link)
 	if err != nil {
@@ -87,16 +86,16 @@
 	pool := link.NewPool(options...)
 	defer pool.Close()
 	s.client = NewClient(s.settings.Control, pool)
-	if !verb.unbounded {
+	if !cmd.unbounded {
 		bounded, cancel := context.WithTimeout(ctx, s.settings.Timeout)
 		defer cancel()
 		ctx = bounded
 	}
-	return report(stderr, s.settings.Output, verb.run(s, ctx))
+	return report(stderr, s.settings.Output, cmd.run(s, ctx))
 }
 
-// withoutVerb handles -help and -version, and a command line without a verb.
-func withoutVerb(args, environ []string, stdout, stderr io.Writer) int {
+// runWithoutCommand handles -help, -version and a missing command.
+func runWithoutCommand(args, environ []string, stdout, stderr io.Writer) int {
 	var settings Settings
 	set := setting.New(program)
 	settings.Register(set)
@@ -110,7 +109,7 @@
 		set.Usage(stdout)
 		return ExitOK
 	}
-	return usage(stderr, "a command is missing")
+	return usage(stderr, "no command given")
 }
 
 func usage(stderr io.Writer, problem string) int {
@@ -120,7 +119,7 @@
 }
 
 func printCommands(w io.Writer) {
-	fmt.Fprintf(w, "Commands (flags follow; %s -help lists them):\n", program)
+	fmt.Fprintf(w, "Commands (flags come last; %s -help lists them):\n", program)
 	for i := range commands {
 		fmt.Fprintf(w, "  %s\n        %s\n", commands[i].synopsis(), commands[i].summary)
 	}
@@ -139,12 +138,12 @@
 	return text
 }
 
-// flags turns what stands after the verb into flags: arguments come first and
-// have none. It returns false if there are too many arguments.
-func (c *command) flags(args []string) (flags []string, ok bool) {
+// expandArguments converts the positional arguments, which come first, to flags. It
+// returns false if there are too many.
+func (c *command) expandArguments(args []string) (flags []string, ok bool) {
 	for i, arg := range args {
 		if strings.HasPrefix(arg, "-") && arg != standardInput {
-			return append(flags, longNames(args[i:])...), true
+			return append(flags, expandShortFlags(args[i:])...), true
 		}
 		if i == len(c.arguments) {
 			return nil, false
@@ -154,13 +153,13 @@
 	return flags, true
 }
 
-// complete reports whether all that the command is about is given.
-func (c *command) complete(settings *Settings) bool {
-	given := map[string]string{
+// hasRequiredArguments reports whether all required arguments of the command are set.
+func (c *command) hasRequiredArguments(settings *Settings) bool {
+	values := map[string]string{
 		settingFile: settings.File, settingIntent: settings.Intent, settingDigest: settings.Digest,
 	}
 	for _, name := range c.arguments {
-		if given[name] == "" && !c.optional {
+		if values[name] == "" && !c.optional {
 			return false
 		}
 	}
@@ -176,20 +175,20 @@
 	return nil
 }
 
-// shortNames are the flags that have a short form.
-var shortNames = map[string]string{"o": "output", "f": settingFile}
+// shortFlags maps the short forms of flags to their full names.
+var shortFlags = map[string]string{"o": "output", "f": settingFile}
 
-// longNames writes out short forms of flags.
-func longNames(flags []string) []string {
+// expandShortFlags replaces the short forms of flags by their full names.
+func expandShortFlags(flags []string) []string {
 	long := make([]string, len(flags))
-	for i, each := range flags {
-		long[i] = each
-		name, value, hasValue := strings.Cut(strings.TrimPrefix(each, "-"), "=")
-		full := shortNames[name]
-		if full == "" || !strings.HasPrefix(each, "-") {
+	for i, arg := range flags {
+		long[i] = arg
+		name, value, hasValue := strings.Cut(strings.TrimPrefix(arg, "-"), "=")
+		longName := shortFlags[name]
+		if longName == "" || !strings.HasPrefix(arg, "-") {
 			continue
 		}
-		long[i] = "-" + full
+		long[i] = "-" + longName
 		if hasValue {
 			long[i] += "=" + value
 		}
@@ -197,7 +196,7 @@
 	return long
 }
 
-// report prints an error for people or programs and returns its exit code.
+// report prints an error in the output format and returns its exit code.
 func report(stderr io.Writer, output string, err error) int {
 	if err == nil {
 		return ExitOK
@@ -213,7 +212,7 @@
 	return ExitCode(err)
 }
 
-// print writes a message as JSON if asked to, or else by the table function.
+// print writes message as JSON if the output format is JSON, and calls table otherwise.
 func (s *session) print(message proto.Message, table func(io.Writer)) error {
 	if s.settings.Output != outputJSON {
 		table(s.stdout)
@@ -221,7 +220,7 @@
 	}
 	data, err := protojson.MarshalOptions{Multiline: true, UseProtoNames: true, EmitUnpopulated: true}.Marshal(message)
 	if err != nil {
-		return fault.New(fault.Internal, "the answer cannot be written as JSON", "report this defect").WithCause(err)
+		return fault.New(fault.Internal, "the response cannot be encoded as JSON", "report this as a bug").WithCause(err)
 	}
 	fmt.Fprintf(s.stdout, "%s\n", data)
 	return nil
--- a/operator/doc.go
+++ b/operator/doc.go
@@ -1,16 +1,16 @@
-// Package operator is the operators' side of lilackeel: the intent file format,
-// a client of the control replicas that survives lost answers, and the commands
-// of lilackeelctl.
+// Package operator implements lilackeelctl, the command-line tool for operators:
+// the intent file format, a client of the control replicas that tolerates lost
+// responses, and the commands.
 //
-// # Lost answers
+// # Lost responses
 //
-// Plan, confirm and cancel are named by the intent's id, and the control state
-// gives the same answer to the same request. Client therefore asks again, at
-// another replica if need be, until it has an answer or its time is up. A
-// request whose answer stays lost ends as a fault of kind Unknown; running the
-// same command again settles it.
+// Plan, confirm and cancel requests are identified by the id of the intent, and the
+// control state gives the same response to the same request. Client therefore
+// retries, at another replica if necessary, until it receives a response or its time
+// limit expires. If a response was lost and no retry succeeded, the error has the
+// kind Unknown; running the same command again resolves it.
 //
 // # Exit codes
 //
-// The codes are ExitOK to ExitUnknown; scripts may rely on them.
+// The exit codes, ExitOK to ExitUnknown, are stable; scripts may rely on them.
 package operator
--- a/operator/exit.go
+++ b/operator/exit.go
@@ -4,21 +4,21 @@
 
 // Exit codes of lilackeelctl.
 const (
-	// ExitOK means it was done, or was done before by the same request.
+	// ExitOK means that the command succeeded, now or earlier by the same request.
 	ExitOK = 0
-	// ExitUsage means the command line or the settings are wrong.
+	// ExitUsage means that the command line or the settings are invalid.
 	ExitUsage = 1
-	// ExitInvalid means the input is wrong; sending it again fails again.
+	// ExitInvalid means that the input is invalid; a retry fails again.
 	ExitInvalid = 2
-	// ExitConflict means the state has moved; look, and plan again.
+	// ExitConflict means that the state has changed; check it and plan again.
 	ExitConflict = 3
-	// ExitUnavailable means nothing was done, and asking later makes sense.
+	// ExitUnavailable means that nothing was done and a later retry may succeed.
 	ExitUnavailable = 4
-	// ExitUnknown means it may have been done; run the same command again.
+	// ExitUnknown means that the command may have taken effect; run it again.
 	ExitUnknown = 5
 )
 
-// ExitCode returns the exit code for an error.
+// ExitCode returns the exit code for err.
 func ExitCode(err error) int {
 	if err == nil {
 		return ExitOK
--- a/operator/story.go
+++ b/operator/explainrequest.go
@@ -17,47 +17,48 @@
 )
 
 const (
-	// maxLogLine bounds a line of a log, in bytes; a longer one is passed over.
+	// maxLogLine is the maximum length of a log line, in bytes; reading a log with a
+	// longer one fails.
 	maxLogLine = 1 << 20
-	// storyContext is how long before and after a request other lines of its
-	// processes are shown that changed what they believed.
-	storyContext = time.Second
+	// contextWindow is the time before and after a request for which the context
+	// messages of the processes involved are shown.
+	contextWindow = time.Second
 )
 
 // logLine is one line of a daemon's log.
 type logLine struct {
-	at           time.Time
+	time         time.Time
 	daemon, host string
 	message      string
 	level        string
 	fields       map[string]any
 }
 
-// believed are the messages that say what a process came to believe: the ground on
-// which it decided about a request.
-var believed = map[string]bool{
+// contextMessages are the messages about changes of a process's state, such as its
+// configuration, on which its decisions about requests are based.
+var contextMessages = map[string]bool{
 	"starting": true, "ended": true, "reloaded the settings": true, "limited the calls of a pool": true,
 	"stopping after the requests in flight": true, "stopped": true, "left a source of configuration": true,
 	"learnt the control replicas": true, "leading": true, "no longer leading": true, "published a site": true, "switching an expert map": true,
 }
 
-// story prints what the logs say of one request, in order over the processes, and
-// what these processes came to believe around it.
-func (s *session) story(context.Context) error {
+// explainRequest prints the log lines about one request, from all processes in order
+// of time, and the context messages of these processes around it.
+func (s *session) explainRequest(context.Context) error {
 	lines, err := readLogs(strings.Split(s.settings.File, ","), s.stdin)
 	if err != nil {
 		return err
 	}
-	told := storyOf(lines, s.settings.Intent)
-	if len(told) == 0 {
-		return fault.Newf(fault.NotFound, "name the logs of all entries, from before the request to after it", "no line of %d names the request %q", len(lines), s.settings.Intent)
+	selected := selectLines(lines, s.settings.Intent)
+	if len(selected) == 0 {
+		return fault.Newf(fault.NotFound, "name the logs of all entries, from before the request to after it", "none of %d log lines has the request id %q", len(lines), s.settings.Intent)
 	}
-	writeStory(s.stdout, told, s.settings.Intent)
+	writeLines(s.stdout, selected, s.settings.Intent)
 	return nil
 }
 
-// readLogs reads the lines of several logs; "-" is the standard input. What is not
-// a line of a daemon's log is passed over.
+// readLogs reads several logs and sorts their lines by time; "-" is standard input.
+// Lines that are not from a daemon's log are skipped.
 func readLogs(paths []string, stdin io.Reader) ([]logLine, error) {
 	var lines []logLine
 	for _, path := range paths {
@@ -78,14 +79,15 @@
 			}
 		}
 		if err := scanner.Err(); err != nil {
-			return nil, fault.Newf(fault.Invalid, "cut the log at lines", "cannot read on in the log %s", path).WithCause(err)
+			return nil, fault.Newf(fault.Invalid, "split the log at line breaks", "cannot read all of the log %s", path).WithCause(err)
 		}
 	}
-	slices.SortStableFunc(lines, func(a, b logLine) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(lines, func(a, b logLine) int { return a.time.Compare(b.time) })
 	return lines, nil
 }
 
-// parseLogLine reads a line; what a collector has put before its JSON is dropped.
+// parseLogLine parses a log line. A prefix before its JSON, such as a log collector
+// adds, is dropped.
 func parseLogLine(text []byte) (logLine, bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
@@ -95,23 +97,23 @@
 	if json.Unmarshal(text[start:], &fields) != nil {
 		return logLine{}, false
 	}
-	take := func(name string) string {
+	popString := func(name string) string {
 		value, _ := fields[name].(string)
 		delete(fields, name)
 		return value
 	}
 	line := logLine{fields: fields}
-	at, err := time.Parse(time.RFC3339Nano, take("time"))
+	timestamp, err := time.Parse(time.RFC3339Nano, popString("time"))
 	if err != nil {
 		return logLine{}, false
 	}
-	line.at, line.daemon, line.host, line.message, line.level = at, take("daemon"), take("host"), take("msg"), take("level")
+	line.time, line.daemon, line.host, line.message, line.level = timestamp, popString("daemon"), popString("host"), popString("msg"), popString("level")
 	return line, true
 }
 
-// storyOf returns the lines about a request, and what its processes came to believe
-// around it.
-func storyOf(lines []logLine, id string) []logLine {
+// selectLines returns the lines about a request, and the context messages around it
+// from the hosts involved and the control replicas.
+func selectLines(lines []logLine, id string) []logLine {
 	hosts := map[string]bool{}
 	var first, last time.Time
 	for _, line := range lines {
@@ -120,29 +122,30 @@
 		}
 		hosts[line.host] = true
 		if first.IsZero() {
-			first = line.at
+			first = line.time
 		}
-		last = line.at
+		last = line.time
 	}
 	if len(hosts) == 0 {
 		return nil
 	}
-	if took, ok := tookOf(lines, id); ok {
+	if took, ok := requestDuration(lines, id); ok {
 		first = last.Add(-took)
 	}
-	var told []logLine
+	var selected []logLine
 	for _, line := range lines {
-		near := !line.at.Before(first.Add(-storyContext)) && !line.at.After(last.Add(storyContext))
-		about := line.fields["request_id"] == id
-		if about || near && believed[line.message] && (hosts[line.host] || line.daemon == "lilackeel-control") {
-			told = append(told, line)
+		inWindow := !line.time.Before(first.Add(-contextWindow)) && !line.time.After(last.Add(contextWindow))
+		matches := line.fields["request_id"] == id
+		if matches || inWindow && contextMessages[line.message] && (hosts[line.host] || line.daemon == "lilackeel-control") {
+			selected = append(selected, line)
 		}
 	}
-	return told
+	return selected
 }
 
-// tookOf returns how long the request took, as its last line says.
-func tookOf(lines []logLine, id string) (time.Duration, bool) {
+// requestDuration returns the duration of a request from the field took of its last
+// line that has one.
+func requestDuration(lines []logLine, id string) (time.Duration, bool) {
 	for _, line := range slices.Backward(lines) {
 		if took, ok := line.fields["took"].(float64); ok && line.fields["request_id"] == id {
 			return time.Duration(took), true
@@ -151,23 +154,23 @@
 	return 0, false
 }
 
-// durations are the fields that hold nanoseconds.
-var durations = map[string]bool{
+// durationFields are the fields whose values are durations in nanoseconds.
+var durationFields = map[string]bool{
 	"took": true, "left": true, "placed": true, "first": true, "longest_pause": true, "retry_after": true, "delay": true,
 }
 
-func writeStory(w io.Writer, told []logLine, id string) {
-	for _, line := range told {
-		mark := " "
+func writeLines(w io.Writer, selected []logLine, id string) {
+	for _, line := range selected {
+		marker := " "
 		if line.fields["request_id"] == id {
-			mark = "*"
+			marker = "*"
 		}
-		fmt.Fprintf(w, "%s %s %s %s: %s%s\n", mark, line.at.Format("15:04:05.000000"), line.daemon, line.host, line.message, loggedFields(line.fields))
+		fmt.Fprintf(w, "%s %s %s %s: %s%s\n", marker, line.time.Format("15:04:05.000000"), line.daemon, line.host, line.message, formatFields(line.fields))
 	}
 }
 
-// loggedFields writes the fields of a line in the order of their names.
-func loggedFields(fields map[string]any) string {
+// formatFields formats the fields of a line, sorted by name. Empty fields are omitted.
+func formatFields(fields map[string]any) string {
 	names := make([]string, 0, len(fields))
 	for name := range fields {
 		if name != "request_id" && name != "settings" {
@@ -178,7 +181,7 @@
 	var text strings.Builder
 	for _, name := range names {
 		value := fields[name]
-		if number, ok := value.(float64); ok && durations[name] {
+		if number, ok := value.(float64); ok && durationFields[name] {
 			value = time.Duration(number).Round(10 * time.Microsecond)
 		}
 		if value == "" || value == nil {
--- a/operator/story_test.go
+++ b/operator/explainrequest_test.go
@@ -11,10 +11,10 @@
 	"github.com/matryer/is"
 )
 
-// recorded are lines as two entries and a control replica wrote them on a played
-// day, shortened: a refused request, one that was cut and gone on with, and one
-// answered from the configuration before a change.
-const recorded = `-1.2 front-a {"time":"2026-09-24T18:45:44.100000000Z","level":"INFO","msg":"limited the calls of a pool","daemon":"lilackeel-entry","host":"front-a","pool":"p","limit":58.2,"running":61.5,"slots":192}
+// recordedLog holds abridged log lines of two entries and a control replica: about a
+// request that was refused, one whose answer was cut and that was retried, and one
+// answered with the configuration before a change.
+const recordedLog = `-1.2 front-a {"time":"2026-09-24T18:45:44.100000000Z","level":"INFO","msg":"limited the calls of a pool","daemon":"lilackeel-entry","host":"front-a","pool":"p","limit":58.2,"running":61.5,"slots":192}
 front-a {"time":"2026-09-24T18:45:44.300000000Z","level":"INFO","msg":"ended a request","daemon":"lilackeel-entry","host":"front-a","request_id":"refused1","route":"r","version":3,"workspace":"w","pool":"p","endpoint":"","attempts":0,"outcome":"not-run","status":503,"placed":0,"took":1200000,"left":7998800000,"reason":"overloaded: not run: workspace w would wait about 396ms"}
 {"time":"2026-09-24T18:45:50.000000000Z","level":"INFO","msg":"published a site","daemon":"lilackeel-control","host":"control-1","version":4,"revision":70}
 {"time":"2026-09-24T18:45:50.100000000Z","level":"INFO","msg":"trying again","daemon":"lilackeel-entry","host":"front-b","request_id":"cut1","endpoint":"e1","attempts":1,"delay":3000000,"reason":"unknown: the endpoint's answer was cut"}
@@ -27,14 +27,14 @@
 func explainRequest(t *testing.T, id string) (string, int) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "log")
-	is.New(t).NoErr(os.WriteFile(path, []byte(recorded), 0o600))
-	var out, failed bytes.Buffer
-	code := Run(context.Background(), []string{"explain-request", id, path}, nil, nil, &out, &failed)
-	return out.String() + failed.String(), code
+	is.New(t).NoErr(os.WriteFile(path, []byte(recordedLog), 0o600))
+	var out, stderr bytes.Buffer
+	code := Run(context.Background(), []string{"explain-request", id, path}, nil, nil, &out, &stderr)
+	return out.String() + stderr.String(), code
 }
 
 func TestExplainRequest(t *testing.T) {
-	for id, wanted := range map[string][]string{
+	for id, expected := range map[string][]string{
 		"refused1": {"limited the calls of a pool limit=58.2", "reason=overloaded: not run: workspace w would wait about 396ms", "took=1.2ms"},
 		"cut1":     {"* 18:45:50.100000 lilackeel-entry front-b: trying again", "endpoint=e1", "endpoint=e2", "took=1.9s"},
 		"old1":     {"  18:45:50.000000 lilackeel-control control-1: published a site revision=70 version=4", "version=3"},
@@ -43,15 +43,15 @@
 			is := is.New(t)
 			text, code := explainRequest(t, id)
 			is.Equal(code, ExitOK)
-			for _, each := range wanted {
-				is.True(strings.Contains(text, each)) // the story tells it
+			for _, part := range expected {
+				is.True(strings.Contains(text, part)) // must be shown
 			}
-			is.True(!strings.Contains(text, "version=5")) // and nothing of long after
+			is.True(!strings.Contains(text, "version=5")) // outside the context window
 		})
 	}
 }
 
-func TestExplainRequestThatNoLogNames(t *testing.T) {
+func TestExplainUnknownRequest(t *testing.T) {
 	is := is.New(t)
 	text, code := explainRequest(t, "nobody")
 	is.True(code != ExitOK)
--- a/operator/fields.go
+++ b/operator/fields.go
@@ -2,22 +2,22 @@
 
 import "reflect"
 
-// fieldsOf lists the fields that each type of the intent file has.
-var fieldsOf = map[string][]string{
-	"intentFile":    fieldNames[intentFile](),
-	"workspaceSpec": fieldNames[workspaceSpec](),
-	"modelSpec":     fieldNames[modelSpec](),
-	"serviceSpec":   fieldNames[serviceSpec](),
-	"routeSpec":     fieldNames[routeSpec](),
-	"endpointSpec":  fieldNames[endpointSpec](),
-	"policySpec":    fieldNames[policySpec](),
+// fieldNamesByType lists the field names of each type of the intent file.
+var fieldNamesByType = map[string][]string{
+	"intentFile":    yamlFieldNames[intentFile](),
+	"workspaceSpec": yamlFieldNames[workspaceSpec](),
+	"modelSpec":     yamlFieldNames[modelSpec](),
+	"serviceSpec":   yamlFieldNames[serviceSpec](),
+	"routeSpec":     yamlFieldNames[routeSpec](),
+	"endpointSpec":  yamlFieldNames[endpointSpec](),
+	"policySpec":    yamlFieldNames[policySpec](),
 }
 
-func fieldNames[T any]() []string {
+func yamlFieldNames[T any]() []string {
 	var names []string
-	shape := reflect.TypeFor[T]()
-	for i := range shape.NumField() {
-		names = append(names, shape.Field(i).Tag.Get("yaml"))
+	structType := reflect.TypeFor[T]()
+	for i := range structType.NumField() {
+		names = append(names, structType.Field(i).Tag.Get("yaml"))
 	}
 	return names
 }
--- a/operator/intentfile.go
+++ b/operator/intentfile.go
@@ -15,11 +15,11 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// maxIntentFileBytes bounds an intent file.
+// maxIntentFileBytes is the maximum size of an intent file.
 const maxIntentFileBytes = 16 << 20
 
 // intentFile is the format of an intent file, in YAML or JSON. Unknown and
-// repeated fields are refused.
+// duplicate fields are rejected.
 type intentFile struct {
 	Intent           string          `yaml:"intent"`
 	BaseRevision     uint64          `yaml:"base_revision"`
@@ -35,7 +35,7 @@
 	Policies         []policySpec    `yaml:"policies"`
 }
 
-// workspaceSpec is one of workspaces; its fields are those of fleetv1.Workspace.
+// workspaceSpec is an item of workspaces; its fields are those of fleetv1.Workspace.
 type workspaceSpec struct {
 	Name              string   `yaml:"name"`
 	Importance        int32    `yaml:"importance"`
@@ -48,7 +48,7 @@
 	KeyDigests        []string `yaml:"key_digests"`
 }
 
-func (w workspaceSpec) message() *fleetv1.Workspace {
+func (w workspaceSpec) toProto() *fleetv1.Workspace {
 	return &fleetv1.Workspace{
 		Name: w.Name, Importance: w.Importance, GuaranteedShare: w.GuaranteedShare,
 		MaxConcurrent: w.MaxConcurrent, RequestsPerSecond: w.RequestsPerSecond,
@@ -57,7 +57,7 @@
 	}
 }
 
-// modelSpec is one of models; its fields are those of fleetv1.Model.
+// modelSpec is an item of models; its fields are those of fleetv1.Model.
 type modelSpec struct {
 	Name     string   `yaml:"name"`
 	Pool     string   `yaml:"pool"`
@@ -65,11 +65,11 @@
 	Adapters []string `yaml:"adapters"`
 }
 
-func (m modelSpec) message() *fleetv1.Model {
+func (m modelSpec) toProto() *fleetv1.Model {
 	return &fleetv1.Model{Name: m.Name, Pool: m.Pool, Version: m.Version, Adapters: m.Adapters}
 }
 
-// serviceSpec is one of services.
+// serviceSpec is an item of services.
 type serviceSpec struct {
 	Name       string      `yaml:"name"`
 	Pool       string      `yaml:"pool"`
@@ -77,7 +77,7 @@
 	Routes     []routeSpec `yaml:"routes"`
 }
 
-// routeSpec is one of the routes of a service.
+// routeSpec is a route of a service.
 type routeSpec struct {
 	Method     string   `yaml:"method"`
 	PathPrefix string   `yaml:"path_prefix"`
@@ -85,7 +85,7 @@
 	Timeout    duration `yaml:"timeout"`
 }
 
-func (s serviceSpec) message() *fleetv1.Service {
+func (s serviceSpec) toProto() *fleetv1.Service {
 	service := &fleetv1.Service{Name: s.Name, Pool: s.Pool, PathPrefix: s.PathPrefix}
 	for _, route := range s.Routes {
 		service.Routes = append(service.Routes, &fleetv1.ServiceRoute{
@@ -96,7 +96,7 @@
 	return service
 }
 
-// endpointSpec is one of endpoints: the state that it is to be in.
+// endpointSpec is an item of endpoints: the desired state of an endpoint.
 type endpointSpec struct {
 	ID         string        `yaml:"id"`
 	State      endpointState `yaml:"state"`
@@ -104,13 +104,13 @@
 	DrainLimit duration      `yaml:"drain_limit"`
 }
 
-func (e endpointSpec) message() *controlv1.EndpointChange {
+func (e endpointSpec) toProto() *controlv1.EndpointChange {
 	return &controlv1.EndpointChange{
 		Id: e.ID, State: fleetv1.EndpointState(e.State), Role: e.Role, DrainLimitMs: e.DrainLimit.milliseconds(),
 	}
 }
 
-// policySpec is one of policies: how the expert maps of a group are balanced.
+// policySpec is an item of policies: how the expert maps of a group are balanced.
 type policySpec struct {
 	Group      string  `yaml:"group"`
 	Evenness   float64 `yaml:"evenness"`
@@ -118,11 +118,12 @@
 	StoreShare float64 `yaml:"store_share"`
 }
 
-func (p policySpec) message() *fleetv1.BalancePolicy {
+func (p policySpec) toProto() *fleetv1.BalancePolicy {
 	return &fleetv1.BalancePolicy{Group: p.Group, Evenness: p.Evenness, MaxMoves: p.MaxMoves, StoreShare: p.StoreShare}
 }
 
-// duration is written with its unit, such as 1500ms or 30s.
+// duration is a duration in an intent file, written with its unit, such as 1500ms or
+// 30s.
 type duration time.Duration
 
 // UnmarshalYAML implements yaml.Unmarshaler.
@@ -141,7 +142,8 @@
 
 func (d duration) milliseconds() int64 { return time.Duration(d).Milliseconds() }
 
-// endpointState is written as serving, leaving or stopped.
+// endpointState is the state of an endpoint in an intent file, written as serving,
+// leaving or stopped.
 type endpointState fleetv1.EndpointState
 
 var endpointStates = map[string]fleetv1.EndpointState{
@@ -164,25 +166,26 @@
 	return nil
 }
 
-// ParseIntent reads an intent file. operator is used where the file names none.
-// The error is a *fault.Error of kind Invalid, with the line where there is one.
+// ParseIntent parses and validates an intent file. operator is the default for the
+// field operator. The error is a *fault.Error of kind Invalid, with the line number
+// if it is known.
 func ParseIntent(data []byte, operator string) (*controlv1.Intent, error) {
 	if len(data) > maxIntentFileBytes {
-		return nil, fault.Newf(fault.Invalid, "split the intent", "the intent file is larger than %d bytes", maxIntentFileBytes)
+		return nil, fault.Newf(fault.Invalid, "split the intent into several", "the intent file is larger than %d bytes", maxIntentFileBytes)
 	}
 	var file intentFile
 	if err := unmarshalStrict(data, &file); err != nil {
-		return nil, fileFault(err)
+		return nil, decodeError(err)
 	}
-	intent := file.message()
+	intent := file.toProto()
 	if intent.Operator == "" {
 		intent.Operator = operator
 	}
 	if intent.Operator == "" {
-		return nil, fault.New(fault.Invalid, "nobody is named as the operator", "set -operator, LILACKEEL_OPERATOR or the field operator")
+		return nil, fault.New(fault.Invalid, "the intent has no operator", "set -operator, LILACKEEL_OPERATOR or the field operator")
 	}
 	if intent.Id == "" {
-		return nil, fault.New(fault.Invalid, "the intent has no id", "name it by the field intent, for example intent: raise-ops-2026-06-01")
+		return nil, fault.New(fault.Invalid, "the intent has no id", "set the field intent, for example intent: raise-ops-2026-06-01")
 	}
 	if err := contract.ValidateIntent(intent); err != nil {
 		return nil, err
@@ -190,54 +193,55 @@
 	return intent, nil
 }
 
-// unmarshalStrict turns a panic of the decoder into an error: it reads files
-// that people write.
+// unmarshalStrict decodes a file and converts a panic of the decoder to an error,
+// because the files are written by hand.
 func unmarshalStrict(data []byte, file *intentFile) (err error) {
 	defer func() {
-		if reason := recover(); reason != nil {
-			err = fmt.Errorf("yaml: %v", reason)
+		if recovered := recover(); recovered != nil {
+			err = fmt.Errorf("yaml: %v", recovered)
 		}
 	}()
 	return yaml.UnmarshalStrict(data, file)
 }
 
-func (f *intentFile) message() *controlv1.Intent {
+func (f *intentFile) toProto() *controlv1.Intent {
 	return &controlv1.Intent{
 		Id: f.Intent, BaseRevision: f.BaseRevision, Operator: f.Operator, Comment: f.Comment,
-		Workspaces: messages(f.Workspaces, workspaceSpec.message), RemoveWorkspaces: f.RemoveWorkspaces,
-		Models: messages(f.Models, modelSpec.message), RemoveModels: f.RemoveModels,
-		Services: messages(f.Services, serviceSpec.message), RemoveServices: f.RemoveServices,
-		Endpoints: messages(f.Endpoints, endpointSpec.message),
-		Policies:  messages(f.Policies, policySpec.message),
+		Workspaces: convertAll(f.Workspaces, workspaceSpec.toProto), RemoveWorkspaces: f.RemoveWorkspaces,
+		Models: convertAll(f.Models, modelSpec.toProto), RemoveModels: f.RemoveModels,
+		Services: convertAll(f.Services, serviceSpec.toProto), RemoveServices: f.RemoveServices,
+		Endpoints: convertAll(f.Endpoints, endpointSpec.toProto),
+		Policies:  convertAll(f.Policies, policySpec.toProto),
 	}
 }
 
-func messages[S, M any](specs []S, message func(S) M) []M {
+func convertAll[S, M any](specs []S, convert func(S) M) []M {
 	var result []M
 	for _, spec := range specs {
-		result = append(result, message(spec))
+		result = append(result, convert(spec))
 	}
 	return result
 }
 
-// unknownField matches the decoder's report of a field that a type lacks.
-var unknownField = regexp.MustCompile(`field (\S+) not found in type operator\.(\w+)`)
+// unknownFieldPattern matches the decoder's message about a field that a type lacks.
+var unknownFieldPattern = regexp.MustCompile(`field (\S+) not found in type operator\.(\w+)`)
 
-// fileFault puts the decoder's reports into words, each with its line.
-func fileFault(err error) *fault.Error {
-	reports := []string{strings.TrimPrefix(err.Error(), "yaml: ")}
-	var several *yaml.TypeError
-	if errors.As(err, &several) {
-		reports = several.Errors
+// decodeError converts the decoder's messages, each with its line number, to an error
+// for the user.
+func decodeError(err error) *fault.Error {
+	messages := []string{strings.TrimPrefix(err.Error(), "yaml: ")}
+	var typeError *yaml.TypeError
+	if errors.As(err, &typeError) {
+		messages = typeError.Errors
 	}
 	remedy := "correct the line"
-	for i, report := range reports {
-		match := unknownField.FindStringSubmatch(report)
+	for i, message := range messages {
+		match := unknownFieldPattern.FindStringSubmatch(message)
 		if match == nil {
 			continue
 		}
-		reports[i] = strings.Replace(report, match[0], "unknown field "+match[1], 1)
-		remedy = "remove it, or write one of " + strings.Join(fieldsOf[match[2]], ", ")
+		messages[i] = strings.Replace(message, match[0], "unknown field "+match[1], 1)
+		remedy = "remove it, or write one of " + strings.Join(fieldNamesByType[match[2]], ", ")
 	}
-	return fault.Newf(fault.Invalid, remedy, "the intent file cannot be read: %s", strings.Join(reports, "; "))
+	return fault.Newf(fault.Invalid, remedy, "the intent file cannot be read: %s", strings.Join(messages, "; "))
 }
--- a/operator/intents.go
+++ b/operator/intents.go
@@ -12,10 +12,10 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// standardInput is the file name for standard input.
+// standardInput is the file name that stands for standard input.
 const standardInput = "-"
 
-// readIntent reads an intent file.
+// readIntent reads and parses an intent file.
 func (s *session) readIntent(name string) (*controlv1.Intent, error) {
 	var data []byte
 	var err error
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	revision := s.acceptedAs(ctx, plan.GetIntentId())
+	revision := s.acceptedRevision(ctx, plan.GetIntentId())
 	if err := s.print(plan, func(w io.Writer) { writePlan(w, plan, revision) }); err != nil {
 		return err
 	}
@@ -49,14 +49,14 @@
 	if len(plan.GetWarnings()) > 0 {
 		return fault.New(fault.Conflict, "the plan has warnings and is not confirmed", "read them, then run the confirm command that is shown")
 	}
-	return s.accept(ctx, plan.GetIntentId(), plan.GetDigest(), cmp.Or(s.settings.Operator, intent.GetOperator()))
+	return s.confirmPlan(ctx, plan.GetIntentId(), plan.GetDigest(), cmp.Or(s.settings.Operator, intent.GetOperator()))
 }
 
-// acceptedAs returns the revision as which an intent was accepted before, zero
-// if it was not or nobody can say. A plan that is asked for again may be that of
-// an intent whose confirmation got lost on the way.
-func (s *session) acceptedAs(ctx context.Context, intentID string) uint64 {
-	entry, err := s.find(ctx, intentID)
+// acceptedRevision returns the revision of an intent that was accepted before; zero if
+// it was not, or if that is unknown. An operator may request a plan again after the
+// response to its confirmation was lost.
+func (s *session) acceptedRevision(ctx context.Context, intentID string) uint64 {
+	entry, err := s.findIntent(ctx, intentID)
 	if err != nil {
 		return 0
 	}
@@ -64,10 +64,10 @@
 }
 
 func (s *session) confirm(ctx context.Context) error {
-	return s.accept(ctx, s.settings.Intent, s.settings.Digest, s.settings.Operator)
+	return s.confirmPlan(ctx, s.settings.Intent, s.settings.Digest, s.settings.Operator)
 }
 
-func (s *session) accept(ctx context.Context, intentID, digest, operator string) error {
+func (s *session) confirmPlan(ctx context.Context, intentID, digest, operator string) error {
 	revision, err := s.client.Confirm(ctx, &controlv1.ConfirmRequest{IntentId: intentID, Digest: digest, Operator: operator})
 	if err != nil {
 		return err
@@ -90,11 +90,11 @@
 	if err != nil {
 		return err
 	}
-	answer, err := s.client.Configuration(ctx)
+	response, err := s.client.Configuration(ctx)
 	if err != nil {
 		return err
 	}
-	plan, err := contract.Preview(answer.GetConfiguration(), intent)
+	plan, err := contract.Preview(response.GetConfiguration(), intent)
 	if err != nil {
 		return err
 	}
@@ -102,27 +102,27 @@
 }
 
 func (s *session) history(ctx context.Context) error {
-	answer, err := s.client.History(ctx, &controlv1.HistoryRequest{Limit: int32(min(s.settings.Limit, 1<<20))})
+	response, err := s.client.History(ctx, &controlv1.HistoryRequest{Limit: int32(min(s.settings.Limit, 1<<20))})
 	if err != nil {
 		return err
 	}
-	return s.print(answer, func(w io.Writer) { writeHistory(w, answer.GetEntries()) })
+	return s.print(response, func(w io.Writer) { writeHistory(w, response.GetEntries()) })
 }
 
-// find returns one intent from the history.
-func (s *session) find(ctx context.Context, intentID string) (*controlv1.HistoryEntry, error) {
-	answer, err := s.client.History(ctx, &controlv1.HistoryRequest{Limit: 1, IntentId: intentID})
+// findIntent returns one intent from the history.
+func (s *session) findIntent(ctx context.Context, intentID string) (*controlv1.HistoryEntry, error) {
+	response, err := s.client.History(ctx, &controlv1.HistoryRequest{Limit: 1, IntentId: intentID})
 	if err != nil {
 		return nil, err
 	}
-	if len(answer.GetEntries()) == 0 {
-		return nil, fault.Newf(fault.NotFound, "see "+program+" history for the intents that are kept", "intent %s is not known", intentID)
+	if len(response.GetEntries()) == 0 {
+		return nil, fault.Newf(fault.NotFound, "run "+program+" history to list the intents that are kept", "unknown intent %s", intentID)
 	}
-	return answer.GetEntries()[0], nil
+	return response.GetEntries()[0], nil
 }
 
 func (s *session) explain(ctx context.Context) error {
-	entry, err := s.find(ctx, s.settings.Intent)
+	entry, err := s.findIntent(ctx, s.settings.Intent)
 	if err != nil {
 		return err
 	}
--- a/operator/json.go
+++ b/operator/json.go
@@ -8,7 +8,7 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// errorReport is an error as -o json prints it.
+// errorReport is the JSON form of an error, printed with -o json.
 type errorReport struct {
 	Kind         fault.Kind `json:"kind"`
 	Message      string     `json:"message"`
@@ -32,7 +32,7 @@
 	return reported
 }
 
-// writeJSON prints a report on one line.
+// writeJSON prints an error report on one line.
 func writeJSON(w io.Writer, value errorReport) {
 	data, err := json.Marshal(value)
 	if err != nil {
--- a/operator/settings.go
+++ b/operator/settings.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	defaultTimeout  = 10 * time.Second
-	defaultInterval = time.Second
-	defaultHistory  = 20
+	defaultTimeout      = 10 * time.Second
+	defaultInterval     = time.Second
+	defaultHistoryLimit = 20
 )
 
-// Settings that may be given without their flags.
+// Names of the settings that may be given as positional arguments.
 const (
 	settingFile   = "file"
 	settingIntent = "id"
@@ -28,35 +28,35 @@
 	outputJSON  = "json"
 )
 
-// Settings of lilackeelctl. Each may be given as a flag or by its environment
-// variable, such as LILACKEEL_CONTROL.
+// Settings are the settings of lilackeelctl. Each may be given as a flag or by its
+// environment variable, such as LILACKEEL_CONTROL.
 type Settings struct {
 	// Control are the addresses of the control replicas.
 	Control []string
-	// Operator names who asks.
+	// Operator is the name of the operator who issues the command.
 	Operator string
-	// Timeout bounds a command, but for watch.
+	// Timeout bounds every command except watch.
 	Timeout time.Duration
 	// Output is table or json.
 	Output string
-	// Link proves this program to the replicas.
+	// Link configures the connections to the replicas, including the credentials.
 	Link link.Config
-	// File, Intent and Digest are what a command is about. They may also stand
-	// after the verb without their flags.
+	// File, Intent and Digest are the arguments of a command. They may also be given
+	// as positional arguments.
 	File, Intent, Digest string
-	// Limit is how many intents history lists.
+	// Limit is the maximum number of intents that history lists.
 	Limit int
-	// Interval is the pause between two looks of watch.
+	// Interval is the polling interval of watch.
 	Interval time.Duration
-	// Yes confirms a plan without a second command.
+	// Yes makes plan confirm a plan that has no warnings.
 	Yes bool
-	// Member is the change that members makes.
+	// Member is the membership change that the members command makes.
 	Member MemberChange
-	// offline is true for a command that asks no control replica.
+	// offline is true for a command that does not contact the control replicas.
 	offline bool
 }
 
-// MemberChange is at most one change of the voting replicas.
+// MemberChange is a change of the control replicas; at most one of its ids may be set.
 type MemberChange struct {
 	// AddLearner, Promote and Remove are replica ids; zero for none.
 	AddLearner, Promote, Remove int
@@ -64,7 +64,7 @@
 	Addr string
 }
 
-func (c MemberChange) count() int {
+func (c MemberChange) changeCount() int {
 	count := 0
 	for _, id := range []int{c.AddLearner, c.Promote, c.Remove} {
 		if id != 0 {
@@ -74,31 +74,32 @@
 	return count
 }
 
-// Register adds all settings to set.
+// Register registers all settings with set.
 func (s *Settings) Register(set *setting.Set) {
 	rules := []setting.Rule{setting.HostPort}
 	if !s.offline {
 		rules = append(rules, setting.Required)
 	}
 	set.List(&s.Control, "control", nil, "addresses of the control replicas, host:port", rules...)
-	set.String(&s.Operator, "operator", loginName(), "name of the operator who asks")
+	set.String(&s.Operator, "operator", loginName(), "name of the operator who issues the command")
 	set.String(&s.File, settingFile, "", "plan, diff: the intent file, - for standard input; -f for short")
 	set.String(&s.Intent, settingIntent, "", "confirm, cancel, explain, watch: the id of an intent")
 	set.String(&s.Digest, settingDigest, "", "confirm: the digest that the plan shows")
-	set.Duration(&s.Timeout, "timeout", defaultTimeout, "longest time for a command, but for watch", setting.Min(time.Millisecond))
-	set.String(&s.Output, "output", outputTable, "form of the answer; -o for short", setting.OneOf(outputTable, outputJSON))
-	set.Int(&s.Limit, "limit", defaultHistory, "history: how many intents", setting.Min(1))
-	set.Duration(&s.Interval, "interval", defaultInterval, "watch: pause between two looks", setting.Min(10*time.Millisecond))
-	set.Bool(&s.Yes, "yes", false, "plan: confirm the plan at once, if it has no warnings")
-	set.Int(&s.Member.AddLearner, "add-learner", 0, "members: id of a replica to add", setting.Min(0))
+	set.Duration(&s.Timeout, "timeout", defaultTimeout, "time limit of a command, except watch", setting.Min(time.Millisecond))
+	set.String(&s.Output, "output", outputTable, "output format; -o for short", setting.OneOf(outputTable, outputJSON))
+	set.Int(&s.Limit, "limit", defaultHistoryLimit, "history: maximum number of intents", setting.Min(1))
+	set.Duration(&s.Interval, "interval", defaultInterval, "watch: polling interval", setting.Min(10*time.Millisecond))
+	set.Bool(&s.Yes, "yes", false, "plan: confirm the plan immediately if it has no warnings")
+	set.Int(&s.Member.AddLearner, "add-learner", 0, "members: id of the replica to add as a learner", setting.Min(0))
 	set.String(&s.Member.Addr, "addr", "", "members: address of the added replica", setting.HostPort)
-	set.Int(&s.Member.Promote, "promote", 0, "members: id of a learner that shall vote", setting.Min(0))
-	set.Int(&s.Member.Remove, "remove", 0, "members: id of a replica to remove", setting.Min(0))
+	set.Int(&s.Member.Promote, "promote", 0, "members: id of the learner to promote to voter", setting.Min(0))
+	set.Int(&s.Member.Remove, "remove", 0, "members: id of the replica to remove", setting.Min(0))
 	link.Settings(set, &s.Link)
 	set.Check(s.check)
 }
 
-// loginName returns the name under which this process runs, or nothing.
+// loginName returns the name of the user that runs this process; it is empty if it is
+// unknown.
 func loginName() string {
 	current, err := user.Current()
 	if err != nil {
@@ -108,11 +109,11 @@
 }
 
 func (s *Settings) check() error {
-	if s.Member.count() > 1 {
-		return fault.New(fault.Invalid, "several changes of members are asked for", "change one member at a time")
+	if s.Member.changeCount() > 1 {
+		return fault.New(fault.Invalid, "more than one membership change is requested", "change one member at a time")
 	}
 	if (s.Member.AddLearner != 0) != (s.Member.Addr != "") {
-		return fault.New(fault.Invalid, "-add-learner and -addr go together", "give both, or none")
+		return fault.New(fault.Invalid, "-add-learner and -addr require each other", "give both or neither")
 	}
 	return nil
 }
--- a/operator/site.go
+++ b/operator/site.go
@@ -11,7 +11,7 @@
 )
 
 // writeSite prints the routes, pools and workspaces of a published site, without
-// its keys. Nothing is printed where no site was published.
+// its keys. It prints nothing if no site has been published.
 func writeSite(w io.Writer, s *fleetv1.Site) {
 	if s.GetVersion() == 0 {
 		return
@@ -19,21 +19,21 @@
 	fmt.Fprintf(w, "Site version %d, in force as revision %d\n\n", s.GetVersion(), s.GetRevision())
 	t := newTable(w, "ROUTE", "HOST", "PATH PREFIX", "KIND", "POOLS", "TIMEOUT", "OBJECTIVE", "ATTEMPTS", "PUBLIC")
 	for _, route := range s.GetRoutes() {
-		t.row(route.GetName(), route.GetHost(), route.GetPathPrefix(), lowerName(route.GetKind(), "CALL_KIND_"), splits(route),
-			milliseconds(route.GetTimeoutMs()), milliseconds(route.GetObjectiveMs()), strconv.Itoa(int(route.GetMaxAttempts())), strconv.FormatBool(route.GetPublic()))
+		t.row(route.GetName(), route.GetHost(), route.GetPathPrefix(), enumLabel(route.GetKind(), "CALL_KIND_"), formatSplits(route),
+			formatMilliseconds(route.GetTimeoutMs()), formatMilliseconds(route.GetObjectiveMs()), strconv.Itoa(int(route.GetMaxAttempts())), strconv.FormatBool(route.GetPublic()))
 	}
-	t.end()
+	t.flush()
 	fmt.Fprintln(w)
 	t = newTable(w, "SITE WORKSPACE", "PRIORITY", "KEYS")
 	for _, workspace := range s.GetWorkspaces() {
 		t.row(workspace.GetName(), strconv.Itoa(int(workspace.GetPriority())), strconv.Itoa(len(workspace.GetKeyDigests())))
 	}
-	t.end()
+	t.flush()
 	fmt.Fprintln(w)
 }
 
-// splits names the pools of a route, with their weights if there are several.
-func splits(route *fleetv1.Route) string {
+// formatSplits lists the pools of a route, with their weights if there are several.
+func formatSplits(route *fleetv1.Route) string {
 	var pools []string
 	for _, split := range route.GetSplits() {
 		name := split.GetPool()
@@ -45,8 +45,8 @@
 	return strings.Join(pools, " ")
 }
 
-// milliseconds formats a time; zero is none.
-func milliseconds(ms int64) string {
+// formatMilliseconds formats a duration; zero is formatted as none.
+func formatMilliseconds(ms int64) string {
 	if ms == 0 {
 		return "none"
 	}
--- a/operator/site_test.go
+++ b/operator/site_test.go
@@ -11,8 +11,9 @@
 	fleetv1 "github.com/lilackeel/lilackeel/api/fleet/v1"
 )
 
-// TestConfigShowsThePublishedSite prints routes and workspaces, and no key.
-func TestConfigShowsThePublishedSite(t *testing.T) {
+// TestConfigPrintsPublishedSite checks that routes and workspaces are printed, but no
+// keys.
+func TestConfigPrintsPublishedSite(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	writeConfiguration(&out, &fleetv1.Configuration{Revision: 12, Site: &fleetv1.Site{
@@ -35,5 +36,5 @@
 
 	out.Reset()
 	writeConfiguration(&out, &fleetv1.Configuration{Revision: 12})
-	is.True(!strings.Contains(out.String(), "Site")) // where none was published
+	is.True(!strings.Contains(out.String(), "Site")) // no site was published
 }
--- a/operator/fleet.go
+++ b/operator/status.go
@@ -18,59 +18,59 @@
 }
 
 func (s *session) config(ctx context.Context) error {
-	answer, err := s.client.Configuration(ctx)
+	response, err := s.client.Configuration(ctx)
 	if err != nil {
 		return err
 	}
-	return s.print(answer.GetConfiguration(), func(w io.Writer) { writeConfiguration(w, answer.GetConfiguration()) })
+	return s.print(response.GetConfiguration(), func(w io.Writer) { writeConfiguration(w, response.GetConfiguration()) })
 }
 
 func (s *session) members(ctx context.Context) error {
-	asked := s.settings.Member
-	answer, err := s.client.Members(ctx, &controlv1.MembersRequest{
-		AddLearner: uint64(asked.AddLearner), Addr: asked.Addr,
-		Promote: uint64(asked.Promote), Remove: uint64(asked.Remove),
+	member := s.settings.Member
+	response, err := s.client.Members(ctx, &controlv1.MembersRequest{
+		AddLearner: uint64(member.AddLearner), Addr: member.Addr,
+		Promote: uint64(member.Promote), Remove: uint64(member.Remove),
 	})
 	if err != nil {
 		return err
 	}
-	return s.print(answer, func(w io.Writer) { writeMembers(w, answer) })
+	return s.print(response, func(w io.Writer) { writeMembers(w, response) })
 }
 
-// watch prints the status, or how far one intent has come, whenever it changes.
-// It ends when the intent is carried out or cancelled, or with ctx. Replicas
-// that cannot be reached for a while do not end it.
+// watch prints the status, or the progress of one intent, whenever it changes. It
+// returns when the intent is done or cancelled, or when ctx ends. It continues while
+// replicas are temporarily unreachable.
 func (s *session) watch(ctx context.Context) error {
-	var shown []byte
+	var printed []byte
 	for {
 		var text bytes.Buffer
-		done, err := s.look(ctx, &text)
+		done, err := s.poll(ctx, &text)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if err != nil && decided(asFault(err)) {
+		if err != nil && isFinal(asFaultError(err)) {
 			return err
 		}
 		if err != nil {
 			text.WriteString(err.Error() + "\n")
 		}
-		if !bytes.Equal(shown, text.Bytes()) {
-			shown = bytes.Clone(text.Bytes())
-			if _, err := s.stdout.Write(shown); err != nil {
-				return fault.New(fault.Internal, "the output cannot be written", "check where it goes").WithCause(err)
+		if !bytes.Equal(printed, text.Bytes()) {
+			printed = bytes.Clone(text.Bytes())
+			if _, err := s.stdout.Write(printed); err != nil {
+				return fault.New(fault.Internal, "the output cannot be written", "check the destination of standard output").WithCause(err)
 			}
 		}
 		if done {
 			return nil
 		}
-		if !pause(ctx, s.settings.Interval) {
+		if !sleep(ctx, s.settings.Interval) {
 			return ctx.Err()
 		}
 	}
 }
 
-// summary prints the status without what changes all the time.
-func (s *session) summary(ctx context.Context) error {
+// printOverview prints the parts of the status that do not change all the time.
+func (s *session) printOverview(ctx context.Context) error {
 	status, err := s.client.Status(ctx)
 	if err != nil {
 		return err
@@ -83,16 +83,16 @@
 	})
 }
 
-// look prints the present state to w and reports whether there is nothing more
-// to wait for.
-func (s *session) look(ctx context.Context, w io.Writer) (done bool, err error) {
+// poll prints the current state to w and reports whether the watched intent is done
+// or cancelled.
+func (s *session) poll(ctx context.Context, w io.Writer) (done bool, err error) {
 	bounded, cancel := context.WithTimeout(ctx, s.settings.Timeout)
 	defer cancel()
 	printer := &session{settings: s.settings, client: s.client, stdout: w}
 	if s.settings.Intent == "" {
-		return false, printer.summary(bounded)
+		return false, printer.printOverview(bounded)
 	}
-	entry, err := s.find(bounded, s.settings.Intent)
+	entry, err := s.findIntent(bounded, s.settings.Intent)
 	if err != nil {
 		return false, err
 	}
@@ -106,7 +106,7 @@
 	return ended, printer.print(progress, func(w io.Writer) { writeProgress(w, progress) })
 }
 
-// progressOf returns how far an intent has come.
+// progressOf returns the progress of an intent.
 func progressOf(entry *controlv1.HistoryEntry, status *controlv1.StatusResponse) *controlv1.IntentProgress {
 	for _, progress := range status.GetIntents() {
 		if progress.GetIntentId() == entry.GetIntent().GetId() {
--- a/operator/summary.go
+++ b/operator/summary.go
@@ -15,144 +15,147 @@
 )
 
 const (
-	// summarySpan is the time that one row of a summary stands for.
-	summarySpan = 10 * time.Second
-	// summaryCauses bounds the causes that a summary lists.
-	summaryCauses = 20
+	// summaryInterval is the time that one row of a summary covers.
+	summaryInterval = 10 * time.Second
+	// maxSummaryCauses is the maximum number of causes that a summary lists.
+	maxSummaryCauses = 20
 )
 
-// The messages of the lines that a summary counts.
+// Messages of the log lines that a summary counts.
 const (
-	messageEnded      = "ended a request"
-	messageRefused    = "refused a request"
-	messageAgain      = "trying again"
-	messageEndedUnder = "an endpoint ended under a request"
+	messageRequestEnded   = "ended a request"
+	messageRequestRefused = "refused a request"
+	messageRetry          = "trying again"
+	messageEndpointEnded  = "an endpoint ended under a request"
 )
 
-// summarise prints what became of the requests that the logs tell of: by time and pool, by cause,
-// and which of them endpoints have ended under.
-func (s *session) summarise(context.Context) error {
+// summarizeLogs prints the outcomes of the requests in the logs by time and pool, the
+// causes of failures and retries, and the requests during which several endpoint
+// processes ended.
+func (s *session) summarizeLogs(context.Context) error {
 	lines, err := readLogs(strings.Split(s.settings.File, ","), s.stdin)
 	if err != nil {
 		return err
 	}
-	told := summaryOf(lines)
-	if len(told.rows) == 0 {
-		return fault.Newf(fault.NotFound, "name the logs of all entries", "none of %d lines tells the end of a request", len(lines))
+	summary := newLogSummary(lines)
+	if len(summary.outcomeCounts) == 0 {
+		return fault.Newf(fault.NotFound, "name the logs of all entries", "none of %d log lines records the end of a request", len(lines))
 	}
-	told.write(s.stdout)
+	summary.write(s.stdout)
 	return nil
 }
 
-// daySummary is what the logs of a time come to.
-type daySummary struct {
-	rows   map[summaryKey]map[string]int
-	causes map[string]*causeCount
-	// ended are the endpoints that ended under each request, by its fingerprint.
-	ended map[string]map[string]bool
+// logSummary counts the outcomes of requests and their causes.
+type logSummary struct {
+	outcomeCounts map[summaryKey]map[string]int
+	causes        map[string]*causeCount
+	// endedEndpoints holds the endpoints whose processes ended during a request, by
+	// the fingerprint of the request.
+	endedEndpoints map[string]map[string]bool
 }
 
-// summaryKey names one row.
+// summaryKey identifies a row.
 type summaryKey struct {
-	at   time.Time
-	pool string
+	start time.Time
+	pool  string
 }
 
-// causeCount is how often something happened, and when first and last.
+// causeCount is the number of occurrences of a cause, and the times of the first and
+// the last.
 type causeCount struct {
 	count       int
 	first, last time.Time
 }
 
-func summaryOf(lines []logLine) *daySummary {
-	told := &daySummary{rows: map[summaryKey]map[string]int{}, causes: map[string]*causeCount{}, ended: map[string]map[string]bool{}}
+func newLogSummary(lines []logLine) *logSummary {
+	summary := &logSummary{outcomeCounts: map[summaryKey]map[string]int{}, causes: map[string]*causeCount{}, endedEndpoints: map[string]map[string]bool{}}
 	for i := range lines {
-		told.take(&lines[i])
+		summary.add(&lines[i])
 	}
-	return told
+	return summary
 }
 
-// take counts one line.
-func (d *daySummary) take(line *logLine) {
+// add counts one line.
+func (s *logSummary) add(line *logLine) {
 	switch line.message {
-	case messageEnded:
-		outcome := line.text("outcome")
-		d.row(line, outcome)
+	case messageRequestEnded:
+		outcome := line.stringField("outcome")
+		s.countOutcome(line, outcome)
 		if outcome != "answered" {
-			d.cause(line, outcome)
+			s.countCause(line, outcome)
 		}
-	case messageRefused:
-		d.row(line, "refused at once")
-		d.cause(line, "refused at once")
-	case messageAgain:
-		d.cause(line, messageAgain)
-	case messageEndedUnder:
-		request := line.text("fingerprint")
-		if d.ended[request] == nil {
-			d.ended[request] = map[string]bool{}
+	case messageRequestRefused:
+		s.countOutcome(line, "refused at once")
+		s.countCause(line, "refused at once")
+	case messageRetry:
+		s.countCause(line, messageRetry)
+	case messageEndpointEnded:
+		fingerprint := line.stringField("fingerprint")
+		if s.endedEndpoints[fingerprint] == nil {
+			s.endedEndpoints[fingerprint] = map[string]bool{}
 		}
-		d.ended[request][line.text("endpoint")] = true
+		s.endedEndpoints[fingerprint][line.stringField("endpoint")] = true
 	}
 }
 
-// text returns a field of a line, empty if it has none.
-func (l *logLine) text(name string) string {
+// stringField returns a string field of a line; it is empty if there is none.
+func (l *logLine) stringField(name string) string {
 	value, _ := l.fields[name].(string)
 	return value
 }
 
-func (d *daySummary) row(line *logLine, outcome string) {
-	key := summaryKey{line.at.Truncate(summarySpan), line.text("pool")}
-	if d.rows[key] == nil {
-		d.rows[key] = map[string]int{}
+func (s *logSummary) countOutcome(line *logLine, outcome string) {
+	key := summaryKey{line.time.Truncate(summaryInterval), line.stringField("pool")}
+	if s.outcomeCounts[key] == nil {
+		s.outcomeCounts[key] = map[string]int{}
 	}
-	d.rows[key][outcome]++
+	s.outcomeCounts[key][outcome]++
 }
 
-// names are words with digits, which differ from request to request.
-var names = regexp.MustCompile(`[0-9a-z]*\d+[0-9a-z]*`)
+// variableWords matches words with digits, which differ from request to request.
+var variableWords = regexp.MustCompile(`[0-9a-z]*\d+[0-9a-z]*`)
 
-func (d *daySummary) cause(line *logLine, what string) {
-	reason := cmp.Or(line.text("reason"), line.text("message"))
-	text := what + ": " + names.ReplaceAllString(reason, "…")
-	c := d.causes[text]
+func (s *logSummary) countCause(line *logLine, category string) {
+	reason := cmp.Or(line.stringField("reason"), line.stringField("message"))
+	text := category + ": " + variableWords.ReplaceAllString(reason, "…")
+	c := s.causes[text]
 	if c == nil {
-		c = &causeCount{first: line.at}
-		d.causes[text] = c
+		c = &causeCount{first: line.time}
+		s.causes[text] = c
 	}
 	c.count++
-	c.last = line.at
+	c.last = line.time
 }
 
-func (d *daySummary) write(w io.Writer) {
-	d.writeRows(w)
-	d.writeCauses(w)
-	d.writeEnded(w)
+func (s *logSummary) write(w io.Writer) {
+	s.writeOutcomes(w)
+	s.writeCauses(w)
+	s.writeEndedEndpoints(w)
 }
 
-// outcomes are the columns of the rows.
-var outcomes = []string{"answered", "not-run", "unknown", "caller left", "refused at once"}
+// outcomeColumns are the outcomes that the rows have a column for.
+var outcomeColumns = []string{"answered", "not-run", "unknown", "caller left", "refused at once"}
 
-func (d *daySummary) writeRows(w io.Writer) {
-	keys := make([]summaryKey, 0, len(d.rows))
-	for key := range d.rows {
+func (s *logSummary) writeOutcomes(w io.Writer) {
+	keys := make([]summaryKey, 0, len(s.outcomeCounts))
+	for key := range s.outcomeCounts {
 		keys = append(keys, key)
 	}
 	slices.SortFunc(keys, func(a, b summaryKey) int {
-		return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.pool, b.pool))
+		return cmp.Or(a.start.Compare(b.start), cmp.Compare(a.pool, b.pool))
 	})
-	rows := newTable(w, append([]string{"FROM", "POOL"}, upperAll(outcomes)...)...)
+	rows := newTable(w, append([]string{"FROM", "POOL"}, upperCaseAll(outcomeColumns)...)...)
 	for _, key := range keys {
-		cells := []string{key.at.Format(time.TimeOnly), cmp.Or(key.pool, "-")}
-		for _, outcome := range outcomes {
-			cells = append(cells, strconv.Itoa(d.rows[key][outcome]))
+		cells := []string{key.start.Format(time.TimeOnly), cmp.Or(key.pool, "-")}
+		for _, outcome := range outcomeColumns {
+			cells = append(cells, strconv.Itoa(s.outcomeCounts[key][outcome]))
 		}
 		rows.row(cells...)
 	}
-	rows.end()
+	rows.flush()
 }
 
-func upperAll(words []string) []string {
+func upperCaseAll(words []string) []string {
 	upper := make([]string, 0, len(words))
 	for _, word := range words {
 		upper = append(upper, strings.ToUpper(word))
@@ -160,45 +163,47 @@
 	return upper
 }
 
-// writeCauses lists why requests had no answer or were tried again, the most frequent first.
-func (d *daySummary) writeCauses(w io.Writer) {
-	texts := make([]string, 0, len(d.causes))
-	for text := range d.causes {
+// writeCauses prints the causes of failed and retried requests, the most frequent
+// first.
+func (s *logSummary) writeCauses(w io.Writer) {
+	texts := make([]string, 0, len(s.causes))
+	for text := range s.causes {
 		texts = append(texts, text)
 	}
 	slices.SortFunc(texts, func(a, b string) int {
-		return cmp.Or(cmp.Compare(d.causes[b].count, d.causes[a].count), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(s.causes[b].count, s.causes[a].count), cmp.Compare(a, b))
 	})
 	fmt.Fprintln(w)
 	causes := newTable(w, "TIMES", "FIRST", "LAST", "CAUSE")
-	for _, text := range texts[:min(len(texts), summaryCauses)] {
-		c := d.causes[text]
+	for _, text := range texts[:min(len(texts), maxSummaryCauses)] {
+		c := s.causes[text]
 		causes.row(strconv.Itoa(c.count), c.first.Format(time.TimeOnly), c.last.Format(time.TimeOnly), text)
 	}
-	causes.end()
-	if more := len(texts) - summaryCauses; more > 0 {
-		fmt.Fprintf(w, "and %d causes that are rarer\n", more)
+	causes.flush()
+	if remaining := len(texts) - maxSummaryCauses; remaining > 0 {
+		fmt.Fprintf(w, "and %d less frequent causes\n", remaining)
 	}
 }
 
-// writeEnded lists the requests under which more than one endpoint has ended.
-func (d *daySummary) writeEnded(w io.Writer) {
-	var requests []string
-	for request, endpoints := range d.ended {
+// writeEndedEndpoints prints the requests during which the processes of more than one
+// endpoint ended.
+func (s *logSummary) writeEndedEndpoints(w io.Writer) {
+	var fingerprints []string
+	for fingerprint, endpoints := range s.endedEndpoints {
 		if len(endpoints) > 1 {
-			requests = append(requests, request)
+			fingerprints = append(fingerprints, fingerprint)
 		}
 	}
-	if len(requests) == 0 {
+	if len(fingerprints) == 0 {
 		return
 	}
-	slices.SortFunc(requests, func(a, b string) int {
-		return cmp.Or(cmp.Compare(len(d.ended[b]), len(d.ended[a])), cmp.Compare(a, b))
+	slices.SortFunc(fingerprints, func(a, b string) int {
+		return cmp.Or(cmp.Compare(len(s.endedEndpoints[b]), len(s.endedEndpoints[a])), cmp.Compare(a, b))
 	})
 	fmt.Fprintln(w)
-	ended := newTable(w, "ENDPOINTS ENDED", "UNDER THE REQUEST")
-	for _, request := range requests {
-		ended.row(strconv.Itoa(len(d.ended[request])), request)
+	ended := newTable(w, "ENDPOINTS ENDED", "REQUEST FINGERPRINT")
+	for _, fingerprint := range fingerprints {
+		ended.row(strconv.Itoa(len(s.endedEndpoints[fingerprint])), fingerprint)
 	}
-	ended.end()
+	ended.flush()
 }
--- a/operator/summary_test.go
+++ b/operator/summary_test.go
@@ -11,24 +11,24 @@
 	"github.com/matryer/is"
 )
 
-// endedUnder are lines of two entries before endpoints that end.
-const endedUnder = `{"time":"2026-09-24T18:45:51.000000000Z","level":"INFO","msg":"an endpoint ended under a request","daemon":"lilackeel-entry","host":"front-a","fingerprint":"f00d","endpoint":"e1","ends":1}
+// endpointEndedLog holds lines of two entries about endpoints that ended during a request.
+const endpointEndedLog = `{"time":"2026-09-24T18:45:51.000000000Z","level":"INFO","msg":"an endpoint ended under a request","daemon":"lilackeel-entry","host":"front-a","fingerprint":"f00d","endpoint":"e1","ends":1}
 {"time":"2026-09-24T18:45:52.000000000Z","level":"INFO","msg":"an endpoint ended under a request","daemon":"lilackeel-entry","host":"front-a","fingerprint":"beef","endpoint":"e1","ends":1}
 {"time":"2026-09-24T18:45:53.000000000Z","level":"INFO","msg":"an endpoint ended under a request","daemon":"lilackeel-entry","host":"front-b","fingerprint":"f00d","endpoint":"e2","ends":2}
 `
 
-func summarise(t *testing.T, text string) (string, int) {
+func runSummary(t *testing.T, text string) (string, int) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "log")
 	is.New(t).NoErr(os.WriteFile(path, []byte(text), 0o600))
-	var out, failed bytes.Buffer
-	code := Run(context.Background(), []string{"summary", path}, nil, nil, &out, &failed)
-	return out.String() + failed.String(), code
+	var out, stderr bytes.Buffer
+	code := Run(context.Background(), []string{"summary", path}, nil, nil, &out, &stderr)
+	return out.String() + stderr.String(), code
 }
 
 func TestSummary(t *testing.T) {
 	is := is.New(t)
-	text, code := summarise(t, recorded+endedUnder)
+	text, code := runSummary(t, recordedLog+endpointEndedLog)
 	is.Equal(code, ExitOK)
 	lines := strings.Split(text, "\n")
 	has := func(parts ...string) bool {
@@ -41,14 +41,14 @@
 	}
 	is.True(has("18:45:40", "p", "0", "1", "0", "0", "0"))                                                    // by time and pool
 	is.True(has("1", "18:45:44", "18:45:44", "not-run: overloaded: not run: workspace w would wait about …")) // by cause
-	is.True(has("1", "18:45:50", "18:45:50", "trying again: unknown: the endpoint's answer was cut"))         // what was repeated
-	is.True(has("2", "f00d"))                                                                                 // ended two endpoints
-	is.True(!strings.Contains(text, "beef"))                                                                  // was there once
+	is.True(has("1", "18:45:50", "18:45:50", "trying again: unknown: the endpoint's answer was cut"))         // by cause of retries
+	is.True(has("2", "f00d"))                                                                                 // two endpoints ended during it
+	is.True(!strings.Contains(text, "beef"))                                                                  // only one endpoint ended during it
 }
 
 func TestSummaryOfLogsWithoutRequests(t *testing.T) {
 	is := is.New(t)
-	text, code := summarise(t, "nothing\n")
+	text, code := runSummary(t, "nothing\n")
 	is.True(code != ExitOK)
 	is.True(strings.Contains(text, "name the logs of all entries"))
 }
--- a/operator/table.go
+++ b/operator/table.go
@@ -12,7 +12,7 @@
 	fleetv1 "github.com/lilackeel/lilackeel/api/fleet/v1"
 )
 
-// table writes aligned columns.
+// table writes rows with aligned columns.
 type table struct{ writer *tabwriter.Writer }
 
 func newTable(w io.Writer, columns ...string) table {
@@ -23,45 +23,45 @@
 
 func (t table) row(cells ...string) { fmt.Fprintln(t.writer, strings.Join(cells, "\t")) }
 
-func (t table) end() { t.writer.Flush() }
+func (t table) flush() { t.writer.Flush() }
 
-// lowerName turns an enum value such as INTENT_STATE_DONE into done.
-func lowerName(value fmt.Stringer, prefix string) string {
+// enumLabel formats an enum value such as INTENT_STATE_DONE as done.
+func enumLabel(value fmt.Stringer, prefix string) string {
 	return strings.ToLower(strings.TrimPrefix(value.String(), prefix))
 }
 
-func intentState(state controlv1.IntentState) string { return lowerName(state, "INTENT_STATE_") }
+func intentState(state controlv1.IntentState) string { return enumLabel(state, "INTENT_STATE_") }
 
-func number(value uint64) string { return strconv.FormatUint(value, 10) }
+func formatUint(value uint64) string { return strconv.FormatUint(value, 10) }
 
-// writePlan prints a plan and what to do next. The revision is the one as which
-// the intent was accepted before, zero for none.
+// writePlan prints a plan and how to proceed. revision is that of an intent that was
+// accepted before, otherwise zero.
 func writePlan(w io.Writer, plan *controlv1.Plan, revision uint64) {
 	fmt.Fprintf(w, "Plan of intent %s at revision %d\n\n", plan.GetIntentId(), plan.GetBaseRevision())
 	writeChanges(w, plan)
 	if revision > 0 {
-		fmt.Fprintf(w, "\nThis intent was accepted before, as revision %d. Nothing is left to confirm.\n", revision)
+		fmt.Fprintf(w, "\nThis intent was accepted before, as revision %d. There is nothing to confirm.\n", revision)
 		return
 	}
 	fmt.Fprintf(w, "\nNothing has happened yet. To accept this plan:\n  %s confirm %s %s\n",
 		program, plan.GetIntentId(), plan.GetDigest())
 }
 
-// writeChanges prints what a plan changes and warns of.
+// writeChanges prints the changes and warnings of a plan.
 func writeChanges(w io.Writer, plan *controlv1.Plan) {
 	if len(plan.GetChanges()) == 0 {
-		fmt.Fprintln(w, "It changes nothing.")
+		fmt.Fprintln(w, "No changes.")
 	}
 	for _, change := range plan.GetChanges() {
-		fmt.Fprintf(w, "  %s  %s%s\n", actionSign(change.GetAction()), change.GetText(), drainNote(change))
+		fmt.Fprintf(w, "  %s  %s%s\n", actionSymbol(change.GetAction()), change.GetText(), drainNote(change))
 	}
-	fmt.Fprintf(w, "\nRequests at a time: %d before, %d after\n", plan.GetCapacityBefore(), plan.GetCapacityAfter())
+	fmt.Fprintf(w, "\nConcurrent requests: %d before, %d after\n", plan.GetCapacityBefore(), plan.GetCapacityAfter())
 	for _, warning := range plan.GetWarnings() {
 		fmt.Fprintf(w, "Warning: %s\n", warning)
 	}
 }
 
-func actionSign(action string) string {
+func actionSymbol(action string) string {
 	switch action {
 	case "create":
 		return "+"
@@ -73,7 +73,7 @@
 
 func drainNote(change *controlv1.Change) string {
 	if change.GetDrains() {
-		return " (waits for work in flight)"
+		return " (waits for requests in flight)"
 	}
 	return ""
 }
@@ -82,10 +82,10 @@
 	t := newTable(w, "INTENT", "STATE", "REVISION", "OPERATOR", "CONFIRMED BY", "CHANGES", "COMMENT")
 	for _, entry := range entries {
 		intent := entry.GetIntent()
-		t.row(intent.GetId(), intentState(entry.GetState()), number(entry.GetRevision()), intent.GetOperator(),
+		t.row(intent.GetId(), intentState(entry.GetState()), formatUint(entry.GetRevision()), intent.GetOperator(),
 			entry.GetConfirmedBy(), strconv.Itoa(len(entry.GetPlan().GetChanges())), firstLine(intent.GetComment()))
 	}
-	t.end()
+	t.flush()
 }
 
 func firstLine(text string) string {
@@ -109,9 +109,9 @@
 	writeProgress(w, progressOf(entry, status))
 	switch entry.GetState() {
 	case controlv1.IntentState_INTENT_STATE_PLANNED:
-		fmt.Fprintf(w, "It waits for an operator: %s confirm %s %s\n", program, intent.GetId(), entry.GetPlan().GetDigest())
+		fmt.Fprintf(w, "It waits for confirmation: %s confirm %s %s\n", program, intent.GetId(), entry.GetPlan().GetDigest())
 	case controlv1.IntentState_INTENT_STATE_CONFIRMED:
-		fmt.Fprintf(w, "The slowest daemon, %s, acts on revision %d of %d\n",
+		fmt.Fprintf(w, "The slowest daemon, %s, is at revision %d of %d\n",
 			status.GetSlowestDaemon(), status.GetSlowestRevision(), status.GetRevision())
 	}
 }
@@ -130,7 +130,7 @@
 func writeRevision(w io.Writer, status *controlv1.StatusResponse) {
 	fmt.Fprintf(w, "Revision %d, term %d, leader %d\n", status.GetRevision(), status.GetTerm(), status.GetLeader())
 	if status.GetSlowestDaemon() != "" {
-		fmt.Fprintf(w, "Slowest: %s acts on revision %d\n", status.GetSlowestDaemon(), status.GetSlowestRevision())
+		fmt.Fprintf(w, "Slowest daemon: %s, at revision %d\n", status.GetSlowestDaemon(), status.GetSlowestRevision())
 	}
 }
 
@@ -139,16 +139,16 @@
 	fmt.Fprintln(w)
 	t := newTable(w, "REPLICA", "ADDRESS", "VOTES", "APPLIED")
 	for _, replica := range status.GetReplicas() {
-		t.row(number(replica.GetId()), replica.GetAddr(), strconv.FormatBool(replica.GetVoter()), number(replica.GetApplied()))
+		t.row(formatUint(replica.GetId()), replica.GetAddr(), strconv.FormatBool(replica.GetVoter()), formatUint(replica.GetApplied()))
 	}
-	t.end()
+	t.flush()
 	fmt.Fprintln(w)
 	t = newTable(w, "DAEMON", "ROLE", "ZONE", "REVISION", "HEARD")
 	for _, daemon := range status.GetDaemons() {
 		heard := time.Duration(daemon.GetHeardMs()) * time.Millisecond
-		t.row(daemon.GetName(), daemon.GetRole(), daemon.GetZone(), number(daemon.GetRevision()), heard.String()+" ago")
+		t.row(daemon.GetName(), daemon.GetRole(), daemon.GetZone(), formatUint(daemon.GetRevision()), heard.String()+" ago")
 	}
-	t.end()
+	t.flush()
 	for _, progress := range status.GetIntents() {
 		fmt.Fprintln(w)
 		writeProgress(w, progress)
@@ -158,56 +158,56 @@
 func writeMembers(w io.Writer, members *controlv1.MembersResponse) {
 	t := newTable(w, "REPLICA", "ADDRESS", "VOTES")
 	for _, voter := range members.GetVoters() {
-		t.row(number(voter.GetId()), voter.GetAddr(), "true")
+		t.row(formatUint(voter.GetId()), voter.GetAddr(), "true")
 	}
 	for _, learner := range members.GetLearners() {
-		t.row(number(learner.GetId()), learner.GetAddr(), "false")
+		t.row(formatUint(learner.GetId()), learner.GetAddr(), "false")
 	}
-	t.end()
+	t.flush()
 }
 
 func writeConfiguration(w io.Writer, c *fleetv1.Configuration) {
 	fmt.Fprintf(w, "Revision %d\n\n", c.GetRevision())
 	writeSite(w, c.GetSite())
 	t := newTable(w, "WORKSPACE", "IMPORTANCE", "GUARANTEED", "CONCURRENT", "MODELS", "REVISION")
-	for _, each := range c.GetWorkspaces() {
-		t.row(each.GetName(), strconv.Itoa(int(each.GetImportance())), fmt.Sprintf("%g%%", each.GetGuaranteedShare()*100),
-			orUnlimited(each.GetMaxConcurrent()), orAll(each.GetModels()), number(each.GetRevision()))
+	for _, workspace := range c.GetWorkspaces() {
+		t.row(workspace.GetName(), strconv.Itoa(int(workspace.GetImportance())), fmt.Sprintf("%g%%", workspace.GetGuaranteedShare()*100),
+			orUnlimited(workspace.GetMaxConcurrent()), orAll(workspace.GetModels()), formatUint(workspace.GetRevision()))
 	}
 	t.row()
 	t.row("MODEL", "POOL", "VERSION", "ADAPTERS", "", "REVISION")
-	for _, each := range c.GetModels() {
-		t.row(each.GetName(), each.GetPool(), each.GetVersion(), strings.Join(each.GetAdapters(), " "), "", number(each.GetRevision()))
+	for _, model := range c.GetModels() {
+		t.row(model.GetName(), model.GetPool(), model.GetVersion(), strings.Join(model.GetAdapters(), " "), "", formatUint(model.GetRevision()))
 	}
 	t.row()
 	t.row("SERVICE", "POOL", "PATH PREFIX", "ROUTES", "", "REVISION")
-	for _, each := range c.GetServices() {
-		t.row(each.GetName(), each.GetPool(), each.GetPathPrefix(), strconv.Itoa(len(each.GetRoutes())), "", number(each.GetRevision()))
+	for _, service := range c.GetServices() {
+		t.row(service.GetName(), service.GetPool(), service.GetPathPrefix(), strconv.Itoa(len(service.GetRoutes())), "", formatUint(service.GetRevision()))
 	}
-	t.end()
+	t.flush()
 	fmt.Fprintln(w)
 	writeEndpoints(w, c)
 }
 
 func writeEndpoints(w io.Writer, c *fleetv1.Configuration) {
 	t := newTable(w, "ENDPOINT", "POOL", "ZONE", "STATE", "LIVE", "MODEL", "VERSION", "ROLE", "AGENT", "REVISION")
-	for _, each := range c.GetEndpoints() {
-		t.row(each.GetId(), each.GetPool(), each.GetZone(), lowerName(each.GetState(), "ENDPOINT_STATE_"),
-			strconv.FormatBool(each.GetLive()), each.GetModel(), each.GetVersion(), each.GetRole(), each.GetAgent(), number(each.GetRevision()))
+	for _, endpoint := range c.GetEndpoints() {
+		t.row(endpoint.GetId(), endpoint.GetPool(), endpoint.GetZone(), enumLabel(endpoint.GetState(), "ENDPOINT_STATE_"),
+			strconv.FormatBool(endpoint.GetLive()), endpoint.GetModel(), endpoint.GetVersion(), endpoint.GetRole(), endpoint.GetAgent(), formatUint(endpoint.GetRevision()))
 	}
 	t.row()
 	t.row("GROUP", "EVENNESS", "MOVES", "STORE SHARE", "", "", "", "", "", "REVISION")
-	for _, each := range c.GetPolicies() {
-		t.row(each.GetGroup(), fmt.Sprint(each.GetEvenness()), strconv.Itoa(int(each.GetMaxMoves())), fmt.Sprint(each.GetStoreShare()),
-			"", "", "", "", "", number(each.GetRevision()))
+	for _, policy := range c.GetPolicies() {
+		t.row(policy.GetGroup(), fmt.Sprint(policy.GetEvenness()), strconv.Itoa(int(policy.GetMaxMoves())), fmt.Sprint(policy.GetStoreShare()),
+			"", "", "", "", "", formatUint(policy.GetRevision()))
 	}
 	t.row()
 	t.row("GROUP", "EPOCH", "MAP", "FROM STEP", "", "", "", "", "", "REVISION")
-	for _, each := range c.GetMaps() {
-		t.row(each.GetGroup(), number(each.GetEpoch()), lowerName(each.GetState(), "MAP_STATE_"), number(each.GetActivateStep()),
-			"", "", "", "", "", number(each.GetRevision()))
+	for _, expertMap := range c.GetMaps() {
+		t.row(expertMap.GetGroup(), formatUint(expertMap.GetEpoch()), enumLabel(expertMap.GetState(), "MAP_STATE_"), formatUint(expertMap.GetActivateStep()),
+			"", "", "", "", "", formatUint(expertMap.GetRevision()))
 	}
-	t.end()
+	t.flush()
 }
 
 func orUnlimited(value int32) string {
--- a/operator/plan_test.go
+++ b/operator/table_test.go
@@ -9,9 +9,9 @@
 	controlv1 "github.com/lilackeel/lilackeel/api/control/v1"
 )
 
-// An operator who asks for a plan again after losing the answer to the
-// confirmation must not be told that nothing has happened.
-func TestPlanOfAcceptedIntentSaysSo(t *testing.T) {
+// TestWritePlanOfAcceptedIntent: an operator who requests a plan again after the
+// response to the confirmation was lost must not be told that nothing has happened.
+func TestWritePlanOfAcceptedIntent(t *testing.T) {
 	is := is.New(t)
 	var fresh, accepted strings.Builder
 	writePlan(&fresh, &controlv1.Plan{IntentId: "one"}, 0)
