--- a/agent/ranks/machine.go
+++ b/agent/ranks/machine.go
@@ -76,7 +76,7 @@
 func (m *machine) observe(granted uint64) {
 	m.granted = max(m.granted, granted)
 	if m.granted > 0 {
-		m.rank.Observe(m.granted)
+		m.rank.ObserveStep(m.granted)
 	}
 }
 
--- a/agent/ranks/ranks_test.go
+++ b/agent/ranks/ranks_test.go
@@ -59,7 +59,7 @@
 func newHost(t *testing.T) (*host, *Ranks) {
 	first := group.RoundRobin(group.Shape{Layers: 1, Experts: 4, Ranks: 2, Slots: 3})
 	h := &host{
-		record: &fleetv1.MapRecord{Group: testGroup, Epoch: 1, State: fleetv1.MapState_MAP_STATE_COMMITTED, Map: mapwire.Stored{Map: first}.Encode()},
+		record: &fleetv1.MapRecord{Group: testGroup, Epoch: 1, State: fleetv1.MapState_MAP_STATE_COMMITTED, Map: mapwire.StoredMap{Map: first}.Encode()},
 		fence:  2, orders: make(chan engineapi.Order, 9), done: make(chan error),
 	}
 	r := New(Config{
@@ -76,7 +76,7 @@
 	defer h.mu.Unlock()
 	next := group.RoundRobin(group.Shape{Layers: 1, Experts: 4, Ranks: 2, Slots: 2})
 	h.record = &fleetv1.MapRecord{
-		Group: testGroup, Epoch: 2, State: fleetv1.MapState_MAP_STATE_PREPARING, Map: mapwire.Stored{Map: next}.Encode(),
+		Group: testGroup, Epoch: 2, State: fleetv1.MapState_MAP_STATE_PREPARING, Map: mapwire.StoredMap{Map: next}.Encode(),
 		BaseEpoch: 1, BaseMap: h.record.GetMap(),
 	}
 	record, _ := mapwire.RecordOf(h.record, h.fence)
@@ -175,10 +175,10 @@
 			r := New(Config{Members: []Member{{Group: testGroup}}, Ahead: ahead, Logger: slog.New(slog.DiscardHandler)})
 			m := r.machines[rankName{testGroup, 0}]
 			m.begin("a")
-			stored := mapwire.Stored{Map: group.RoundRobin(group.Shape{Layers: 1, Experts: 4, Ranks: 1, Slots: 4})}
+			stored := mapwire.StoredMap{Map: group.RoundRobin(group.Shape{Layers: 1, Experts: 4, Ranks: 1, Slots: 4})}
 			record := mapswitch.Record{Revision: 1, Epoch: 1, Digest: stored.Map.Digest()}
 			read := m.rank.Tick(time.Second)
-			m.step(time.Second, mapswitch.Answer(read[0], record, true))
+			m.step(time.Second, mapswitch.AnswerRead(read[0], record, true))
 			m.step(time.Second, m.loaded(1, record.Digest))
 			server := httptest.NewServer(r.Handler())
 			defer server.Close()
--- a/agent/ranks/read.go
+++ b/agent/ranks/read.go
@@ -86,7 +86,7 @@
 	defer r.ranks.mu.Unlock()
 	for _, m := range batch {
 		machine := r.ranks.machines[rankName{m.Group, m.Rank}]
-		r.ranks.emit(machine.step(r.ranks.now(), mapswitch.Answer(m, record, true)))
+		r.ranks.emit(machine.step(r.ranks.now(), mapswitch.AnswerRead(m, record, true)))
 	}
 	return nil
 }
--- a/control/expertmap/balancing.go
+++ b/control/expertmap/balancing.go
@@ -79,7 +79,7 @@
 		return
 	}
 	if g.decision.Map.Digest() == current.Digest() {
-		g.balancer.Switched(g.from, *g.decision)
+		g.balancer.RecordSwitch(g.from, *g.decision)
 	}
 	g.decision = nil
 }
--- a/control/expertmap/commands.go
+++ b/control/expertmap/commands.go
@@ -37,7 +37,7 @@
 	if g.committing {
 		return true
 	}
-	epoch, first := stored.GetEpoch()+1, mapwire.Stored{Map: group.RoundRobin(shape)}.Encode()
+	epoch, first := stored.GetEpoch()+1, mapwire.StoredMap{Map: group.RoundRobin(shape)}.Encode()
 	if stored.GetState() == fleetv1.MapState_MAP_STATE_PREPARING {
 		epoch, first = stored.GetEpoch(), stored.GetMap()
 	}
@@ -107,7 +107,7 @@
 	switch entry.Kind {
 	case mapswitch.EntryBegin:
 		record := g.coordinator.Record()
-		stored := mapwire.Stored{
+		stored := mapwire.StoredMap{
 			Map:            g.proposed,
 			BaseFromStep:   record.FromStep,
 			PreviousEpoch:  record.PreviousEpoch,
--- a/control/expertmap/decisions.go
+++ b/control/expertmap/decisions.go
@@ -17,7 +17,7 @@
 			slog.Uint64("step", after.FromStep), slog.Duration("took", d.now()-g.began), slog.Any("stages", g.stages))
 		return
 	}
-	phase, ranks := g.coordinator.GaveUp()
+	phase, ranks := g.coordinator.LastAbort()
 	d.cfg.Logger.Warn("gave a map switch up", slog.String("group", g.name), slog.Uint64("epoch", before.PendingEpoch),
 		slog.String("waited_for", phase.String()), slog.Any("ranks", ranks), slog.Duration("took", d.now()-g.began), slog.Any("stages", g.stages))
 }
--- a/control/expertmap/driver.go
+++ b/control/expertmap/driver.go
@@ -250,11 +250,11 @@
 	if !pending || !known || d.cfg.BranchSize == 0 || stored.GetBaseEpoch() == 0 {
 		return nil
 	}
-	next, err := mapwire.DecodeStored(stored.GetMap())
+	next, err := mapwire.DecodeStoredMap(stored.GetMap())
 	if err != nil {
 		return nil // the ranks read the record, and say what is wrong with it
 	}
-	base, err := mapwire.DecodeStored(stored.GetBaseMap())
+	base, err := mapwire.DecodeStoredMap(stored.GetBaseMap())
 	if err != nil {
 		return nil
 	}
@@ -302,7 +302,7 @@
 	if stored.GetState() != fleetv1.MapState_MAP_STATE_COMMITTED {
 		encoded = stored.GetBaseMap()
 	}
-	latest, err := mapwire.DecodeStored(encoded)
+	latest, err := mapwire.DecodeStoredMap(encoded)
 	return latest.Map, err
 }
 
--- a/control/expertmap/driver_test.go
+++ b/control/expertmap/driver_test.go
@@ -123,7 +123,7 @@
 		case mapswitch.ToControl:
 			record, err := mapwire.RecordOf(s.state.FencedMapRecord(testGroup))
 			if err == nil {
-				s.emit(s.ranks[m.Rank].Step(s.now(), mapswitch.Answer(m, record, true)), response)
+				s.emit(s.ranks[m.Rank].Step(s.now(), mapswitch.AnswerRead(m, record, true)), response)
 			}
 		case mapswitch.ToCoordinator:
 			if response != nil {
--- a/control/expertmap/following.go
+++ b/control/expertmap/following.go
@@ -36,11 +36,11 @@
 	observed time.Duration
 	fresh    bool
 	// spell is how long demand stays.
-	spell balance.Spell
+	spell balance.DemandLifetime
 	// stalls is what switches have cost beside their copies.
-	stalls balance.Stalls
+	stalls balance.StallEstimator
 	// pace is how long the passes take, step the furthest that was counted.
-	pace balance.Pace
+	pace balance.StepTimeEstimator
 	step uint64
 }
 
@@ -60,14 +60,14 @@
 	g.follower.Observe(g.totals.tokens)
 	g.totals = newTotals(g.shape)
 	if g.follower.Jumped() {
-		g.spell.Jumped(now)
+		g.spell.RecordJump(now)
 	}
 }
 
 // Switched implements Proposer.
 func (f *Following) Switched(now time.Duration, name string, waited time.Duration) {
 	if g := f.group(name); g != nil {
-		g.stalls.Switched(now, waited)
+		g.stalls.RecordSwitch(now, waited)
 	}
 }
 
@@ -78,13 +78,13 @@
 		return group.Map{}, false
 	}
 	g.fresh = false
-	g.pace.Counted(now, g.step, g.follower.Relative(current))
-	g.follower.SetPace(g.pace.Unit(), f.pause(name))
-	g.follower.SetHold(g.spell.Left(now).Seconds())
+	g.pace.Observe(now, g.step, g.follower.RelativeStepTime(current))
+	g.follower.SetStepTime(g.pace.UnitTime(), f.pause(name))
+	g.follower.SetLifetime(g.spell.Remaining(now).Seconds())
 	// A held step harms the streams that are in time, and no others: while all are late by
 	// the map in force, nothing is lost by a switch that may be held.
-	harmed := 1 - balance.Late(g.pass(current), f.pause(name))
-	g.follower.SetStall(g.stalls.Expected(now).Seconds() * harmed)
+	harmed := 1 - balance.LateShare(g.pass(current), f.pause(name))
+	g.follower.SetStall(g.stalls.ExpectedCost(now).Seconds() * harmed)
 	decision := g.follower.Decide(current)
 	if !decision.Switch {
 		return group.Map{}, false
@@ -105,7 +105,7 @@
 
 // pass is how long a pass takes under a map; zero if that is not known.
 func (g *followed) pass(m group.Map) time.Duration {
-	return time.Duration(g.follower.Relative(m) * float64(g.pace.Unit()))
+	return time.Duration(g.follower.RelativeStepTime(m) * float64(g.pace.UnitTime()))
 }
 
 // group returns the follower of a group, made at the first look.
--- a/control/expertmap/following_test.go
+++ b/control/expertmap/following_test.go
@@ -26,8 +26,8 @@
 func newWatched(pause time.Duration) *watched {
 	shape := group.Shape{Layers: 4, Experts: 64, Ranks: 16, Slots: 5}
 	config := balance.FollowConfig{
-		Shape: shape, Reach: balance.Reach{Spare: 2, Copies: 10}, Fixed: 2.8, CopySeconds: 0.037, CopySlow: 0.15,
-		OrderSeconds: 0.09, StallSeconds: 0.005, MoveSeconds: 0.0004, HoldSeconds: 2, Smoothing: 0.3, Jump: 0.12,
+		Shape: shape, Limits: balance.MoveLimits{PerLayer: 2, Total: 10}, FixedRatio: 2.8, CopySeconds: 0.037, CopySlowdown: 0.15,
+		CoordinationSeconds: 0.09, StallSeconds: 0.005, MoveSeconds: 0.0004, LifetimeSeconds: 2, Smoothing: 0.3, JumpThreshold: 0.12,
 	}
 	return &watched{shape: shape, following: &Following{
 		Config: func(string) (balance.FollowConfig, bool) { return config, true },
--- a/control/expertmap/settings.go
+++ b/control/expertmap/settings.go
@@ -93,7 +93,7 @@
 		StoreRate:   s.StoreBytesPerSecond,
 		LoadShare:   defaultLoaded,
 		MaxMoves:    defaultMoves,
-		MaxHold:     defaultHold,
+		MaxLifetime: defaultHold,
 	}
 	for _, each := range []struct {
 		target   *time.Duration
--- a/control/formations.go
+++ b/control/formations.go
@@ -113,10 +113,10 @@
 		copySeconds = engine.GetExpertBytes() / engine.GetLinkRate()
 	}
 	return balance.FollowConfig{
-		Shape: shape, Reach: balance.Reach{Spare: max(int(engine.GetSpare()), 1), Copies: followCopies},
-		Fixed: fixedPart(engine), CopySeconds: copySeconds, CopySlow: copySlow,
-		OrderSeconds: followOrders.Seconds(), StallSeconds: followStall.Seconds(),
-		MoveSeconds: copyPrice.Seconds() * engine.GetExpertBytes() / gigabyte, Smoothing: followSmoothing, Jump: followJump,
+		Shape: shape, Limits: balance.MoveLimits{PerLayer: max(int(engine.GetSpare()), 1), Total: followCopies},
+		FixedRatio: fixedPart(engine), CopySeconds: copySeconds, CopySlowdown: copySlow,
+		CoordinationSeconds: followOrders.Seconds(), StallSeconds: followStall.Seconds(),
+		MoveSeconds: copyPrice.Seconds() * engine.GetExpertBytes() / gigabyte, Smoothing: followSmoothing, JumpThreshold: followJump,
 	}
 }
 
--- a/group/balance/balance_test.go
+++ b/group/balance/balance_test.go
@@ -58,7 +58,7 @@
 	return Config{
 		Shape: shape, Evenness: 0.9, StepTime: 4500 * time.Microsecond, TokenTime: 2.25e-3 / float64(1024*shape.Layers),
 		Interval: 5 * time.Second, Lag: 10 * time.Second, ExpertBytes: 40 << 20, StoreRate: 1 << 30, LoadShare: 0.05,
-		Stall: 5 * time.Millisecond, CachePerMove: 2 * time.Millisecond, MaxMoves: 2 * shape.Ranks, MaxHold: 20 * time.Minute,
+		Stall: 5 * time.Millisecond, CacheTimePerMove: 2 * time.Millisecond, MaxMoves: 2 * shape.Ranks, MaxLifetime: 20 * time.Minute,
 	}
 }
 
@@ -75,7 +75,7 @@
 		b.Run(fmt.Sprintf("%dranks_%dexperts_%dlayers", shape.Ranks, shape.Experts, shape.Layers), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 1))
 			config := benchConfig(shape)
-			config.Guards.NoMargin = true // every layer counts as improvable
+			config.Ablation.NoMargin = true // every layer counts as improvable
 			balancer, err := New(config)
 			if err != nil {
 				b.Fatal(err)
--- a/group/balance/balancer.go
+++ b/group/balance/balancer.go
@@ -36,17 +36,17 @@
 	Stall time.Duration
 	// CachePerMove is the time it takes to compute again the cached prefixes
 	// that the buffer of one loaded expert displaces.
-	CachePerMove time.Duration
+	CacheTimePerMove time.Duration
 	// MaxMoves bounds the moves of one switch.
 	MaxMoves int
 	// MaxHold bounds the time that a saving is believed to last.
-	MaxHold time.Duration
+	MaxLifetime time.Duration
 	// Guards says which safeguards to leave out, for comparison only.
-	Guards Guards
+	Ablation Ablation
 }
 
 // Guards are the safeguards that a comparison can leave out.
-type Guards struct {
+type Ablation struct {
 	// NoMargin switches without regard to the forecast's error.
 	NoMargin bool
 	// NoBackoff does not learn from switches that did not pay.
@@ -63,7 +63,7 @@
 	if c.Evenness < 0 || c.Evenness > 1 {
 		return fault.Newf(fault.Invalid, "give a weight from 0 to 1", "evenness %v", c.Evenness)
 	}
-	if c.StepTime <= 0 || c.TokenTime <= 0 || c.Interval <= 0 || c.StoreRate <= 0 || c.MaxMoves <= 0 || c.MaxHold <= 0 {
+	if c.StepTime <= 0 || c.TokenTime <= 0 || c.Interval <= 0 || c.StoreRate <= 0 || c.MaxMoves <= 0 || c.MaxLifetime <= 0 {
 		return fault.New(fault.Invalid, "a time, rate or limit of the balancer is not positive", "set them all")
 	}
 	return nil
@@ -81,7 +81,7 @@
 	// it that the forecast's error alone could account for.
 	Saving, Margin float64
 	// Hold is the time in seconds that the saving is expected to last.
-	Hold float64
+	Lifetime float64
 	// Gain and Cost are the weighted totals compared, in seconds.
 	Gain, Cost float64
 }
@@ -108,7 +108,7 @@
 		b.cost[rank] = 1
 	}
 	for range config.Shape.Layers {
-		b.forecasts = append(b.forecasts, NewForecaster(config.Shape.Experts, config.Guards.LastValue))
+		b.forecasts = append(b.forecasts, NewForecaster(config.Shape.Experts, config.Ablation.LastValue))
 	}
 	return b, nil
 }
@@ -129,7 +129,7 @@
 
 // Switched notifies the balancer that the group has switched to the map of an
 // earlier decision.
-func (b *Balancer) Switched(from group.Map, d Decision) {
+func (b *Balancer) RecordSwitch(from group.Map, d Decision) {
 	b.watch.start(b.config, from, d, b.load, b.cost)
 }
 
@@ -138,7 +138,7 @@
 func (b *Balancer) Decide(current group.Map) Decision {
 	d := Decision{Map: current}
 	b.refreshForecast(current)
-	if !b.forecasts[0].Ready() || b.watch.waiting(b.config.Guards.NoBackoff) {
+	if !b.forecasts[0].Ready() || b.watch.waiting(b.config.Ablation.NoBackoff) {
 		return d
 	}
 	d.Map = current.Clone()
@@ -149,8 +149,8 @@
 	if d.Moves == 0 {
 		return d
 	}
-	d.Hold = b.hold(d.Saving, drift)
-	d.Gain = b.config.Evenness * (d.Saving - d.Margin) * d.Hold / b.config.StepTime.Seconds()
+	d.Lifetime = b.hold(d.Saving, drift)
+	d.Gain = b.config.Evenness * (d.Saving - d.Margin) * d.Lifetime / b.config.StepTime.Seconds()
 	d.Cost = (1 - b.config.Evenness) * b.switchCost(d.Moves)
 	d.Switch = d.Gain > d.Cost
 	return d
@@ -233,11 +233,11 @@
 // the largest of n errors is about sqrt(2 ln n) standard errors, and there is one
 // for every rank, layer and look during the longest hold.
 func (b *Balancer) margin(f *Forecaster, errors float64) float64 {
-	if b.config.Guards.NoMargin {
+	if b.config.Ablation.NoMargin {
 		return 0
 	}
 	ahead := float64(b.config.Lag) / float64(b.config.Interval)
-	looks := float64(b.config.MaxHold) / float64(b.config.Interval)
+	looks := float64(b.config.MaxLifetime) / float64(b.config.Interval)
 	chances := looks * float64(b.config.Shape.Ranks*b.config.Shape.Layers)
 	return math.Sqrt(errors*f.Variance(ahead)) * math.Sqrt(2*math.Log(chances))
 }
@@ -245,7 +245,7 @@
 // hold is the time after which drift alone has moved the ranks by as much as the
 // saving.
 func (b *Balancer) hold(saving, driftVariance float64) float64 {
-	longest := b.config.MaxHold.Seconds()
+	longest := b.config.MaxLifetime.Seconds()
 	if driftVariance == 0 {
 		return longest
 	}
@@ -260,13 +260,13 @@
 // moveCost is the time in seconds that loading one expert takes from the group.
 func (b *Balancer) moveCost() float64 {
 	loading := float64(b.config.ExpertBytes) / b.config.StoreRate
-	return loading*b.config.LoadShare + b.config.CachePerMove.Seconds()
+	return loading*b.config.LoadShare + b.config.CacheTimePerMove.Seconds()
 }
 
 // price is the load that a move must take off the busiest rank to be worth it
 // over the longest hold.
 func (b *Balancer) price() float64 {
-	steps := b.config.MaxHold.Seconds() / b.config.StepTime.Seconds()
+	steps := b.config.MaxLifetime.Seconds() / b.config.StepTime.Seconds()
 	worth := b.config.Evenness * b.config.TokenTime * steps
 	if worth == 0 {
 		return math.Inf(1)
--- a/group/balance/follow.go
+++ b/group/balance/follow.go
@@ -14,27 +14,27 @@
 	// Shape is the group's shape.
 	Shape group.Shape
 	// Reach bounds what one switch may bring to a rank.
-	Reach Reach
+	Limits MoveLimits
 	// Fixed is the part of a step, relative to the mean time that a rank spends on
 	// experts, that no map changes.
-	Fixed float64
+	FixedRatio float64
 	// CopySeconds is the time to copy one expert to a rank, CopySlow the part by
 	// which steps take longer meanwhile.
-	CopySeconds, CopySlow float64
+	CopySeconds, CopySlowdown float64
 	// OrderSeconds is the part of a switch's time in which nothing is copied: the
 	// orders, the promises of all ranks and the decision.
-	OrderSeconds float64
+	CoordinationSeconds float64
 	// StallSeconds is what a switch costs besides, and MoveSeconds what the
 	// deployment pays for each expert copied, in seconds of steps.
 	StallSeconds, MoveSeconds float64
 	// HoldSeconds is how long a new map is expected to be of use.
-	HoldSeconds float64
+	LifetimeSeconds float64
 	// Smoothing is the weight of the newest observation while demand stays, above
 	// 0 and at most 1.
 	Smoothing float64
 	// Jump is the distance between two distributions, 0 to 1, from which on one is
 	// another demand and not the noise of the same.
-	Jump float64
+	JumpThreshold float64
 }
 
 // Follower decides when to switch the map of a group whose demand jumps. It is
@@ -99,16 +99,16 @@
 // SetPace sets the time of a step for each unit of its relative time, as Pace learns it,
 // and the longest pause between two steps that callers were promised, zero for none. Until
 // the former is known every shorter step is worth what it saves.
-func (f *Follower) SetPace(unit, pause time.Duration) { f.unit, f.pause = unit, pause }
+func (f *Follower) SetStepTime(unit, pause time.Duration) { f.unit, f.pause = unit, pause }
 
 // Relative is the time of a step under a map, relative to the mean time that a rank spends
 // on experts.
-func (f *Follower) Relative(m group.Map) float64 { return f.config.Fixed + f.Skew(m) }
+func (f *Follower) RelativeStepTime(m group.Map) float64 { return f.config.FixedRatio + f.Skew(m) }
 
 func (f *Follower) stallSeconds() float64 { return f.config.StallSeconds + f.stall }
 
 // SetHold sets for how long demand is expected to stay as it is, in seconds.
-func (f *Follower) SetHold(seconds float64) { f.config.HoldSeconds = seconds }
+func (f *Follower) SetLifetime(seconds float64) { f.config.LifetimeSeconds = seconds }
 
 // observe takes in an observation, and reports whether it shows another demand.
 func (d *demand) observe(load []float64, config *FollowConfig) (jumped bool) {
@@ -118,7 +118,7 @@
 		return false
 	case d.estimate == nil:
 		d.estimate, d.fresh = share, true
-	case distance(share, d.estimate) < config.Jump:
+	case distance(share, d.estimate) < config.JumpThreshold:
 		weight := config.Smoothing
 		if d.fresh {
 			weight = 1
@@ -198,9 +198,9 @@
 	if mean <= 0 || f.settled(current, before/mean) {
 		return Decision{}
 	}
-	p := newPlan(shape, current, f.load, f.cost, f.config.Reach)
-	options := make([]option, 0, f.config.Reach.Copies)
-	for copies := 1; copies <= f.config.Reach.Copies && worthMore(options); copies++ {
+	p := newPlan(shape, current, f.load, f.cost, f.config.Limits)
+	options := make([]option, 0, f.config.Limits.Total)
+	for copies := 1; copies <= f.config.Limits.Total && worthMore(options); copies++ {
 		p.extend(copies)
 		options = append(options, f.weigh(current, p.current.Clone(), before, mean))
 	}
@@ -212,7 +212,7 @@
 		}
 	}
 	if !best.Switch {
-		f.declined = declined{digest: current.Digest(), skew: before / mean, hold: f.config.HoldSeconds, stall: f.stall, unit: f.unit}
+		f.declined = declined{digest: current.Digest(), skew: before / mean, hold: f.config.LifetimeSeconds, stall: f.stall, unit: f.unit}
 	}
 	return best
 }
@@ -257,7 +257,7 @@
 	if f.stall < d.stall*(1-noticeable) || f.unit > time.Duration(float64(d.unit)*slower) {
 		return false
 	}
-	return d.digest == current.Digest() && skew <= d.skew*(1+noticeable) && f.config.HoldSeconds <= d.hold*2
+	return d.digest == current.Digest() && skew <= d.skew*(1+noticeable) && f.config.LifetimeSeconds <= d.hold*2
 }
 
 // Skew returns the load of the busiest ranks over the mean, under a map.
--- a/group/balance/follow_test.go
+++ b/group/balance/follow_test.go
@@ -12,8 +12,8 @@
 
 func followConfig() FollowConfig {
 	return FollowConfig{
-		Shape: followShape, Reach: Reach{Spare: 2, Copies: 3}, Fixed: 0.6, CopySeconds: 0.11, CopySlow: 0.15,
-		StallSeconds: 0.03, HoldSeconds: 2, Smoothing: 0.3, Jump: 0.12,
+		Shape: followShape, Limits: MoveLimits{PerLayer: 2, Total: 3}, FixedRatio: 0.6, CopySeconds: 0.11, CopySlowdown: 0.15,
+		StallSeconds: 0.03, LifetimeSeconds: 2, Smoothing: 0.3, JumpThreshold: 0.12,
 	}
 }
 
@@ -88,7 +88,7 @@
 func TestFewCopiesComeFirst(t *testing.T) {
 	is := is.New(t)
 	config := followConfig()
-	config.OrderSeconds = 0.09
+	config.CoordinationSeconds = 0.09
 	rng := rand.New(rand.NewPCG(7, 8))
 	most := func(f *Follower, current group.Map) int {
 		return slices.Max(group.Moves(current, f.Decide(current).Map))
--- a/group/balance/pace.go
+++ b/group/balance/pace.go
@@ -10,7 +10,7 @@
 // switch of maps costs copies and holds a step. On a calm day of two groups of 32 ranks
 // two thirds of the switches were for a skew below 1.25, and no caller was late for it
 // either way.
-type Pace struct {
+type StepTimeEstimator struct {
 	// began and from are when the present window began, and at which step.
 	began time.Duration
 	from  uint64
@@ -31,7 +31,7 @@
 
 // Counted takes in the step at which a group was seen, and the relative time of its steps
 // under the present map and demand: Follower.Relative.
-func (p *Pace) Counted(now time.Duration, step uint64, relative float64) {
+func (p *StepTimeEstimator) Observe(now time.Duration, step uint64, relative float64) {
 	if p.looks == 0 || step < p.from || now-p.began > paceGap {
 		p.restart(now, step)
 	}
@@ -46,12 +46,12 @@
 	p.relative, p.looks = relative, 1
 }
 
-func (p *Pace) restart(now time.Duration, step uint64) {
+func (p *StepTimeEstimator) restart(now time.Duration, step uint64) {
 	p.began, p.from, p.relative, p.looks = now, step, 0, 0
 }
 
 // Unit is the time of a step for each unit of its relative time; zero if not known.
-func (p *Pace) Unit() time.Duration { return p.unit }
+func (p *StepTimeEstimator) UnitTime() time.Duration { return p.unit }
 
 const (
 	// comfort is the part of a promised pause up to which the mean pass is within it: single
@@ -76,7 +76,7 @@
 // Late is the part of the streams that passes make late which take so long in the mean: none
 // within comfort, and all where the mean is as long as the promised pause. It is zero where
 // either is not known.
-func Late(pass, pause time.Duration) float64 {
+func LateShare(pass, pause time.Duration) float64 {
 	if pause <= 0 {
 		return 0
 	}
--- a/group/balance/pace_test.go
+++ b/group/balance/pace_test.go
@@ -14,15 +14,15 @@
 // then a jump that makes them longer without more load.
 func TestThePaceIsLearnt(t *testing.T) {
 	is := is.New(t)
-	var p Pace
-	is.Equal(p.Unit(), time.Duration(0)) // nothing is known
+	var p StepTimeEstimator
+	is.Equal(p.UnitTime(), time.Duration(0)) // nothing is known
 	passes := 0.0
 	look := func(now time.Duration, relative float64) {
-		p.Counted(now, uint64(passes), relative)
+		p.Observe(now, uint64(passes), relative)
 		passes += 150 / (65 * relative / 3.9)
 	}
 	const unit = 65 * time.Millisecond * 10 / 39
-	near := func() bool { return p.Unit() > unit*85/100 && p.Unit() < unit*115/100 }
+	near := func() bool { return p.UnitTime() > unit*85/100 && p.UnitTime() < unit*115/100 }
 	now := time.Duration(0)
 	for ; now < 3*time.Second; now += 150 * time.Millisecond {
 		look(now, 3.9)
@@ -36,14 +36,14 @@
 
 func TestAGroupThatStandsStillSaysNothingOfItsPace(t *testing.T) {
 	is := is.New(t)
-	var p Pace
+	var p StepTimeEstimator
 	for now := time.Duration(0); now < 3*time.Second; now += 150 * time.Millisecond {
-		p.Counted(now, 7, 3.9)
+		p.Observe(now, 7, 3.9)
 	}
-	is.Equal(p.Unit(), time.Duration(0))
-	p.Counted(4*time.Second, 3, 3.9) // formed anew: steps begin again
-	p.Counted(4600*time.Millisecond, 13, 3.9)
-	is.True(p.Unit() > 0)
+	is.Equal(p.UnitTime(), time.Duration(0))
+	p.Observe(4*time.Second, 3, 3.9) // formed anew: steps begin again
+	p.Observe(4600*time.Millisecond, 13, 3.9)
+	is.True(p.UnitTime() > 0)
 }
 
 // TestAShorterPassIsWorthWhatCallersGetOfIt compares the same demand in a calm group and in
@@ -54,12 +54,12 @@
 	switches := func(pass time.Duration) (count int) {
 		rng := rand.New(rand.NewPCG(11, 12))
 		config := followConfig()
-		config.OrderSeconds = 0.09
+		config.CoordinationSeconds = 0.09
 		f, current := NewFollower(config), group.RoundRobin(followShape)
 		for range 10 {
 			load := zipfLoad(followShape, rng)
 			for range 20 {
-				f.SetPace(time.Duration(float64(pass)/(config.Fixed+1)), pause)
+				f.SetStepTime(time.Duration(float64(pass)/(config.FixedRatio+1)), pause)
 				if follow(f, &current, noisy(load, rng)) {
 					count++
 				}
@@ -77,9 +77,9 @@
 func TestStreamsAreLateByWhatPassesTake(t *testing.T) {
 	is := is.New(t)
 	const pause = 120 * time.Millisecond
-	is.Equal(Late(60*time.Millisecond, pause), 0.0)
-	is.Equal(Late(pause, pause), 1.0)
-	is.Equal(Late(3*pause, pause), 1.0)
-	is.True(Late(96*time.Millisecond, pause) > 0.4 && Late(96*time.Millisecond, pause) < 0.6)
-	is.Equal(Late(time.Second, 0), 0.0)
+	is.Equal(LateShare(60*time.Millisecond, pause), 0.0)
+	is.Equal(LateShare(pause, pause), 1.0)
+	is.Equal(LateShare(3*pause, pause), 1.0)
+	is.True(LateShare(96*time.Millisecond, pause) > 0.4 && LateShare(96*time.Millisecond, pause) < 0.6)
+	is.Equal(LateShare(time.Second, 0), 0.0)
 }
--- a/group/balance/plan_test.go
+++ b/group/balance/plan_test.go
@@ -33,7 +33,7 @@
 			}
 		}
 		cost := ones(test.shape.Ranks)
-		p := newPlan(test.shape, group.RoundRobin(test.shape), load, cost, Reach{Spare: 4})
+		p := newPlan(test.shape, group.RoundRobin(test.shape), load, cost, MoveLimits{PerLayer: 4})
 		last := math.Inf(1)
 		for copies := 1; copies <= test.copies; copies++ {
 			p.extend(copies)
--- a/group/balance/spell.go
+++ b/group/balance/spell.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Spell learns how long demand stays as it is. It is not safe for concurrent use.
-type Spell struct {
+type DemandLifetime struct {
 	// since is when the present demand was first seen, mean the mean time between two
 	// jumps, zero if fewer than two have been seen.
 	since time.Duration
@@ -23,7 +23,7 @@
 )
 
 // Jumped notes that demand has changed.
-func (s *Spell) Jumped(now time.Duration) {
+func (s *DemandLifetime) RecordJump(now time.Duration) {
 	if s.begun {
 		took := now - s.since
 		if s.mean == 0 {
@@ -39,7 +39,7 @@
 // twice the mean time the jumps may have ended, and it is expected to last half as long
 // again. Without two jumps to go by it is firstSpell however long it has lasted: to count
 // on more made switches of a hundredth of the skew look worth their copies.
-func (s *Spell) Left(now time.Duration) time.Duration {
+func (s *DemandLifetime) Remaining(now time.Duration) time.Duration {
 	if s.mean == 0 {
 		return firstSpell
 	}
--- a/group/balance/stalls.go
+++ b/group/balance/stalls.go
@@ -12,7 +12,7 @@
 // stream under way late: as if the group had not worked for as long as a stream takes.
 // Where packets are lost or orders go unanswered that happens in most switches, and none
 // of them is worth it; in calm times in none.
-type Stalls struct {
+type StallEstimator struct {
 	mean time.Duration
 	at   time.Duration
 }
@@ -30,16 +30,16 @@
 )
 
 // Switched takes in how long a group may have waited at the step of a switch.
-func (s *Stalls) Switched(now, waited time.Duration) {
+func (s *StallEstimator) RecordSwitch(now, waited time.Duration) {
 	cost := waited
 	if waited > borne {
 		cost = streamTime
 	}
-	mean := s.Expected(now)
+	mean := s.ExpectedCost(now)
 	s.mean, s.at = mean+time.Duration(stallWeight*float64(cost-mean)), now
 }
 
 // Expected is what the next switch is expected to cost.
-func (s *Stalls) Expected(now time.Duration) time.Duration {
+func (s *StallEstimator) ExpectedCost(now time.Duration) time.Duration {
 	return time.Duration(float64(s.mean) * math.Exp(-float64(now-s.at)/float64(stallMemory)))
 }
--- a/group/balance/stalls_test.go
+++ b/group/balance/stalls_test.go
@@ -17,18 +17,18 @@
 	count := func(waited time.Duration) int {
 		rng := rand.New(rand.NewPCG(5, 6))
 		f, current := NewFollower(followConfig()), group.RoundRobin(followShape)
-		var stalls Stalls
+		var stalls StallEstimator
 		switches := 0
 		for i := range 200 {
 			if i%20 == 0 {
 				f.load = zipfLoad(followShape, rng)
 			}
 			now := time.Duration(i) * 150 * time.Millisecond
-			f.SetStall(stalls.Expected(now).Seconds())
+			f.SetStall(stalls.ExpectedCost(now).Seconds())
 			if d := f.Decide(current); d.Switch {
 				current = d.Map
 				switches++
-				stalls.Switched(now, waited)
+				stalls.RecordSwitch(now, waited)
 			}
 		}
 		return switches
@@ -37,7 +37,7 @@
 	is.True(calm >= 20)
 	is.True(lossy >= 3)      // it is tried again now and then
 	is.True(lossy*2 <= calm) // and otherwise left out
-	var s Stalls
-	s.Switched(0, 10*time.Millisecond)
-	is.True(s.Expected(0) < borne) // a short wait costs no more than itself
+	var s StallEstimator
+	s.RecordSwitch(0, 10*time.Millisecond)
+	is.True(s.ExpectedCost(0) < borne) // a short wait costs no more than itself
 }
--- a/group/balance/weigh.go
+++ b/group/balance/weigh.go
@@ -25,13 +25,13 @@
 		moves += count
 		most = max(most, count)
 	}
-	whole := before + f.config.Fixed*mean
+	whole := before + f.config.FixedRatio*mean
 	o := option{copying: float64(most) * f.config.CopySeconds}
-	o.seconds = o.copying + f.config.OrderSeconds
-	o.Decision = Decision{Map: next, Moves: moves, Saving: (before - after) / whole, Hold: f.config.HoldSeconds}
-	o.worth = f.worth(whole/mean, (after+f.config.Fixed*mean)/mean)
+	o.seconds = o.copying + f.config.CoordinationSeconds
+	o.Decision = Decision{Map: next, Moves: moves, Saving: (before - after) / whole, Lifetime: f.config.LifetimeSeconds}
+	o.worth = f.worth(whole/mean, (after+f.config.FixedRatio*mean)/mean)
 	o.Gain = o.worth * f.lasting(o.seconds)
-	o.Cost = o.copying*f.config.CopySlow + f.stallSeconds() + float64(moves)*f.config.MoveSeconds
+	o.Cost = o.copying*f.config.CopySlowdown + f.stallSeconds() + float64(moves)*f.config.MoveSeconds
 	o.Switch = moves > 0 && o.Gain > o.Cost
 	return o
 }
@@ -52,7 +52,7 @@
 func (f *Follower) value(o option, further []option) float64 {
 	var follow float64
 	for _, next := range further {
-		seconds := o.seconds + next.copying - o.copying + f.config.OrderSeconds
+		seconds := o.seconds + next.copying - o.copying + f.config.CoordinationSeconds
 		gain := (next.worth-o.worth)*f.lasting(seconds) - (next.Cost - o.Cost) - f.stallSeconds()
 		follow = max(follow, gain)
 	}
@@ -63,6 +63,6 @@
 // use. Demand may change at any time, and no other switch begins before this one ends: so
 // what comes late is worth less than what is left of the time.
 func (f *Follower) lasting(after float64) float64 {
-	hold := f.config.HoldSeconds
+	hold := f.config.LifetimeSeconds
 	return hold * math.Exp(-after/hold)
 }
--- a/group/balance/within.go
+++ b/group/balance/within.go
@@ -7,12 +7,12 @@
 )
 
 // Reach bounds what one switch may bring to a rank.
-type Reach struct {
+type MoveLimits struct {
 	// Spare is the number of experts of one layer, Copies of all layers together.
-	Spare, Copies int
+	PerLayer, Total int
 	// Least is what a move must take off the sum of the busiest ranks, relative to
 	// the mean load of a rank in a layer.
-	Least float64
+	MinGain float64
 }
 
 // leastGain ends the search where gains are no more than the rounding of sums,
@@ -33,14 +33,14 @@
 }
 
 // newPlan begins with a map and no copies allowed.
-func newPlan(shape group.Shape, m group.Map, load, cost []float64, reach Reach) *plan {
+func newPlan(shape group.Shape, m group.Map, load, cost []float64, reach MoveLimits) *plan {
 	p := &plan{
 		current: m.Clone(), layers: make([]*layer, shape.Layers), copies: make([]int, shape.Ranks),
-		least: max(reach.Least, leastGain), best: make([]offer, shape.Layers),
+		least: max(reach.MinGain, leastGain), best: make([]offer, shape.Layers),
 	}
 	for n := range p.layers {
 		p.layers[n] = newLayer(shape, p.current.Layer(n), load[n*shape.Experts:(n+1)*shape.Experts], cost)
-		p.layers[n].bound(reach.Spare, p.copies)
+		p.layers[n].bound(reach.PerLayer, p.copies)
 	}
 	return p
 }
--- a/group/balance/within_test.go
+++ b/group/balance/within_test.go
@@ -35,16 +35,16 @@
 func TestASwitchStaysWithinItsReach(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
-	reach := Reach{Spare: 2, Copies: 3}
+	reach := MoveLimits{PerLayer: 2, Total: 3}
 	current := group.RoundRobin(followShape)
 	for range 30 {
 		load := zipfLoad(followShape, rng)
 		p := newPlan(followShape, current, load, ones(16), reach)
-		p.extend(reach.Copies)
+		p.extend(reach.Total)
 		next := p.current
 		is.NoErr(next.Validate(followShape))
 		for rank, copies := range group.Moves(current, next) {
-			is.True(copies <= reach.Copies) // of all layers together
+			is.True(copies <= reach.Total) // of all layers together
 			for layer := range followShape.Layers {
 				fresh := 0
 				for _, expert := range next.Rank(layer, rank) {
@@ -52,7 +52,7 @@
 						fresh++
 					}
 				}
-				is.True(fresh <= reach.Spare)
+				is.True(fresh <= reach.PerLayer)
 			}
 		}
 		before, mean := StepLoad(followShape, current, load, ones(16))
--- a/group/mapswitch/coordinator.go
+++ b/group/mapswitch/coordinator.go
@@ -117,7 +117,7 @@
 
 // GaveUp returns the phase in which the last switch was given up, PhaseIdle if none
 // was, and the ranks whose answers were missing then.
-func (c *Coordinator) GaveUp() (Phase, []int) { return c.gaveUp, c.missing }
+func (c *Coordinator) LastAbort() (Phase, []int) { return c.gaveUp, c.missing }
 
 // TakeOverrun returns, once for each switch with a learned lead, how long the group may
 // have waited at its step.
@@ -322,7 +322,7 @@
 	if m.Reason != ReasonPassed || c.phase != PhasePromising || m.Step < c.step {
 		return nil
 	}
-	if c.raises >= c.options.MaxRaises {
+	if c.raises >= c.options.MaxStepRaises {
 		return c.decide(now, EntryAbort, 0)
 	}
 	c.raises++
--- a/group/mapswitch/explore_test.go
+++ b/group/mapswitch/explore_test.go
@@ -51,7 +51,7 @@
 
 func explore(t *testing.T, b bounds) *explorer {
 	x := &explorer{bounds: b, t: t, seed: maphash.MakeSeed(), seen: map[uint64]struct{}{}, numbers: map[Message]int{}, logged: map[Entry]int{}}
-	x.options = Options{LeadSteps: 1, MaxRaises: b.raises}
+	x.options = Options{LeadSteps: 1, MaxStepRaises: b.raises}
 	root := &node{world: newWorld(b.ranks)}
 	stack := []*node{x.settle(root)}
 	for len(stack) > 0 {
@@ -99,7 +99,7 @@
 			continue
 		}
 		if m.Kind == KindRead && !m.Quorum {
-			n.deliver(0, Answer(m, n.record, true)) // as good as a Decided
+			n.deliver(0, AnswerRead(m, n.record, true)) // as good as a Decided
 			continue
 		}
 		number, ok := x.numbers[m]
--- a/group/mapswitch/gaveup_test.go
+++ b/group/mapswitch/gaveup_test.go
@@ -51,7 +51,7 @@
 			}
 			effects = c.Tick(now)
 		}
-		phase, ranks := c.GaveUp()
+		phase, ranks := c.LastAbort()
 		is.Equal(record.PendingEpoch, uint64(0)) // it was decided
 		is.Equal(record.Epoch, uint64(1))        // and given up
 		is.Equal(phase, test.phase)
--- a/group/mapswitch/held_test.go
+++ b/group/mapswitch/held_test.go
@@ -42,7 +42,7 @@
 	is.Equal(c.Phase(), PhasePromising)
 	c.Tick(held + holdSlack)
 	is.Equal(c.Phase(), PhaseDeciding)
-	phase, ranks := c.GaveUp()
+	phase, ranks := c.LastAbort()
 	is.Equal(phase, PhasePromising)
 	is.Equal(ranks, []int{2})
 }
--- a/group/mapswitch/message.go
+++ b/group/mapswitch/message.go
@@ -113,7 +113,7 @@
 // Answer returns the reply of a control replica to a KindRead, given the record
 // the replica has applied. linearizable must be true only if the record was
 // read through a quorum after the message had arrived.
-func Answer(m Message, record Record, linearizable bool) Message {
+func AnswerRead(m Message, record Record, linearizable bool) Message {
 	return Message{
 		Kind:        KindRecord,
 		Group:       m.Group,
--- a/group/mapswitch/options.go
+++ b/group/mapswitch/options.go
@@ -17,7 +17,7 @@
 	// ResendInterval is the time after which unanswered messages are repeated.
 	ResendInterval time.Duration
 	// MaxRaises is how often a higher step is chosen when a rank had passed it.
-	MaxRaises int
+	MaxStepRaises int
 	// LeadSteps, if not zero, takes the place of the computed Lead.
 	LeadSteps uint64
 	// MaxLead, if not zero, makes the lead one that is learned from how long it takes
@@ -34,7 +34,7 @@
 	DefaultDecisionTime   = 40 * time.Millisecond
 	DefaultPrepareTimeout = 2 * time.Minute
 	DefaultResendInterval = 20 * time.Millisecond
-	DefaultMaxRaises      = 3
+	DefaultMaxStepRaises  = 3
 )
 
 func (o Options) withDefaults() Options {
@@ -43,8 +43,8 @@
 	setDuration(&o.DecisionTime, DefaultDecisionTime)
 	setDuration(&o.PrepareTimeout, DefaultPrepareTimeout)
 	setDuration(&o.ResendInterval, DefaultResendInterval)
-	if o.MaxRaises == 0 {
-		o.MaxRaises = DefaultMaxRaises
+	if o.MaxStepRaises == 0 {
+		o.MaxStepRaises = DefaultMaxStepRaises
 	}
 	return o
 }
--- a/group/mapswitch/rank.go
+++ b/group/mapswitch/rank.go
@@ -57,7 +57,7 @@
 
 // Observe takes in the step that the engine is in, when the engine connects to a
 // process that does not know it.
-func (r *Rank) Observe(step uint64) {
+func (r *Rank) ObserveStep(step uint64) {
 	r.at = max(r.at, step)
 	r.positioned = true
 }
@@ -67,7 +67,7 @@
 // must ask again after a refusal. After a restart of the engine the step must
 // not be lower than the first one the group has not completed.
 func (r *Rank) MayRun(step uint64) (epoch uint64, ok bool) {
-	r.Observe(step)
+	r.ObserveStep(step)
 	r.holding = !r.allowed(step)
 	if r.holding {
 		return 0, false
--- a/group/mapswitch/world_test.go
+++ b/group/mapswitch/world_test.go
@@ -38,7 +38,7 @@
 		w.tickRank(0, i)
 	}
 	for i, m := range w.sent {
-		w.sent[i] = Answer(m, w.record, true)
+		w.sent[i] = AnswerRead(m, w.record, true)
 		w.emit(w.ranks[m.Rank].Step(0, w.sent[i]))
 	}
 	return w
@@ -92,7 +92,7 @@
 	case ToRank:
 		w.emit(w.ranks[m.Rank].Step(ms(now), m))
 	case ToControl:
-		w.sent = append(w.sent, Answer(m, w.record, true))
+		w.sent = append(w.sent, AnswerRead(m, w.record, true))
 	case ToCoordinator:
 		for i := range w.coords {
 			w.effects(w.coords[i].Step(ms(now), m))
--- a/group/mapwire/change_test.go
+++ b/group/mapwire/change_test.go
@@ -30,7 +30,7 @@
 	next := moved(base, 576, rand.New(rand.NewPCG(1, 1)))
 	change := ChangeOf("g/1", largeShape, 1, base, 2, next)
 	is.True(len(change.GetChanges()) <= 4*576)
-	is.True(12*len(change.GetChanges()) < 2*len(Stored{Map: next}.Encode()))
+	is.True(12*len(change.GetChanges()) < 2*len(StoredMap{Map: next}.Encode()))
 	is.Equal(ShapeOf(change), largeShape)
 	told, err := Apply(change, base)
 	is.NoErr(err)
--- a/group/mapwire/mapwire_test.go
+++ b/group/mapwire/mapwire_test.go
@@ -12,14 +12,14 @@
 // Encodings are read back as they were, and damaged ones are refused.
 func FuzzDecode(f *testing.F) {
 	shape := group.Shape{Layers: 2, Experts: 4, Ranks: 4, Slots: 2}
-	whole := Stored{Map: group.RoundRobin(shape), BaseFromStep: 7}.Encode()
+	whole := StoredMap{Map: group.RoundRobin(shape), BaseFromStep: 7}.Encode()
 	f.Add(whole)
 	f.Add(whole[:len(whole)-1])
 	f.Add(encodeRecord(mapswitch.Record{Revision: 9, Digest: 1 << 60}))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		is := is.New(t)
-		if stored, err := DecodeStored(data); err == nil {
-			again, err := DecodeStored(stored.Encode())
+		if stored, err := DecodeStoredMap(data); err == nil {
+			again, err := DecodeStoredMap(stored.Encode())
 			is.NoErr(err)
 			is.Equal(again.Map.Digest(), stored.Map.Digest())
 		}
--- a/group/mapwire/stored.go
+++ b/group/mapwire/stored.go
@@ -18,7 +18,7 @@
 )
 
 // Stored is what the log keeps as the map of an epoch.
-type Stored struct {
+type StoredMap struct {
 	// Map is the map of the epoch.
 	Map group.Map
 	// BaseFromStep is the first step of the map that was in force when the epoch
@@ -27,7 +27,7 @@
 }
 
 // Encode returns the encoding for the log.
-func (s Stored) Encode() []byte {
+func (s StoredMap) Encode() []byte {
 	data := make([]byte, 0, 64+2*len(s.Map.Slots))
 	data = append(data, storedVersion)
 	for _, number := range []uint64{
@@ -43,18 +43,18 @@
 }
 
 // DecodeStored reads the encoding of Encode.
-func DecodeStored(data []byte) (Stored, error) {
+func DecodeStoredMap(data []byte) (StoredMap, error) {
 	if len(data) == 0 || data[0] != storedVersion {
-		return Stored{}, damaged("the map is not in a known encoding")
+		return StoredMap{}, damaged("the map is not in a known encoding")
 	}
 	r := reader{data: data[1:]}
-	s := Stored{BaseFromStep: r.number(), PreviousEpoch: r.number(), PreviousDigest: r.number()}
+	s := StoredMap{BaseFromStep: r.number(), PreviousEpoch: r.number(), PreviousDigest: r.number()}
 	layers, ranks, slotsPerRank, slots := r.number(), r.number(), r.number(), r.number()
 	if r.failed || layers > maxDimension || ranks > maxDimension || slotsPerRank > maxDimension || slots > maxSlots {
-		return Stored{}, damaged("the map's dimensions are out of range")
+		return StoredMap{}, damaged("the map's dimensions are out of range")
 	}
 	if slots != layers*ranks*slotsPerRank || uint64(len(r.data)) != 2*slots {
-		return Stored{}, damaged("the map is not whole")
+		return StoredMap{}, damaged("the map is not whole")
 	}
 	s.Map = group.Map{Layers: int(layers), Ranks: int(ranks), SlotsPerRank: int(slotsPerRank), Slots: make([]uint16, slots)}
 	for i := range s.Map.Slots {
@@ -106,13 +106,13 @@
 	if stored.GetEpoch() == 0 {
 		return mapswitch.Record{Token: token}, nil
 	}
-	latest, err := DecodeStored(stored.GetMap())
+	latest, err := DecodeStoredMap(stored.GetMap())
 	if err != nil {
 		return mapswitch.Record{}, err
 	}
 	var baseDigest uint64
 	if stored.GetBaseEpoch() > 0 {
-		base, err := DecodeStored(stored.GetBaseMap())
+		base, err := DecodeStoredMap(stored.GetBaseMap())
 		if err != nil {
 			return mapswitch.Record{}, err
 		}
@@ -145,6 +145,6 @@
 	} else if epoch != record.GetEpoch() {
 		return group.Map{}, false
 	}
-	stored, err := DecodeStored(encoded)
+	stored, err := DecodeStoredMap(encoded)
 	return stored.Map, err == nil && stored.Map.Digest() == digest
 }
--- a/measure/balancing/policy.go
+++ b/measure/balancing/policy.go
@@ -87,7 +87,7 @@
 	return b.decision.Map, b.decision.Switch
 }
 
-func (b *balanced) switched(from group.Map) { b.balancer.Switched(from, b.decision) }
+func (b *balanced) switched(from group.Map) { b.balancer.RecordSwitch(from, b.decision) }
 
 // planned switches at times known in advance.
 type planned struct {
--- a/measure/balancing/report.go
+++ b/measure/balancing/report.go
@@ -128,9 +128,9 @@
 func variants(shape group.Shape) []variant {
 	nawras := Config(shape, nawrasEvenness)
 	noMargin, noBackoff, lastValue := nawras, nawras, nawras
-	noMargin.Guards.NoMargin = true
-	noBackoff.Guards.NoBackoff = true
-	lastValue.Guards.LastValue = true
+	noMargin.Ablation.NoMargin = true
+	noBackoff.Ablation.NoBackoff = true
+	lastValue.Ablation.LastValue = true
 	return []variant{
 		{policyNawras, nawras},
 		{policyHaneul, Config(shape, haneulEvenness)},
--- a/measure/balancing/setup.go
+++ b/measure/balancing/setup.go
@@ -63,18 +63,18 @@
 // Config returns the balancer's settings for a shape and weight.
 func Config(shape group.Shape, evenness float64) balance.Config {
 	return balance.Config{
-		Shape:        shape,
-		Evenness:     evenness,
-		StepTime:     stepTime,
-		TokenTime:    tokenTime(shape),
-		Interval:     tick,
-		Lag:          lagTicks * tick,
-		ExpertBytes:  expertBytes,
-		StoreRate:    storeRate,
-		LoadShare:    loadShare,
-		Stall:        switchStall,
-		CachePerMove: cachePerMove,
-		MaxMoves:     2 * shape.Ranks,
-		MaxHold:      maxHold,
+		Shape:            shape,
+		Evenness:         evenness,
+		StepTime:         stepTime,
+		TokenTime:        tokenTime(shape),
+		Interval:         tick,
+		Lag:              lagTicks * tick,
+		ExpertBytes:      expertBytes,
+		StoreRate:        storeRate,
+		LoadShare:        loadShare,
+		Stall:            switchStall,
+		CacheTimePerMove: cachePerMove,
+		MaxMoves:         2 * shape.Ranks,
+		MaxLifetime:      maxHold,
 	}
 }
--- a/measure/balancing/stall.go
+++ b/measure/balancing/stall.go
@@ -193,7 +193,7 @@
 	case mapswitch.ToCoordinator:
 		b.perform(b.leader.Step(b.now, m))
 	case mapswitch.ToControl:
-		b.send([]mapswitch.Message{mapswitch.Answer(m, b.record, true)})
+		b.send([]mapswitch.Message{mapswitch.AnswerRead(m, b.record, true)})
 	case mapswitch.ToEngine:
 		m.Kind = mapswitch.KindLoaded
 		b.send(b.ranks[m.Rank].Step(b.now, m))
--- a/measure/following/run.go
+++ b/measure/following/run.go
@@ -38,8 +38,8 @@
 // of a step that no map changes.
 func site(name string, shape group.Shape, popularity, copySeconds, fixed float64, spare int, orders time.Duration) Site {
 	return Site{Name: name, Shape: shape, Popularity: popularity, Orders: orders, Config: balance.FollowConfig{
-		Shape: shape, Reach: balance.Reach{Spare: spare, Copies: 10}, Fixed: fixed, CopySeconds: copySeconds, CopySlow: 0.15,
-		OrderSeconds: orderSeconds, StallSeconds: 0.005, MoveSeconds: 0.001, HoldSeconds: 2, Smoothing: 0.3, Jump: 0.12,
+		Shape: shape, Limits: balance.MoveLimits{PerLayer: spare, Total: 10}, FixedRatio: fixed, CopySeconds: copySeconds, CopySlowdown: 0.15,
+		CoordinationSeconds: orderSeconds, StallSeconds: 0.005, MoveSeconds: 0.001, LifetimeSeconds: 2, Smoothing: 0.3, JumpThreshold: 0.12,
 	}}
 }
 
@@ -127,7 +127,7 @@
 	shape    group.Shape
 	demand   *demand
 	follower *balance.Follower
-	spell    balance.Spell
+	spell    balance.DemandLifetime
 	current  group.Map
 	next     group.Map
 	// switchEnds is when the switch under way ends; zero for none.
@@ -144,13 +144,13 @@
 	// far, pace what the leader knows of both.
 	unit   time.Duration
 	passed float64
-	pace   balance.Pace
+	pace   balance.StepTimeEstimator
 	pause  time.Duration
 }
 
 // Run plays a policy for a time.
 func Run(policy Policy, site Site, seed uint64, length time.Duration) Result {
-	shape, fixed, slow := site.Shape, site.Config.Fixed, site.Config.CopySlow
+	shape, fixed, slow := site.Shape, site.Config.FixedRatio, site.Config.CopySlowdown
 	w := &world{
 		policy: policy, shape: shape, demand: newDemand(shape, site.Popularity, rand.New(rand.NewPCG(seed, 1))), current: group.RoundRobin(shape),
 		seen: make([]float64, shape.Layers*shape.Experts), noise: rand.New(rand.NewPCG(seed, 2)), orders: site.Orders,
@@ -218,12 +218,12 @@
 		return
 	}
 	if w.follower.Jumped() {
-		w.spell.Jumped(now)
+		w.spell.RecordJump(now)
 	}
-	w.follower.SetHold(w.spell.Left(now).Seconds())
+	w.follower.SetLifetime(w.spell.Remaining(now).Seconds())
 	if w.policy.Paced {
-		w.pace.Counted(now, uint64(w.passed), w.follower.Relative(w.current))
-		w.follower.SetPace(w.pace.Unit(), w.pause)
+		w.pace.Observe(now, uint64(w.passed), w.follower.RelativeStepTime(w.current))
+		w.follower.SetStepTime(w.pace.UnitTime(), w.pause)
 	}
 	decision := w.follower.Decide(w.current)
 	if !decision.Switch {
--- a/rankhost/answers.go
+++ b/rankhost/answers.go
@@ -134,7 +134,7 @@
 			return
 		}
 		if h.holder == holder {
-			h.emit(ctx, holder.Step(h.now(), mapswitch.Answer(m, record, true)))
+			h.emit(ctx, holder.Step(h.now(), mapswitch.AnswerRead(m, record, true)))
 			h.wakeUp()
 		}
 	}()
--- a/rankhost/change_test.go
+++ b/rankhost/change_test.go
@@ -17,7 +17,7 @@
 		Revision: 4 * (epoch + 1), Token: 1, Epoch: epoch, Digest: base.Digest(), PendingEpoch: epoch + 1, PendingDigest: next.Digest(), LastEpoch: epoch + 1,
 	}
 	for _, m := range h.rank.Tick(0) {
-		h.filter(h.rank.Step(0, mapswitch.Answer(m, record, true)))
+		h.filter(h.rank.Step(0, mapswitch.AnswerRead(m, record, true)))
 	}
 	return h
 }
--- a/rankhost/holder.go
+++ b/rankhost/holder.go
@@ -65,7 +65,7 @@
 // Observe takes in the engine's status and returns the messages that follow.
 func (h *Holder) Observe(now time.Duration, s Status) []mapswitch.Message {
 	h.status = s
-	h.rank.Observe(s.Step)
+	h.rank.ObserveStep(s.Step)
 	var out []mapswitch.Message
 	record := h.rank.Record()
 	for _, epoch := range []uint64{record.PreviousEpoch, record.Epoch, record.PendingEpoch} {
--- a/rankhost/world_test.go
+++ b/rankhost/world_test.go
@@ -185,7 +185,7 @@
 		case mapswitch.ToControl:
 			holder := e.holder
 			w.deliver(e.number, func() {
-				answer := mapswitch.Answer(m, w.record, true)
+				answer := mapswitch.AnswerRead(m, w.record, true)
 				w.deliver(e.number, func() {
 					if e.holder == holder {
 						w.emit(e, holder.Step(w.now, answer))
