--- a/group/group_test.go
+++ b/group/group_test.go
@@ -19,14 +19,14 @@
 	copy(twice.Rank(1, 3), []uint16{3, 3})
 	is.True(fault.Is(twice.Validate(shape), fault.Invalid)) // a rank holds an expert twice
 
-	lost := m.Clone()
-	lost.Rank(0, 2)[0] = Empty
-	is.True(fault.Is(lost.Validate(shape), fault.Invalid)) // expert 2 has no slot
-	is.True(lost.Digest() != m.Digest())                   // another content, another digest
+	missing := m.Clone()
+	missing.Rank(0, 2)[0] = Empty
+	is.True(fault.Is(missing.Validate(shape), fault.Invalid)) // expert 2 has no slot
+	is.True(missing.Digest() != m.Digest())                   // different contents have different digests
 
 	swapped := m.Clone()
 	slots := swapped.Rank(0, 1)
 	slots[0], slots[1] = slots[1], slots[0]
-	is.Equal(Moves(m, swapped), []int{0, 0, 0, 0}) // order within a rank costs nothing
+	is.Equal(Moves(m, swapped), []int{0, 0, 0, 0}) // reordering the slots of a rank loads nothing
 	is.True(fault.Is(Shape{Layers: 1, Experts: 9, Ranks: 4, Slots: 2}.Validate(), fault.Invalid))
 }
--- a/group/map.go
+++ b/group/map.go
@@ -12,9 +12,9 @@
 // Empty marks a slot that holds no expert.
 const Empty = uint16(0xffff)
 
-// Map says which expert sits in which slot of which rank, for every layer.
+// Map assigns an expert to each slot of each rank, for every layer.
 //
-// A Map is immutable once it has been proposed: copies share Slots.
+// A Map must not be modified once it has been proposed: copies share Slots.
 type Map struct {
 	// Layers, Ranks and SlotsPerRank are the dimensions of Slots.
 	Layers, Ranks, SlotsPerRank int
@@ -32,9 +32,9 @@
 	return m
 }
 
-// RoundRobin returns the map that deals the experts out in order and fills the
-// slots left over with second replicas, in order as well. It is valid for
-// every valid shape and serves as the first map of a group.
+// RoundRobin returns the map that assigns the experts to the ranks in turn and
+// fills the remaining slots with second replicas, in turn as well. It is valid
+// for every valid shape and serves as the first map of a group.
 func RoundRobin(s Shape) Map {
 	m := NewMap(s)
 	for layer := range s.Layers {
@@ -69,8 +69,8 @@
 	return m
 }
 
-// Digest identifies the contents of the map. Ranks compare it before they use
-// a map they fetched.
+// Digest returns a hash of the contents of the map. Ranks verify it before they
+// use a map that they have fetched.
 func (m Map) Digest() uint64 {
 	buffer := make([]byte, 0, 12+2*len(m.Slots))
 	buffer = binary.LittleEndian.AppendUint32(buffer, uint32(m.Layers))
@@ -91,7 +91,7 @@
 			"map of %d×%d×%d for a group of %d×%d×%d", m.Layers, m.Ranks, m.SlotsPerRank, s.Layers, s.Ranks, s.Slots)
 	}
 	if len(m.Slots) != s.Layers*s.SlotsPerLayer() {
-		return fault.Newf(fault.Invalid, "send the whole map", "map has %d slots, want %d", len(m.Slots), s.Layers*s.SlotsPerLayer())
+		return fault.Newf(fault.Invalid, "send the complete map", "map has %d slots, want %d", len(m.Slots), s.Layers*s.SlotsPerLayer())
 	}
 	for layer := range s.Layers {
 		if err := m.validateLayer(s, layer); err != nil {
@@ -110,25 +110,25 @@
 				continue
 			}
 			if int(expert) >= s.Experts {
-				return fault.Newf(fault.Invalid, "name an expert of the layer", "layer %d rank %d holds expert %d of %d", layer, rank, expert, s.Experts)
+				return fault.Newf(fault.Invalid, "use expert indices below the number of experts", "layer %d rank %d holds expert %d of %d", layer, rank, expert, s.Experts)
 			}
 			if slices.Contains(slots[:i], expert) {
-				return fault.Newf(fault.Invalid, "put the replica on another rank", "layer %d rank %d holds expert %d twice", layer, rank, expert)
+				return fault.Newf(fault.Invalid, "place the replica on another rank", "layer %d rank %d holds expert %d twice", layer, rank, expert)
 			}
 			placed[expert] = true
 		}
 	}
 	for expert, ok := range placed {
 		if !ok {
-			return fault.Newf(fault.Invalid, "give every expert a slot", "layer %d has no slot for expert %d", layer, expert)
+			return fault.Newf(fault.Invalid, "assign every expert to a slot", "layer %d has no slot for expert %d", layer, expert)
 		}
 	}
 	return nil
 }
 
-// Moves counts the slots of each rank whose expert must be loaded to get from
-// one map to the next. An expert the rank already holds in the layer needs no
-// load, whichever slot it sits in.
+// Moves returns, for each rank, the number of slots whose expert must be loaded
+// to switch from one map to the next. An expert that the rank already holds in
+// the layer needs no load, whichever slot it is in.
 func Moves(from, to Map) []int {
 	moves := make([]int, to.Ranks)
 	for layer := range to.Layers {
--- a/group/shape.go
+++ b/group/shape.go
@@ -2,8 +2,8 @@
 
 import "github.com/lilackeel/lilackeel/fault"
 
-// Shape gives the dimensions of a group. It never changes during the life of
-// the group.
+// Shape gives the dimensions of a group. It does not change during the lifetime
+// of the group.
 type Shape struct {
 	// Layers is the number of layers that have experts.
 	Layers int
@@ -13,34 +13,34 @@
 	Ranks int
 	// Slots is the number of expert slots that each rank has in each layer.
 	Slots int
-	// Zones gives the availability zone of each rank as an index; empty when
-	// the group lies in a single zone.
+	// Zones is the index of the availability zone of each rank; empty if the
+	// whole group is in a single zone.
 	Zones []int
 }
 
-// MaxExperts is the largest number of experts a layer can have. The value
-// above it marks an empty slot.
+// MaxExperts is the largest number of experts that a layer can have. The index
+// MaxExperts itself marks an empty slot.
 const MaxExperts = int(Empty)
 
-// Validate reports the first fault of the shape, or nil.
+// Validate returns the first error found in the shape, or nil.
 func (s Shape) Validate() error {
 	if s.Layers < 1 || s.Experts < 1 || s.Ranks < 1 || s.Slots < 1 {
 		return fault.Newf(fault.Invalid, "give at least one layer, expert, rank and slot",
-			"group shape %d layers, %d experts, %d ranks, %d slots", s.Layers, s.Experts, s.Ranks, s.Slots)
+			"group shape has %d layers, %d experts, %d ranks, %d slots", s.Layers, s.Experts, s.Ranks, s.Slots)
 	}
 	if s.Experts > MaxExperts {
-		return fault.Newf(fault.Invalid, "split the layer", "%d experts exceed the limit of %d", s.Experts, MaxExperts)
+		return fault.Newf(fault.Invalid, "reduce the number of experts per layer", "%d experts per layer exceed the limit of %d", s.Experts, MaxExperts)
 	}
 	if s.Ranks*s.Slots < s.Experts {
 		return fault.Newf(fault.Invalid, "add ranks or slots", "%d slots cannot hold %d experts", s.Ranks*s.Slots, s.Experts)
 	}
 	if len(s.Zones) != 0 && len(s.Zones) != s.Ranks {
-		return fault.Newf(fault.Invalid, "name one zone for each rank", "%d zones for %d ranks", len(s.Zones), s.Ranks)
+		return fault.Newf(fault.Invalid, "give one zone for each rank", "group shape has %d zones for %d ranks", len(s.Zones), s.Ranks)
 	}
 	return nil
 }
 
-// SlotsPerLayer is the number of slots of all ranks in one layer.
+// SlotsPerLayer returns the total number of slots of all ranks in one layer.
 func (s Shape) SlotsPerLayer() int { return s.Ranks * s.Slots }
 
 // Zone returns the zone index of a rank.
