--- a/group/mapwire/mapwire_test.go
+++ b/group/mapwire/mapwire_test.go
@@ -9,12 +9,12 @@
 	"github.com/lilackeel/lilackeel/group/mapswitch"
 )
 
-// Encodings are read back as they were, and damaged ones are refused.
+// FuzzDecode checks that whatever decodes without an error survives a round trip.
 func FuzzDecode(f *testing.F) {
 	shape := group.Shape{Layers: 2, Experts: 4, Ranks: 4, Slots: 2}
-	whole := StoredMap{Map: group.RoundRobin(shape), BaseFromStep: 7}.Encode()
-	f.Add(whole)
-	f.Add(whole[:len(whole)-1])
+	valid := StoredMap{Map: group.RoundRobin(shape), BaseFromStep: 7}.Encode()
+	f.Add(valid)
+	f.Add(valid[:len(valid)-1])
 	f.Add(encodeRecord(mapswitch.Record{Revision: 9, Digest: 1 << 60}))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		is := is.New(t)
--- a/group/mapwire/message.go
+++ b/group/mapwire/message.go
@@ -7,11 +7,11 @@
 	"github.com/lilackeel/lilackeel/group/mapswitch"
 )
 
-// coordinatorRank stands in a message for the coordinator.
+// coordinatorRank is the rank number that denotes the coordinator in a message.
 const coordinatorRank = -1
 
-// ToProto encodes a message between the coordinator and a rank. Its digest is not
-// sent, being that of the epoch in the record.
+// ToProto encodes a message between the coordinator and a rank. The digest is not
+// sent because the record in the message has the digest of the epoch.
 func ToProto(m mapswitch.Message) *agentv1.GroupMessage {
 	from, to := int32(m.Rank), int32(coordinatorRank)
 	if m.Kind.Destination() == mapswitch.ToRank {
@@ -71,7 +71,7 @@
 	return data
 }
 
-// decodeRecord reads a record; no bytes stand for the empty one.
+// decodeRecord decodes a record; empty data decodes to the zero record.
 func decodeRecord(data []byte) (mapswitch.Record, error) {
 	var r mapswitch.Record
 	if len(data) == 0 {
@@ -79,10 +79,10 @@
 	}
 	rest := reader{data: data}
 	for _, field := range recordFields(&r) {
-		*field = rest.number()
+		*field = rest.uvarint()
 	}
 	if rest.failed || len(rest.data) > 0 {
-		return mapswitch.Record{}, damaged("the record in a message of the map switch is not whole")
+		return mapswitch.Record{}, corruptError("record in a map switch message is truncated or has trailing bytes")
 	}
 	return r, nil
 }
--- a/group/mapwire/stored.go
+++ b/group/mapwire/stored.go
@@ -11,18 +11,18 @@
 
 const (
 	storedVersion = 1
-	// maxDimension bounds the dimensions of a decoded map.
+	// maxDimension bounds each dimension of a decoded map.
 	maxDimension = 1 << 16
-	// maxSlots bounds the slots of a decoded map.
+	// maxSlots bounds the total number of slots of a decoded map.
 	maxSlots = 1 << 22
 )
 
-// Stored is what the log keeps as the map of an epoch.
+// StoredMap is the map of an epoch as kept in the log.
 type StoredMap struct {
 	// Map is the map of the epoch.
 	Map group.Map
 	// BaseFromStep is the first step of the map that was in force when the epoch
-	// began; PreviousEpoch and PreviousDigest are the map of the steps before.
+	// began; PreviousEpoch and PreviousDigest identify the map of the steps before it.
 	BaseFromStep, PreviousEpoch, PreviousDigest uint64
 }
 
@@ -42,19 +42,19 @@
 	return data
 }
 
-// DecodeStored reads the encoding of Encode.
+// DecodeStoredMap decodes the output of StoredMap.Encode.
 func DecodeStoredMap(data []byte) (StoredMap, error) {
 	if len(data) == 0 || data[0] != storedVersion {
-		return StoredMap{}, damaged("the map is not in a known encoding")
+		return StoredMap{}, corruptError("stored expert map has an unknown encoding version")
 	}
 	r := reader{data: data[1:]}
-	s := StoredMap{BaseFromStep: r.number(), PreviousEpoch: r.number(), PreviousDigest: r.number()}
-	layers, ranks, slotsPerRank, slots := r.number(), r.number(), r.number(), r.number()
+	s := StoredMap{BaseFromStep: r.uvarint(), PreviousEpoch: r.uvarint(), PreviousDigest: r.uvarint()}
+	layers, ranks, slotsPerRank, slots := r.uvarint(), r.uvarint(), r.uvarint(), r.uvarint()
 	if r.failed || layers > maxDimension || ranks > maxDimension || slotsPerRank > maxDimension || slots > maxSlots {
-		return StoredMap{}, damaged("the map's dimensions are out of range")
+		return StoredMap{}, corruptError("stored expert map is truncated or has dimensions out of range")
 	}
 	if slots != layers*ranks*slotsPerRank || uint64(len(r.data)) != 2*slots {
-		return StoredMap{}, damaged("the map is not whole")
+		return StoredMap{}, corruptError("stored expert map does not have the number of slots that its dimensions give")
 	}
 	s.Map = group.Map{Layers: int(layers), Ranks: int(ranks), SlotsPerRank: int(slotsPerRank), Slots: make([]uint16, slots)}
 	for i := range s.Map.Slots {
@@ -63,13 +63,13 @@
 	return s, nil
 }
 
-// reader takes numbers off the front of data.
+// reader decodes unsigned varints from the front of data.
 type reader struct {
 	data   []byte
 	failed bool
 }
 
-func (r *reader) number() uint64 {
+func (r *reader) uvarint() uint64 {
 	value, n := binary.Uvarint(r.data)
 	if n <= 0 {
 		r.failed = true
@@ -80,28 +80,28 @@
 	return value
 }
 
-func damaged(message string) error {
-	return fault.New(fault.Corrupt, message, "update the older of the two processes; if both are of one version, report a defect")
+func corruptError(message string) error {
+	return fault.New(fault.Corrupt, message, "upgrade the older of the two processes; if both run the same version, report a bug")
 }
 
-// RevisionAdopted is what the adoption of a pending epoch by a later coordinator
-// adds to the revision of its record.
+// RevisionAdopted is added to the revision of a record when a later coordinator adopts
+// its pending epoch.
 const RevisionAdopted = 1
 
-// The revision of a mapswitch.Record counts within its group: each epoch has
-// four, of which these and RevisionAdopted are used.
+// The revisions of a mapswitch.Record are numbered per group: four are reserved for each
+// epoch, of which offset 0 (pending), RevisionAdopted and revisionDecided are used.
 const (
 	revisionsPerEpoch = 4
 	revisionDecided   = 2
 )
 
-// RecordOf turns the log's record of a group into that of the switch. token is
-// that of the coordinator that wrote last, which ReadMap returns beside the
-// record; zero if it is not known. A rank that starts again must know it: without
-// it a late promise to a coordinator that was replaced would lift the promise
-// that the rank's former process gave to its successor. The highest token of
-// ReadFence must not be taken for it, since a leader draws further tokens for its
-// orders in the same term. A nil record is that of a group without any map.
+// RecordOf converts the log's record of a group into the record that package mapswitch
+// uses. token is the fencing token of the coordinator that wrote last, which the ReadMap
+// RPC returns together with the record; zero if it is not known. A restarted rank must
+// know it: otherwise a late promise request of a replaced coordinator would override the
+// promise that the rank's previous process gave to the successor. The highest token that
+// ReadFence returns must not be used instead, since a leader draws further tokens for its
+// orders in the same term. A nil record denotes a group without any map.
 func RecordOf(stored *fleetv1.MapRecord, token uint64) (mapswitch.Record, error) {
 	if stored.GetEpoch() == 0 {
 		return mapswitch.Record{Token: token}, nil
@@ -137,7 +137,8 @@
 	return r, nil
 }
 
-// FindMap returns the map of an epoch, of the given digest, that a record holds.
+// FindMap returns the map of an epoch from a record, if the record holds it and it has
+// the given digest.
 func FindMap(record *fleetv1.MapRecord, epoch, digest uint64) (group.Map, bool) {
 	encoded := record.GetMap()
 	if epoch == record.GetBaseEpoch() {
