--- a/group/fanout/fanout.go
+++ b/group/fanout/fanout.go
@@ -1,13 +1,14 @@
-// Package fanout divides the agents of a large group into branches: the leader calls one
-// agent of each, the relay, which passes the requests of the others on and answers for
-// all of them.
+// Package fanout divides the agents of a large group into branches. The leader calls one
+// agent of each branch, the relay, which forwards the requests to the others and returns
+// the merged responses.
 //
-// Called one by one, 192 agents cost a look at their demand 192 calls of 0.15 to 0.3 ms of
-// processor each at the leader, which could afford one each 0.8 s; a switch of maps, with
-// three such rounds and a read of the map by every agent, took one to three seconds. In
-// branches of eight a round is 24 calls, and the leader reads an eighth of the counts.
+// With direct calls, one round of load collection from 192 agents took 192 calls of 0.15
+// to 0.3 ms of processor time each at the leader, which limited it to one round every
+// 0.8 s; a map switch, with three such rounds and a read of the map by every agent, took
+// one to three seconds. With branches of eight a round takes 24 calls, and the leader
+// reads an eighth of the load counts.
 //
-// The package is pure: it neither calls nor reads a clock.
+// The package is pure: it makes no calls and reads no clock.
 package fanout
 
 import (
@@ -19,18 +20,18 @@
 
 // Agent is an agent of a group.
 type Agent struct {
-	// Addr is its address, host:port; Zone is the availability zone of its host.
+	// Addr is the agent's address, host:port; Zone is the availability zone of its host.
 	Addr, Zone string
 }
 
-// Plan divides agents. It does not change, so that the same agents keep their connections
-// to each other. The zero Plan has no agents.
+// Plan is a fixed partition of agents. Because it does not change, the agents of a
+// partition can reuse their connections to each other. The zero Plan has no agents.
 type Plan struct {
-	parts [][]string
+	partitions [][]string
 }
 
-// NewPlan divides agents into parts of at most size, each within one availability zone:
-// what is passed on stays there.
+// NewPlan divides agents into partitions of at most size agents, each within one
+// availability zone, so that forwarded requests do not cross zones.
 func NewPlan(agents []Agent, size int) Plan {
 	sorted := slices.Clone(agents)
 	slices.SortFunc(sorted, func(a, b Agent) int {
@@ -38,36 +39,36 @@
 	})
 	var p Plan
 	for first := 0; first < len(sorted); {
-		part := []string{sorted[first].Addr}
+		partition := []string{sorted[first].Addr}
 		next := first + 1
-		for next < len(sorted) && len(part) < size && sorted[next].Zone == sorted[first].Zone {
-			part = append(part, sorted[next].Addr)
+		for next < len(sorted) && len(partition) < size && sorted[next].Zone == sorted[first].Zone {
+			partition = append(partition, sorted[next].Addr)
 			next++
 		}
-		p.parts = append(p.parts, part)
+		p.partitions = append(p.partitions, partition)
 		first = next
 	}
 	return p
 }
 
-// Branch is what one call of the leader reaches.
+// Branch is the set of agents that one call of the leader reaches.
 type Branch struct {
-	// Relay is the agent that is called, Others are those that it passes requests on to.
+	// Relay is the agent that is called, Others are the agents that it forwards requests to.
 	Relay  string
 	Others []string
 }
 
-// Branches returns the calls that reach the agents that something is due for. Those that
-// are not fit, having left the last request unanswered, are called by themselves, so that
-// nobody waits for them.
-func (p Plan) Branches(due, fit func(addr string) bool) []Branch {
+// Branches returns the calls that reach all agents for which a request is due. Agents that
+// are not responsive, because they left the last request unanswered, are called directly,
+// so that no other agent's response waits for them.
+func (p Plan) Branches(due, responsive func(addr string) bool) []Branch {
 	var branches []Branch
-	for _, part := range p.parts {
+	for _, partition := range p.partitions {
 		relay := ""
 		var others []string
-		for _, addr := range part {
+		for _, addr := range partition {
 			switch {
-			case !fit(addr):
+			case !responsive(addr):
 				if due(addr) {
 					branches = append(branches, Branch{Relay: addr})
 				}
@@ -84,39 +85,39 @@
 	return branches
 }
 
-// Merge adds an agent's answer to that of its relay. Counts of different ranks of a group
-// are summed up; two counts of one rank are both kept, since the receiver tells by them
-// that the rank has been heard.
+// Merge adds an agent's response to that of its relay. Loads of different ranks of a group
+// are summed; two loads of the same rank are both kept, since the receiver tells from them
+// which ranks have reported.
 func Merge(into, from *agentv1.GroupResponse) {
 	into.Messages = append(into.Messages, from.GetMessages()...)
 	into.Answered = append(into.Answered, from.GetAnswered()...)
 	for _, load := range from.GetLoads() {
-		if sum := summable(into.Loads, load); sum != nil {
-			add(sum, load)
+		if sum := findMergeable(into.Loads, load); sum != nil {
+			addLoad(sum, load)
 			continue
 		}
 		into.Loads = append(into.Loads, load)
 	}
 }
 
-// summable returns the counts that a load can be added to, nil if there are none.
-func summable(loads []*agentv1.ExpertLoad, load *agentv1.ExpertLoad) *agentv1.ExpertLoad {
+// findMergeable returns the entry of loads that a load can be added to, or nil.
+func findMergeable(loads []*agentv1.ExpertLoad, load *agentv1.ExpertLoad) *agentv1.ExpertLoad {
 	for _, sum := range loads {
-		alike := sum.GetGroup() == load.GetGroup() && sum.GetLayer() == load.GetLayer() && len(sum.GetTokens()) == len(load.GetTokens())
-		if alike && !counted(sum, load.GetRank()) {
+		sameLayer := sum.GetGroup() == load.GetGroup() && sum.GetLayer() == load.GetLayer() && len(sum.GetTokens()) == len(load.GetTokens())
+		if sameLayer && !covers(sum, load.GetRank()) {
 			return sum
 		}
 	}
 	return nil
 }
 
-// counted reports whether a rank's tokens are in a load.
-func counted(load *agentv1.ExpertLoad, rank int32) bool {
+// covers reports whether a load includes the tokens of a rank.
+func covers(load *agentv1.ExpertLoad, rank int32) bool {
 	return load.GetRank() == rank || slices.Contains(load.GetMoreRanks(), rank)
 }
 
-// add sums up two loads.
-func add(sum, load *agentv1.ExpertLoad) {
+// addLoad adds load to sum.
+func addLoad(sum, load *agentv1.ExpertLoad) {
 	for i, tokens := range load.GetTokens() {
 		sum.Tokens[i] += tokens
 	}
--- a/group/fanout/fanout_test.go
+++ b/group/fanout/fanout_test.go
@@ -9,11 +9,11 @@
 	agentv1 "github.com/lilackeel/lilackeel/api/agent/v1"
 )
 
-// agents returns agents of some zones, as many in each.
-func agents(zones, each int) []Agent {
+// agents returns perZone agents for each of the given number of zones.
+func agents(zones, perZone int) []Agent {
 	var all []Agent
 	for zone := range zones {
-		for number := range each {
+		for number := range perZone {
 			all = append(all, Agent{Addr: fmt.Sprintf("10.%d.0.%03d:7400", zone, number), Zone: fmt.Sprintf("zone-%d", zone)})
 		}
 	}
@@ -22,8 +22,8 @@
 
 func all(string) bool { return true }
 
-// TestALargeGroupIsReachedByFewCalls asks 195 agents of five zones, as large groups have
-// them: each is reached once, within its zone, by an eighth of the calls.
+// TestALargeGroupIsReachedByFewCalls calls 195 agents in five zones, the size of a large
+// group: each is reached once, by a relay of its own zone, with an eighth of the calls.
 func TestALargeGroupIsReachedByFewCalls(t *testing.T) {
 	is := is.New(t)
 	zones := map[string]string{}
@@ -42,15 +42,15 @@
 		}
 	}
 	is.Equal(len(reached), 195)
-	for _, times := range reached {
-		is.Equal(times, 1)
+	for _, calls := range reached {
+		is.Equal(calls, 1)
 	}
 }
 
-// TestAnUnfitAgentHoldsNobodyUp calls an agent that left its last request unanswered by
-// itself; if it was the relay, the next one of its part takes its place, and no other
-// part changes.
-func TestAnUnfitAgentHoldsNobodyUp(t *testing.T) {
+// TestAnUnresponsiveAgentDelaysNoOther checks that an agent that left its last request
+// unanswered is called directly. If it was the relay, the next agent of its partition
+// becomes the relay, and no other partition changes.
+func TestAnUnresponsiveAgentDelaysNoOther(t *testing.T) {
 	is := is.New(t)
 	plan := NewPlan(agents(2, 16), 8)
 	before := plan.Branches(all, all)
@@ -63,29 +63,29 @@
 	is.Equal(after[3:], before[2:])
 }
 
-// TestFewRequestsKeepTheirRelay sends something to one agent only: by the relay that has a
-// connection to it.
+// TestFewRequestsKeepTheirRelay sends a request to one agent only: it goes through the
+// relay of its partition, which already has a connection to that agent.
 func TestFewRequestsKeepTheirRelay(t *testing.T) {
 	is := is.New(t)
 	plan := NewPlan(agents(2, 16), 8)
-	whole := plan.Branches(all, all)
-	wanted := whole[2].Others[3]
-	is.Equal(plan.Branches(func(addr string) bool { return addr == wanted }, all), []Branch{{Relay: whole[2].Relay, Others: []string{wanted}}})
+	branches := plan.Branches(all, all)
+	target := branches[2].Others[3]
+	is.Equal(plan.Branches(func(addr string) bool { return addr == target }, all), []Branch{{Relay: branches[2].Relay, Others: []string{target}}})
 	is.Equal(len(plan.Branches(func(string) bool { return false }, all)), 0)
 }
 
-func count(rank int32, tokens ...uint64) *agentv1.GroupResponse {
+func loadResponse(rank int32, tokens ...uint64) *agentv1.GroupResponse {
 	return &agentv1.GroupResponse{Loads: []*agentv1.ExpertLoad{{Group: "g/1", Layer: -1, Rank: rank, Tokens: tokens, FromStep: 3, ToStep: 5}}}
 }
 
-// TestCountsAreSummedUpOnTheWay merges the counts of three ranks into one, and keeps a
-// second report of one of them apart.
-func TestCountsAreSummedUpOnTheWay(t *testing.T) {
+// TestLoadsAreSummedByTheRelay merges the loads of three ranks into one, and keeps a
+// second report of one of them separate.
+func TestLoadsAreSummedByTheRelay(t *testing.T) {
 	is := is.New(t)
-	merged := count(0, 1, 2)
-	Merge(merged, count(1, 10, 20))
-	Merge(merged, count(2, 100, 200))
-	Merge(merged, count(1, 5, 5))
+	merged := loadResponse(0, 1, 2)
+	Merge(merged, loadResponse(1, 10, 20))
+	Merge(merged, loadResponse(2, 100, 200))
+	Merge(merged, loadResponse(1, 5, 5))
 	is.Equal(len(merged.GetLoads()), 2)
 	is.Equal(merged.GetLoads()[0].GetTokens(), []uint64{111, 222})
 	is.Equal(merged.GetLoads()[0].GetMoreRanks(), []int32{1, 2})
