--- a/group/mapswitch/gaveup_test.go
+++ b/group/mapswitch/abort_test.go
@@ -9,20 +9,21 @@
 	"github.com/lilackeel/lilackeel/group"
 )
 
-// TestASwitchThatIsGivenUpNamesTheSilentRanks plays a switch of three ranks of which
-// one never answers: first to the order to prepare, then to that to promise.
-func TestASwitchThatIsGivenUpNamesTheSilentRanks(t *testing.T) {
+// TestAnAbortNamesTheRanksThatDidNotAnswer runs a switch of three ranks that do not all
+// answer: first none and then all but one to the request to prepare, then all but one to
+// the request to promise.
+func TestAnAbortNamesTheRanksThatDidNotAnswer(t *testing.T) {
 	for _, test := range []struct {
 		answers func(c *Coordinator, rank int) []Message
 		phase   Phase
 		ranks   []int
 	}{
 		{func(*Coordinator, int) []Message { return nil }, PhasePreparing, []int{0, 1, 2}},
-		{func(c *Coordinator, rank int) []Message { return preparedBut(c, rank, 1) }, PhasePreparing, []int{1}},
+		{func(c *Coordinator, rank int) []Message { return preparedExcept(c, rank, 1) }, PhasePreparing, []int{1}},
 		{func(c *Coordinator, rank int) []Message {
-			out := preparedBut(c, rank, -1)
+			out := preparedExcept(c, rank, -1)
 			if rank != 2 {
-				out = append(out, answerOf(c, KindPromised, rank))
+				out = append(out, answerFrom(c, KindPromised, rank))
 			}
 			return out
 		}, PhasePromising, []int{2}},
@@ -52,24 +53,25 @@
 			effects = c.Tick(now)
 		}
 		phase, ranks := c.LastAbort()
-		is.Equal(record.PendingEpoch, uint64(0)) // it was decided
-		is.Equal(record.Epoch, uint64(1))        // and given up
+		is.Equal(record.PendingEpoch, uint64(0)) // the switch was decided
+		is.Equal(record.Epoch, uint64(1))        // and aborted
 		is.Equal(phase, test.phase)
 		is.Equal(ranks, test.ranks)
 	}
 }
 
-// answerOf is a rank's answer in the present phase.
-func answerOf(c *Coordinator, kind Kind, rank int) Message {
+// answerFrom returns a rank's answer for the current phase.
+func answerFrom(c *Coordinator, kind Kind, rank int) Message {
 	return Message{Kind: kind, Group: "g", Rank: rank, Token: c.token, Epoch: c.record.PendingEpoch, Step: c.step}
 }
 
-// preparedBut lets all ranks but one say that they are prepared.
-func preparedBut(c *Coordinator, rank, silent int) []Message {
+// preparedExcept returns a rank's report that it is prepared, and nothing for the silent
+// rank.
+func preparedExcept(c *Coordinator, rank, silent int) []Message {
 	if rank == silent {
 		return nil
 	}
-	m := answerOf(c, KindPrepared, rank)
+	m := answerFrom(c, KindPrepared, rank)
 	m.Step = 1
 	return []Message{m}
 }
--- a/group/mapswitch/coordinator.go
+++ b/group/mapswitch/coordinator.go
@@ -7,12 +7,13 @@
 	"github.com/lilackeel/lilackeel/group"
 )
 
-// Phase is what a coordinator is doing.
+// Phase is the phase of the switch that a coordinator is in.
 type Phase uint8
 
 // The phases of a coordinator.
 const (
-	// PhaseIdle means that nothing is pending; decisions may still be sent.
+	// PhaseIdle means that no switch is pending; the last decision may still be
+	// resent.
 	PhaseIdle Phase = iota
 	// PhaseBeginning waits for Begin to be committed.
 	PhaseBeginning
@@ -24,11 +25,11 @@
 	PhasePromising
 	// PhaseDeciding waits for the decision to be committed.
 	PhaseDeciding
-	// PhaseDeposed is final: another coordinator has a higher token.
+	// PhaseDeposed is terminal: another coordinator has a higher token.
 	PhaseDeposed
 )
 
-// String names what a coordinator waits for in the phase.
+// String returns the name of what a coordinator waits for in the phase.
 func (p Phase) String() string {
 	names := [...]string{"nothing", "begin", "adoption", "prepared", "promised", "decision", "deposed"}
 	if int(p) >= len(names) {
@@ -44,12 +45,12 @@
 const (
 	// Send asks for Message to be sent; it may be lost.
 	Send EffectKind = iota + 1
-	// Commit asks for Entry to be committed in the replicated log. The record
-	// that results is to be passed to Committed once it is synced by a quorum.
+	// Commit asks for Entry to be committed in the replicated log. The driver must
+	// pass the resulting record to Committed once a quorum has synced it.
 	Commit
 )
 
-// Effect is something that the driver of a Coordinator must do.
+// Effect is an action that the driver of a Coordinator must carry out.
 type Effect struct {
 	// Kind says whether Message or Entry is set.
 	Kind EffectKind
@@ -59,18 +60,18 @@
 	Entry Entry
 }
 
-// member is what the coordinator knows of a rank.
+// member is what the coordinator knows about a rank.
 type member struct {
-	step     uint64 // position last reported
+	step     uint64 // highest step reported
 	prepared bool
 	promised bool
 	acked    uint64 // highest revision acknowledged
 }
 
-// Coordinator carries out switches of one group. It must not be started before
-// the local replica has applied all entries of earlier terms, and its token
-// must be unique to it and higher than those of all earlier coordinators: the
-// term of the leader does.
+// Coordinator carries out the map switches of one group. It must not be started
+// before the local replica has applied all entries of earlier terms. Its token
+// must be unique and higher than those of all earlier coordinators; the term of
+// the leader satisfies this.
 type Coordinator struct {
 	group   string
 	token   uint64
@@ -79,24 +80,25 @@
 	phase   Phase
 	members []member
 
-	entry    Entry // being committed
-	step     uint64
-	raises   int
-	since    time.Duration // start of the phase
-	hurried  bool          // a rank holds while others still prepare
-	lastSend time.Duration
-	agreed   agreement
-	// sole is set once this coordinator has begun the first switch of the group.
-	sole    bool
-	gaveUp  Phase // in which the last switch was given up
-	missing []int // the ranks that had not answered then
+	entry      Entry // being committed
+	step       uint64
+	stepRaises int
+	since      time.Duration // start of the phase
+	shortened  bool          // a rank holds, so the time limit of the phase is shortened
+	lastSend   time.Duration
+	estimator  leadEstimator
+	// sole is set once this coordinator has begun the first switch of the group, so that
+	// no other coordinator has asked the ranks for a promise.
+	sole         bool
+	abortPhase   Phase // the phase in which the last switch was aborted
+	abortMissing []int // the ranks that had not answered then
 }
 
 // NewCoordinator returns the coordinator of a group with the given number of
-// ranks. If the record has a pending switch the coordinator adopts it at the
-// first Tick and carries it on.
+// ranks. If the record has a pending switch, the coordinator adopts it at the
+// first Tick and continues it.
 func NewCoordinator(group string, ranks int, token uint64, record Record, options Options) *Coordinator {
-	c := &Coordinator{group: group, token: token, options: options.withDefaults(), record: record, agreed: agreement{expected: firstAgreement}}
+	c := &Coordinator{group: group, token: token, options: options.withDefaults(), record: record, estimator: leadEstimator{expectedTime: initialAgreementTime}}
 	c.members = make([]member, ranks)
 	if token < record.Token {
 		c.phase = PhaseDeposed
@@ -104,31 +106,31 @@
 	return c
 }
 
-// firstSwitch is the epoch of the first switch of a group, which begins with the map of
-// epoch 1. Epochs are given out in order, so that who begins it, and has not adopted it, has
-// had no predecessor that asked for a step.
-const firstSwitch = 2
+// firstSwitchEpoch is the epoch of the first switch of a group, which starts with the map
+// of epoch 1. Epochs are assigned in order, so a coordinator that begins this epoch,
+// rather than adopting it, has no predecessor that asked for a promise.
+const firstSwitchEpoch = 2
 
-// Phase returns what the coordinator is doing.
+// Phase returns the current phase.
 func (c *Coordinator) Phase() Phase { return c.phase }
 
 // Record returns the newest record that the coordinator knows.
 func (c *Coordinator) Record() Record { return c.record }
 
-// GaveUp returns the phase in which the last switch was given up, PhaseIdle if none
+// LastAbort returns the phase in which a switch was last aborted, PhaseIdle if none
 // was, and the ranks whose answers were missing then.
-func (c *Coordinator) LastAbort() (Phase, []int) { return c.gaveUp, c.missing }
+func (c *Coordinator) LastAbort() (Phase, []int) { return c.abortPhase, c.abortMissing }
 
 // TakeOverrun returns, once for each switch with a learned lead, how long the group may
-// have waited at its step.
+// have waited at the step of the switch.
 func (c *Coordinator) TakeOverrun() (overrun time.Duration, ok bool) {
-	overrun, ok = c.agreed.overrun, c.agreed.fresh
-	c.agreed.fresh = false
+	overrun, ok = c.estimator.overrun, c.estimator.overrunReady
+	c.estimator.overrunReady = false
 	return overrun, ok
 }
 
-// Unacknowledged returns the ranks that have not said that they know the newest
-// decision. A switch that begins before they have could not end before they do.
+// Unacknowledged returns the ranks that have not acknowledged the newest decision. A
+// switch begun before they have acknowledged it could not end before they do.
 func (c *Coordinator) Unacknowledged() []int {
 	var ranks []int
 	for rank, member := range c.members {
@@ -152,8 +154,8 @@
 	return c.commit(now, PhaseBeginning, entry), nil
 }
 
-// Cancel gives up a switch that is being prepared, for a reason that the driver
-// knows. Once promises are asked for it ends by itself, and soon.
+// Cancel aborts a switch that is being prepared, for a reason known to the driver.
+// It does nothing in later phases, which end by themselves within a short time limit.
 func (c *Coordinator) Cancel(now time.Duration) []Effect {
 	if c.phase != PhasePreparing {
 		return nil
@@ -161,8 +163,8 @@
 	return c.decide(now, EntryAbort, 0)
 }
 
-// Committed gives the coordinator the record after an entry of the group was
-// committed, whoever proposed it.
+// Committed passes the coordinator the record that results from a committed entry of
+// the group, whoever proposed the entry.
 func (c *Coordinator) Committed(now time.Duration, record Record) []Effect {
 	if record.Revision <= c.record.Revision || c.phase == PhaseDeposed {
 		return nil
@@ -173,15 +175,15 @@
 		return nil
 	}
 	if record.PendingEpoch == 0 {
-		c.enter(now, PhaseIdle)
+		c.enterPhase(now, PhaseIdle)
 		return c.resend(now)
 	}
 	if record.Token == c.token {
-		c.sole = c.sole || c.entry.Kind == EntryBegin && record.PendingEpoch == firstSwitch
+		c.sole = c.sole || c.entry.Kind == EntryBegin && record.PendingEpoch == firstSwitchEpoch
 		c.startPreparing(now)
 		return c.resend(now)
 	}
-	c.enter(now, PhaseIdle) // an entry of a predecessor: Tick adopts it
+	c.enterPhase(now, PhaseIdle) // the entry is a predecessor's: Tick adopts the switch
 	return nil
 }
 
@@ -190,11 +192,11 @@
 		c.members[i].prepared = false
 		c.members[i].promised = false
 	}
-	c.raises = 0
-	c.enter(now, PhasePreparing)
+	c.stepRaises = 0
+	c.enterPhase(now, PhasePreparing)
 }
 
-// Step handles a message of a rank.
+// Step handles a message from a rank.
 func (c *Coordinator) Step(now time.Duration, m Message) []Effect {
 	if c.phase == PhaseDeposed || m.Group != c.group || m.Rank < 0 || m.Rank >= len(c.members) {
 		return nil
@@ -212,26 +214,28 @@
 	case KindAcknowledged:
 		member.acked = max(member.acked, m.Record.Revision)
 		if c.phase == PhaseIdle && len(c.Unacknowledged()) == 0 {
-			c.agreed.end(now)
+			c.estimator.finish(now)
 		}
 	}
 	return nil
 }
 
-// lead is the distance in steps between the furthest rank and the step chosen.
-func (c *Coordinator) lead(now time.Duration, furthest uint64) uint64 {
+// chooseLead returns the distance in steps between the furthest rank and the step of the
+// switch.
+func (c *Coordinator) chooseLead(now time.Duration, furthest uint64) uint64 {
 	if c.options.MaxLead == 0 {
 		return c.options.Lead()
 	}
-	return c.agreed.lead(now, furthest, c.options)
+	return c.estimator.lead(now, furthest, c.options)
 }
 
-// Tick resends what was not answered and gives up what takes too long.
+// Tick adopts a predecessor's pending switch, resends unanswered messages and aborts a
+// switch that takes too long.
 func (c *Coordinator) Tick(now time.Duration) []Effect {
 	if c.phase == PhaseIdle && c.record.PendingEpoch != 0 {
 		return c.commit(now, PhaseAdopting, Entry{Kind: EntryAdopt, Epoch: c.record.PendingEpoch})
 	}
-	if limit, limited := c.limit(); limited && now-c.since >= limit {
+	if limit, limited := c.phaseLimit(); limited && now-c.since >= limit {
 		return c.decide(now, EntryAbort, 0)
 	}
 	if now-c.lastSend < c.options.ResendInterval {
@@ -240,31 +244,32 @@
 	return c.resend(now)
 }
 
-// limit is the longest time that the present phase may take.
-func (c *Coordinator) limit() (time.Duration, bool) {
+// phaseLimit returns the time limit of the current phase, and whether it has one.
+func (c *Coordinator) phaseLimit() (time.Duration, bool) {
 	if c.phase == PhasePromising && c.options.MaxLead > 0 {
-		return c.agreed.limit(c.since), true
+		return c.estimator.promiseLimit(c.since), true
 	}
-	if c.phase == PhasePromising || c.phase == PhasePreparing && c.hurried {
+	if c.phase == PhasePromising || c.phase == PhasePreparing && c.shortened {
 		return c.options.PromiseWindow, true
 	}
 	return c.options.PrepareTimeout, c.phase == PhasePreparing
 }
 
-// onHolding shortens the preparation: a rank restarted, or promised a step to a
-// predecessor and reached it, and the whole group waits for it. It shortens the time for
-// promises, too, once the step that they are for has come.
+// onHolding shortens the time limit of the preparation: a rank has restarted, or has
+// reached a step that it promised to a predecessor, and the whole group waits for it. It
+// also shortens the time limit for promises once a rank has reached the step that they
+// are for.
 func (c *Coordinator) onHolding(now time.Duration, m Message) []Effect {
-	if m.Epoch != c.record.PendingEpoch || c.hurried {
+	if m.Epoch != c.record.PendingEpoch || c.shortened {
 		return nil
 	}
 	switch c.phase {
 	case PhasePreparing:
-		c.hurried = true
+		c.shortened = true
 		c.since = now
 	case PhasePromising:
-		c.hurried = true
-		c.agreed.reached(now)
+		c.shortened = true
+		c.estimator.recordHold(now)
 	}
 	return nil
 }
@@ -283,21 +288,21 @@
 	return c.askPromises(now)
 }
 
-// askPromises chooses the step and asks all ranks not to pass it.
+// askPromises chooses the step of the switch and asks all ranks for promises not to run it.
 func (c *Coordinator) askPromises(now time.Duration) []Effect {
 	var furthest uint64
 	for i := range c.members {
 		furthest = max(furthest, c.members[i].step)
 		c.members[i].promised = false
 	}
-	c.agreed.held = 0
-	lead := c.lead(now, furthest)
+	c.estimator.heldAt = 0
+	lead := c.chooseLead(now, furthest)
 	c.step = max(furthest+lead, c.step+1, c.record.FromStep+1)
-	if c.raises == 0 {
-		c.agreed.planned = time.Duration(lead) * c.agreed.stepTime(now, furthest, c.options.StepTime)
-		c.agreed.begin(now, furthest)
+	if c.stepRaises == 0 {
+		c.estimator.plannedTime = time.Duration(lead) * c.estimator.stepTime(now, furthest, c.options.StepTime)
+		c.estimator.start(now, furthest)
 	}
-	c.enter(now, PhasePromising)
+	c.enterPhase(now, PhasePromising)
 	return c.resend(now)
 }
 
@@ -322,24 +327,24 @@
 	if m.Reason != ReasonPassed || c.phase != PhasePromising || m.Step < c.step {
 		return nil
 	}
-	if c.raises >= c.options.MaxStepRaises {
+	if c.stepRaises >= c.options.MaxStepRaises {
 		return c.decide(now, EntryAbort, 0)
 	}
-	c.raises++
+	c.stepRaises++
 	return c.askPromises(now)
 }
 
 func (c *Coordinator) decide(now time.Duration, kind EntryKind, step uint64) []Effect {
 	if kind == EntryAbort {
-		c.gaveUp, c.missing = c.phase, c.unanswered()
+		c.abortPhase, c.abortMissing = c.phase, c.unanswered()
 		if c.phase == PhasePromising {
-			c.agreed.failed()
+			c.estimator.fail()
 		}
 	}
 	return c.commit(now, PhaseDeciding, Entry{Kind: kind, Epoch: c.record.PendingEpoch, Step: step})
 }
 
-// unanswered returns the ranks whose answers the present phase waits for.
+// unanswered returns the ranks whose answers the current phase waits for.
 func (c *Coordinator) unanswered() []int {
 	var ranks []int
 	for rank, member := range c.members {
@@ -353,15 +358,15 @@
 func (c *Coordinator) commit(now time.Duration, phase Phase, entry Entry) []Effect {
 	entry.Group, entry.Token = c.group, c.token
 	c.entry = entry
-	c.enter(now, phase)
+	c.enterPhase(now, phase)
 	return c.resend(now)
 }
 
-func (c *Coordinator) enter(now time.Duration, phase Phase) {
-	c.phase, c.since, c.hurried = phase, now, false
+func (c *Coordinator) enterPhase(now time.Duration, phase Phase) {
+	c.phase, c.since, c.shortened = phase, now, false
 }
 
-// resend returns everything that is outstanding in the present phase. Entries
+// resend returns everything that is outstanding in the current phase. Entries
 // may be committed twice: Record.Apply refuses the second.
 func (c *Coordinator) resend(now time.Duration) []Effect {
 	c.lastSend = now
--- a/group/mapswitch/doc.go
+++ b/group/mapswitch/doc.go
@@ -1,32 +1,33 @@
-// Package mapswitch replaces the expert map of a group of ranks so that every
-// step runs with one and the same map on all ranks.
+// Package mapswitch replaces the expert map of a group of ranks such that every
+// step runs with the same map on all ranks.
 //
 // It is a two-phase commit whose outcome is committed in the replicated log: a
 // rank's promise is its vote, and a rank that has voted waits for the outcome,
-// which any control replica can tell. Prepare comes before the vote; it only
-// loads the weights.
+// which it can read from any control replica. The prepare phase precedes the
+// vote and only loads the weights.
 //
-// Two state machines take part. The Coordinator runs beside the leader of the
-// replicated log. A Rank runs in the agent beside every rank; the rank asks it
+// Two state machines take part. The Coordinator runs on the leader of the
+// replicated log. A Rank runs in the agent of each rank; the engine asks it
 // before each step whether it may run the step, and with which map. The log
 // holds one Record per group, which only Record.Apply changes.
 //
 //  1. Begin is committed in the log: a new epoch is pending.
-//  2. Prepare goes to all ranks. Each loads the weights and answers Prepared
+//  2. Prepare is sent to all ranks. Each loads the weights and answers Prepared
 //     with the step it is at.
-//  3. Promise{S} goes to all ranks, S being far enough ahead. A rank that is
+//  3. Promise{S} is sent to all ranks, S being far enough ahead. A rank that is
 //     not yet at S promises not to run S or any later step until the pending
 //     epoch is decided.
 //  4. Once all have promised, Decide{commit, S} is committed in the log; if not
 //     all promise within the window, Decide{abort} is.
-//  5. Decided carries the record to all ranks. A rank that reaches S undecided
-//     holds and asks any control replica for the record.
+//  5. Decided carries the record to all ranks. A rank that reaches S before the
+//     decision holds and asks any control replica for the record.
 //
-// How far ahead S lies costs nothing in safety. With Options.MaxLead it is learned: ranks
-// that run on until S, and acknowledge the decision only once they are ready for it, then
-// need not wait there.
+// The distance to S does not affect safety. With Options.MaxLead it is learned, so
+// that ranks that run on until S, and acknowledge the decision only once they are ready
+// to apply it, do not have to wait there.
 //
-// What the safety of a step rests on, each point being a guard in the code:
+// The safety of a step depends on the following points, each of which is a check
+// in the code:
 //
 //   - a rank runs no step at or beyond its promise while the epoch is pending;
 //   - the coordinator sends only what the log has committed;
@@ -35,7 +36,7 @@
 //   - a rank refuses messages whose fencing token is lower than the highest it
 //     has seen, whether or not its engine checks tokens itself;
 //   - a restarted rank runs nothing before it has read the record from a
-//     quorum, which also tells it the highest token;
+//     quorum, from which it also learns the highest token;
 //   - if that record shows a pending epoch, the previous process may have
 //     promised a step, so nothing runs until the epoch is decided or a new
 //     promise is made;
@@ -43,6 +44,7 @@
 //     previous process may have allowed that one.
 //
 // All times are durations since an arbitrary start of a monotonic clock. The
-// machines hold no clock, goroutine, socket or file. Two processes must never
-// serve the same rank at once; the agent's listening address sees to that.
+// state machines hold no clock, goroutine, socket or file. Two processes must
+// never serve the same rank at once; the agent's listening address ensures that,
+// since only one process can bind it.
 package mapswitch
--- a/group/mapswitch/loaded.go
+++ b/group/mapswitch/loaded.go
@@ -1,7 +1,7 @@
 package mapswitch
 
-// names reports whether the record mentions the epoch.
-func (r *Rank) names(epoch uint64) bool {
+// references reports whether the record refers to the epoch.
+func (r *Rank) references(epoch uint64) bool {
 	return epoch != 0 && (epoch == r.record.Epoch || epoch == r.record.PreviousEpoch || epoch == r.record.PendingEpoch)
 }
 
@@ -14,7 +14,7 @@
 	return false
 }
 
-// addLoaded notes an epoch that the record names; forgetUnused has made room.
+// addLoaded adds an epoch that the record refers to; dropUnreferenced has made room.
 func (r *Rank) addLoaded(epoch uint64) {
 	if r.hasLoaded(epoch) {
 		return
@@ -27,22 +27,22 @@
 	}
 }
 
-// forgetUnused drops the epochs that the record no longer names.
-func (r *Rank) forgetUnused() {
+// dropUnreferenced drops the loaded epochs that the record no longer refers to.
+func (r *Rank) dropUnreferenced() {
 	for i, loaded := range r.loaded {
-		if !r.names(loaded) {
+		if !r.references(loaded) {
 			r.loaded[i] = 0
 		}
 	}
 }
 
-// loads returns the orders for the epochs that the engine still needs: the map
-// of its position, the one in force, and the pending one.
-func (r *Rank) loads() []Message {
-	if !r.read {
+// loadOrders returns load orders for the epochs that the engine still needs: the
+// epoch of its current step, the one in force, and the pending one.
+func (r *Rank) loadOrders() []Message {
+	if !r.recordRead {
 		return nil
 	}
-	needed := [maxLoaded]uint64{r.record.EpochAt(r.at), r.record.Epoch, r.record.PendingEpoch}
+	needed := [maxLoaded]uint64{r.record.EpochAt(r.position), r.record.Epoch, r.record.PendingEpoch}
 	var out []Message
 	for i, epoch := range needed {
 		if epoch == 0 || r.hasLoaded(epoch) || i == 1 && epoch == needed[0] {
--- a/group/mapswitch/options.go
+++ b/group/mapswitch/options.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Options are the times a Coordinator reckons with. Zero values take defaults.
+// Options are the timing parameters of a Coordinator. Zero values select the defaults.
 type Options struct {
-	// StepTime is the shortest time a step takes.
+	// StepTime is the shortest time that a step takes.
 	StepTime time.Duration
-	// PromiseWindow is how long all ranks have to promise. When it has passed
+	// PromiseWindow is how long all ranks have to promise. When it has elapsed,
 	// the switch is aborted.
 	PromiseWindow time.Duration
 	// DecisionTime bounds the time from the end of the window until the
@@ -16,14 +16,15 @@
 	PrepareTimeout time.Duration
 	// ResendInterval is the time after which unanswered messages are repeated.
 	ResendInterval time.Duration
-	// MaxRaises is how often a higher step is chosen when a rank had passed it.
+	// MaxStepRaises is how often the coordinator chooses a higher step because a rank
+	// had already passed the chosen one.
 	MaxStepRaises int
-	// LeadSteps, if not zero, takes the place of the computed Lead.
+	// LeadSteps, if not zero, overrides the computed Lead.
 	LeadSteps uint64
-	// MaxLead, if not zero, makes the lead one that is learned from how long it takes
-	// from the first promise asked for until all ranks have acknowledged the decision,
-	// and bounds it. It is for ranks that run on until their step comes and acknowledge
-	// a decision only once they are ready for it.
+	// MaxLead, if not zero, enables a learned lead and is its upper bound. The lead is
+	// learned from the time between the first promise request and the acknowledgement
+	// of the decision by all ranks. It is for ranks that run on until they reach the
+	// step and acknowledge a decision only once they are ready to apply it.
 	MaxLead uint64
 }
 
@@ -56,112 +57,114 @@
 }
 
 const (
-	// firstAgreement is how long ranks are taken to need to agree before the first
-	// switch: some round trips and a synced commit.
-	firstAgreement = 80 * time.Millisecond
-	// slowerAgreement and fasterAgreement are the weights of a switch that took longer
-	// than expected and of one that did not: the lead covers about five in six.
-	slowerAgreement = 0.5
-	fasterAgreement = 0.1
+	// initialAgreementTime is the estimated agreement time before the first switch: some
+	// round trips and a synced commit.
+	initialAgreementTime = 80 * time.Millisecond
+	// increaseWeight and decreaseWeight are the weights of a switch that took longer
+	// than expected and of one that did not: with them the lead covers about five in six
+	// switches.
+	increaseWeight = 0.5
+	decreaseWeight = 0.1
 )
 
-// agreement learns how long it takes from the first promise that is asked for until
-// every rank is ready to switch.
-type agreement struct {
-	expected time.Duration
-	began    time.Duration
-	open     bool
-	// planned is the time that the last lead left, overrun how much longer ranks needed;
-	// fresh is true until that has been taken.
-	planned, overrun time.Duration
-	fresh            bool
-	// held is when a rank first reported to wait at the step; zero if none has been.
-	held time.Duration
-	// step is where the furthest rank was at a time, by which the time of a step is
-	// measured.
-	step uint64
-	at   time.Duration
+// leadEstimator learns the agreement time: how long it takes from the first promise
+// request until every rank is ready to switch.
+type leadEstimator struct {
+	expectedTime time.Duration
+	startedAt    time.Duration
+	running      bool
+	// plannedTime is the time that the last lead allowed for, overrun how much longer the
+	// ranks took; overrunReady is true until the overrun has been taken.
+	plannedTime, overrun time.Duration
+	overrunReady         bool
+	// heldAt is when a rank first reported that it waits at the step; zero if none has.
+	heldAt time.Duration
+	// sampleStep is the step of the furthest rank at sampleTime, from which the time of a
+	// step is measured.
+	sampleStep uint64
+	sampleTime time.Duration
 }
 
-// begin notes that promises are asked for while the furthest rank is at a step.
-func (a *agreement) begin(now time.Duration, step uint64) {
-	a.began, a.open, a.held = now, true, 0
-	a.step, a.at = step, now
+// start records that promises are requested while the furthest rank is at the given step.
+func (a *leadEstimator) start(now time.Duration, step uint64) {
+	a.startedAt, a.running, a.heldAt = now, true, 0
+	a.sampleStep, a.sampleTime = step, now
 }
 
-// reached notes that a rank waits at the step.
-func (a *agreement) reached(now time.Duration) { a.held = now }
-
-// limit is how long ranks have to promise, since they were asked: until some time after
-// the step is expected, or after it was heard to have come. The time of a step is known
-// from the past only, and a host that was killed while it was asked made a group of 192
-// ranks wait for half a second.
-func (a *agreement) limit(since time.Duration) time.Duration {
-	limit := a.planned + holdSlack
-	if a.held > 0 {
-		limit = min(limit, a.held+holdSlack-since)
+// recordHold records that a rank waits at the step.
+func (a *leadEstimator) recordHold(now time.Duration) { a.heldAt = now }
+
+// promiseLimit returns how long ranks have to promise after they were asked at the given
+// time: until maxHoldTime after the step is expected to be reached, or after a rank
+// reported that it was reached. The report is needed because the step time is known only
+// from the past: a host that was killed while it was asked for its promise made a group
+// of 192 ranks wait for half a second.
+func (a *leadEstimator) promiseLimit(since time.Duration) time.Duration {
+	limit := a.plannedTime + maxHoldTime
+	if a.heldAt > 0 {
+		limit = min(limit, a.heldAt+maxHoldTime-since)
 	}
 	return limit
 }
 
-// longestStep bounds the measured time of a step, in shortest ones: a group without work
-// makes none, which says nothing about the next.
-const longestStep = 3
+// maxStepTimeFactor bounds the measured time of a step, as a multiple of the shortest step
+// time. A group without work runs no steps, and that idle time must not count as step time.
+const maxStepTimeFactor = 3
 
-// stepTime is the mean time of a step since promises were last asked for.
-func (a *agreement) stepTime(now time.Duration, step uint64, shortest time.Duration) time.Duration {
-	if a.step == 0 || step <= a.step {
+// stepTime returns the mean time of a step since promises were last requested.
+func (a *leadEstimator) stepTime(now time.Duration, step uint64, shortest time.Duration) time.Duration {
+	if a.sampleStep == 0 || step <= a.sampleStep {
 		return shortest
 	}
-	mean := (now - a.at) / time.Duration(step-a.step)
-	return min(max(mean, shortest), longestStep*shortest)
+	mean := (now - a.sampleTime) / time.Duration(step-a.sampleStep)
+	return min(max(mean, shortest), maxStepTimeFactor*shortest)
 }
 
-// end notes that every rank is ready.
-func (a *agreement) end(now time.Duration) {
-	if !a.open {
+// finish records that every rank is ready.
+func (a *leadEstimator) finish(now time.Duration) {
+	if !a.running {
 		return
 	}
-	a.open = false
-	took := now - a.began
-	a.overrun, a.fresh = max(took-a.planned, 0), true
-	weight := fasterAgreement
-	if took > a.expected {
-		weight = slowerAgreement
+	a.running = false
+	took := now - a.startedAt
+	a.overrun, a.overrunReady = max(took-a.plannedTime, 0), true
+	weight := decreaseWeight
+	if took > a.expectedTime {
+		weight = increaseWeight
 	}
-	a.expected += time.Duration(weight * float64(took-a.expected))
+	a.expectedTime += time.Duration(weight * float64(took-a.expectedTime))
 }
 
-// failed notes that ranks did not agree in time.
-func (a *agreement) failed() {
-	a.open = false
-	a.overrun, a.fresh = holdSlack, true
-	a.expected += a.expected / 2
+// fail records that the ranks did not agree in time.
+func (a *leadEstimator) fail() {
+	a.running = false
+	a.overrun, a.overrunReady = maxHoldTime, true
+	a.expectedTime += a.expectedTime / 2
 }
 
-// holdSlack is how long a group with a learned lead may wait at the step for promises.
-const holdSlack = 60 * time.Millisecond
+// maxHoldTime is how long a group with a learned lead may wait at the step for promises.
+const maxHoldTime = 60 * time.Millisecond
 
-// lead is the distance in steps that lets ranks agree before they reach the step, and
-// no longer: a group that waits at the step makes all its streams late, while each step
-// later keeps the old map in force and puts the next switch off.
-func (a *agreement) lead(now time.Duration, step uint64, o Options) uint64 {
+// lead returns the smallest distance in steps that lets ranks agree before they reach the
+// step. If it is too short, the group waits at the step and all its streams are late; each
+// additional step keeps the old map in force longer and delays the next switch.
+func (a *leadEstimator) lead(now time.Duration, step uint64, o Options) uint64 {
 	stepTime := a.stepTime(now, step, o.StepTime)
-	steps := uint64((a.expected+stepTime-1)/stepTime) + 1
+	steps := uint64((a.expectedTime+stepTime-1)/stepTime) + 1
 	return min(max(steps, minLead), o.MaxLead)
 }
 
 // minLead keeps the chosen step beyond the one that ranks are at and beyond the
-// next, which they may enter while the request travels.
+// next one, which they may enter while the request is in transit.
 const minLead = 2
 
-// Lead is the distance in steps between the furthest rank and the step chosen.
+// Lead returns the distance in steps between the furthest rank and the step chosen.
 //
-// It covers the promise window and the time to decide, so that both outcomes
-// are known before the first rank reaches the step: a commit, and also an abort
+// It covers the promise window and the time to decide, so that either outcome
+// is known before the first rank reaches the step: a commit, or an abort
 // because a rank could not be reached. A lead that is too short makes the whole
-// group hold; one that is too long only keeps the old map a little longer, so
-// the choice errs on the long side.
+// group hold; one that is too long only keeps the old map in force a little longer,
+// so the lead is chosen rather too long.
 func (o Options) Lead() uint64 {
 	o = o.withDefaults()
 	if o.LeadSteps != 0 {
--- a/group/mapswitch/rank.go
+++ b/group/mapswitch/rank.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// askInterval is the time between two reads of the record by a rank that waits
-// for one.
-const askInterval = 20 * time.Millisecond
+// readInterval is the time between two requests for the record by a rank that waits
+// for it.
+const readInterval = 20 * time.Millisecond
 
-// maxLoaded is the number of epochs a rank can have loaded: previous, in force,
-// pending.
+// maxLoaded is the number of epochs that a rank can have loaded: the previous one, the
+// one in force and the pending one.
 const maxLoaded = 3
 
 // promise is the commitment of a rank not to run Step or any later step while Epoch
@@ -17,34 +17,34 @@
 }
 
 // Rank decides which map its engine may use in which step. It runs in the agent
-// beside the rank and keeps nothing on disk.
+// of the rank and keeps nothing on disk.
 type Rank struct {
 	id          int
 	group       string
 	incarnation uint64
 
-	record Record
-	read   bool   // the record was read from a quorum by this process
-	token  uint64 // the highest fencing token seen
+	record       Record
+	recordRead   bool   // the record was read from a quorum by this process
+	highestToken uint64 // the highest fencing token seen
 
-	// inherited is the epoch that was pending when the record was read. A
+	// inheritedEpoch is the epoch that was pending when the record was read. A
 	// previous process may have promised a step for it.
-	inherited uint64
-	promise   promise
+	inheritedEpoch uint64
+	promise        promise
 
-	at         uint64 // the last step that the engine asked for
-	positioned bool   // at is known
-	holding    bool   // the engine was refused a step
-	loaded     [maxLoaded]uint64
+	position      uint64 // the last step that the engine asked for
+	positionKnown bool
+	holding       bool // the engine was refused a step
+	loaded        [maxLoaded]uint64
 
-	asked    bool
-	lastAsk  time.Duration
-	deferred bool // Prepared is owed once the engine has loaded
+	requested       bool
+	lastRequest     time.Duration
+	prepareDeferred bool // KindPrepared is to be sent once the engine has loaded
 }
 
-// NewRank returns the machine of one rank. It allows no step until it has read
-// the record from a quorum, which it asks for by Tick. The incarnation must
-// differ from those of all earlier processes that served the rank.
+// NewRank returns the state machine of one rank. It allows no step until it has read
+// the record from a quorum, which Tick requests. The incarnation must differ from
+// those of all earlier processes that served the rank.
 func NewRank(id int, group string, incarnation uint64) *Rank {
 	return &Rank{id: id, group: group, incarnation: incarnation}
 }
@@ -55,17 +55,17 @@
 // Promise returns the epoch and step of the promise in force, or zeros.
 func (r *Rank) Promise() (epoch, step uint64) { return r.promise.Epoch, r.promise.Step }
 
-// Observe takes in the step that the engine is in, when the engine connects to a
-// process that does not know it.
+// ObserveStep records the step that the engine is at. It is called when an engine
+// connects to a process that does not know its step.
 func (r *Rank) ObserveStep(step uint64) {
-	r.at = max(r.at, step)
-	r.positioned = true
+	r.position = max(r.position, step)
+	r.positionKnown = true
 }
 
 // MayRun reports whether the engine may begin a step, and with the map of which
-// epoch. The engine must ask before every step, also before one it repeats, and
+// epoch. The engine must ask before every step, including one that it repeats, and
 // must ask again after a refusal. After a restart of the engine the step must
-// not be lower than the first one the group has not completed.
+// not be lower than the first one that the group has not completed.
 func (r *Rank) MayRun(step uint64) (epoch uint64, ok bool) {
 	r.ObserveStep(step)
 	r.holding = !r.allowed(step)
@@ -75,8 +75,8 @@
 	return r.record.EpochAt(step), true
 }
 
-// Allowed is MayRun without the engine asking: whether it may begin the step, as
-// far as is known now, and with the map of which epoch.
+// Allowed reports what MayRun would, without recording that the engine asked: whether
+// the engine may begin the step, as far as is known now, and with the map of which epoch.
 func (r *Rank) Allowed(step uint64) (epoch uint64, ok bool) {
 	if !r.allowed(step) {
 		return 0, false
@@ -85,10 +85,10 @@
 }
 
 func (r *Rank) allowed(step uint64) bool {
-	if !r.read {
+	if !r.recordRead {
 		return false
 	}
-	if r.inherited != 0 && r.promise.Epoch != r.inherited {
+	if r.inheritedEpoch != 0 && r.promise.Epoch != r.inheritedEpoch {
 		return false
 	}
 	if r.promise.Epoch != 0 && step >= r.promise.Step {
@@ -115,88 +115,89 @@
 	return nil
 }
 
-// Tick returns the messages that are due: loads that the engine has not
-// confirmed, a read of the record while the rank needs one, and word to the
+// Tick returns the messages that are due: load orders that the engine has not
+// confirmed, a request for the record while the rank needs it, and a report to the
 // coordinator while the engine waits for its decision.
 func (r *Rank) Tick(now time.Duration) []Message {
-	if !r.mayAsk(now) {
+	if !r.requestDue(now) {
 		return nil
 	}
-	out := r.loads()
-	if !r.read || r.holding {
+	out := r.loadOrders()
+	if !r.recordRead || r.holding {
 		out = append(out, r.readRequest())
 	}
 	if r.holding && r.record.PendingEpoch != 0 {
-		out = append(out, r.waiting())
+		out = append(out, r.holdingMessage())
 	}
 	return out
 }
 
-// ask returns a read of the record, unless one was sent a moment ago.
-func (r *Rank) ask(now time.Duration) []Message {
-	if !r.mayAsk(now) {
+// requestRecord returns a request for the record, unless one was sent within
+// readInterval.
+func (r *Rank) requestRecord(now time.Duration) []Message {
+	if !r.requestDue(now) {
 		return nil
 	}
 	return []Message{r.readRequest()}
 }
 
-// mayAsk reports whether askInterval has passed since the last time it did, and
-// then starts the interval anew.
-func (r *Rank) mayAsk(now time.Duration) bool {
-	if r.asked && now-r.lastAsk < askInterval {
+// requestDue reports whether readInterval has elapsed since it last returned true, and
+// if so restarts the interval.
+func (r *Rank) requestDue(now time.Duration) bool {
+	if r.requested && now-r.lastRequest < readInterval {
 		return false
 	}
-	r.asked, r.lastAsk = true, now
+	r.requested, r.lastRequest = true, now
 	return true
 }
 
 func (r *Rank) readRequest() Message {
 	m := r.message(KindRead)
-	m.Quorum = !r.read
+	m.Quorum = !r.recordRead
 	return m
 }
 
 func (r *Rank) onRecord(now time.Duration, m Message) []Message {
-	if r.read {
-		return r.learn(m.Record)
+	if r.recordRead {
+		return r.updateRecord(m.Record)
 	}
 	if !m.Quorum || m.Incarnation != r.incarnation {
-		return r.ask(now)
+		return r.requestRecord(now)
 	}
-	r.read = true
-	out := r.learn(m.Record)
-	r.inherited = r.record.PendingEpoch
+	r.recordRead = true
+	out := r.updateRecord(m.Record)
+	r.inheritedEpoch = r.record.PendingEpoch
 	return out
 }
 
-// learn takes over a record that is newer than the known one.
-func (r *Rank) learn(record Record) []Message {
+// updateRecord replaces the known record by a newer one; older ones are ignored.
+func (r *Rank) updateRecord(record Record) []Message {
 	if record.Revision <= r.record.Revision {
 		return nil
 	}
 	r.record = record
-	r.token = max(r.token, record.Token)
+	r.highestToken = max(r.highestToken, record.Token)
 	if record.PendingEpoch != r.promise.Epoch {
 		r.promise = promise{}
 	}
-	if record.PendingEpoch != r.inherited {
-		r.inherited = 0
+	if record.PendingEpoch != r.inheritedEpoch {
+		r.inheritedEpoch = 0
 	}
-	r.forgetUnused()
-	return r.loads()
+	r.dropUnreferenced()
+	return r.loadOrders()
 }
 
-// onOrder handles a message of a coordinator. Tokens are checked here for
+// onOrder handles a message from a coordinator. Fencing tokens are checked here for
 // engines that do not check them.
 func (r *Rank) onOrder(now time.Duration, m Message) []Message {
-	if !r.read {
-		return r.ask(now)
+	if !r.recordRead {
+		return r.requestRecord(now)
 	}
-	if m.Token < r.token {
-		return []Message{r.refuse(m, ReasonFenced)}
+	if m.Token < r.highestToken {
+		return []Message{r.refusal(m, ReasonFenced)}
 	}
-	r.token = m.Token
-	out := r.learn(m.Record)
+	r.highestToken = m.Token
+	out := r.updateRecord(m.Record)
 	switch m.Kind {
 	case KindPrepare:
 		return append(out, r.onPrepare(m)...)
@@ -213,13 +214,13 @@
 		return nil
 	}
 	if !r.hasLoaded(m.Epoch) {
-		r.deferred = true
-		return r.loads()
+		r.prepareDeferred = true
+		return r.loadOrders()
 	}
-	if !r.positioned {
-		return []Message{r.refuse(m, ReasonNotReady)}
+	if !r.positionKnown {
+		return []Message{r.refusal(m, ReasonNotReady)}
 	}
-	return []Message{r.prepared()}
+	return []Message{r.preparedMessage()}
 }
 
 func (r *Rank) onPromise(m Message) []Message {
@@ -228,68 +229,68 @@
 	}
 	made := r.promise.Epoch == m.Epoch && r.promise.Token == m.Token
 	if made && m.Step == r.promise.Step {
-		return []Message{r.promised()}
+		return []Message{r.promisedMessage()}
 	}
 	if made && m.Step < r.promise.Step {
 		return nil
 	}
-	if !r.positioned || r.at < r.record.FromStep || !r.hasLoaded(m.Epoch) {
-		return []Message{r.refuse(m, ReasonNotReady)}
+	if !r.positionKnown || r.position < r.record.FromStep || !r.hasLoaded(m.Epoch) {
+		return []Message{r.refusal(m, ReasonNotReady)}
 	}
-	if m.Step <= r.at {
-		return []Message{r.refuse(m, ReasonPassed)}
+	if m.Step <= r.position {
+		return []Message{r.refusal(m, ReasonPassed)}
 	}
 	r.promise = promise{Epoch: m.Epoch, Token: m.Token, Step: m.Step}
-	return []Message{r.promised()}
+	return []Message{r.promisedMessage()}
 }
 
 func (r *Rank) onLoaded(m Message) []Message {
-	if !r.names(m.Epoch) || m.Digest != r.record.DigestOf(m.Epoch) {
+	if !r.references(m.Epoch) || m.Digest != r.record.DigestOf(m.Epoch) {
 		return nil
 	}
 	r.addLoaded(m.Epoch)
-	if m.Epoch != r.record.PendingEpoch || !r.deferred || !r.positioned {
+	if m.Epoch != r.record.PendingEpoch || !r.prepareDeferred || !r.positionKnown {
 		return nil
 	}
-	r.deferred = false
-	return []Message{r.prepared()}
+	r.prepareDeferred = false
+	return []Message{r.preparedMessage()}
 }
 
-// onFenced goes back to the quorum: the engine has obeyed a coordinator that
-// this process does not know.
+// onFenced reads the record from a quorum again: the engine has obeyed a coordinator
+// that this process does not know.
 func (r *Rank) onFenced(now time.Duration, m Message) []Message {
-	if m.Token <= r.token {
+	if m.Token <= r.highestToken {
 		return nil
 	}
-	r.read = false
-	r.asked = false
-	return r.ask(now)
+	r.recordRead = false
+	r.requested = false
+	return r.requestRecord(now)
 }
 
 func (r *Rank) message(kind Kind) Message {
-	return Message{Kind: kind, Group: r.group, Rank: r.id, Incarnation: r.incarnation, Token: r.token}
+	return Message{Kind: kind, Group: r.group, Rank: r.id, Incarnation: r.incarnation, Token: r.highestToken}
 }
 
-func (r *Rank) waiting() Message {
+func (r *Rank) holdingMessage() Message {
 	m := r.message(KindHolding)
-	m.Epoch, m.Step = r.record.PendingEpoch, r.at
+	m.Epoch, m.Step = r.record.PendingEpoch, r.position
 	return m
 }
 
-func (r *Rank) prepared() Message {
+func (r *Rank) preparedMessage() Message {
 	m := r.message(KindPrepared)
-	m.Epoch, m.Step = r.record.PendingEpoch, r.at
+	m.Epoch, m.Step = r.record.PendingEpoch, r.position
 	return m
 }
 
-func (r *Rank) promised() Message {
+func (r *Rank) promisedMessage() Message {
 	m := r.message(KindPromised)
 	m.Token, m.Epoch, m.Step = r.promise.Token, r.promise.Epoch, r.promise.Step
 	return m
 }
 
-func (r *Rank) refuse(request Message, reason Reason) Message {
+func (r *Rank) refusal(request Message, reason Reason) Message {
 	m := r.message(KindRefused)
-	m.Epoch, m.Step, m.Reason = request.Epoch, r.at, reason
+	m.Epoch, m.Step, m.Reason = request.Epoch, r.position, reason
 	return m
 }
--- a/group/mapswitch/restart_test.go
+++ b/group/mapswitch/restart_test.go
@@ -8,60 +8,62 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// TestRestartedRankRefusesOldToken lets a request of a replaced coordinator
-// reach a rank that restarted after it had promised a lower step to the new one.
+// TestRestartedRankRefusesOldToken delivers a late promise request of a replaced
+// coordinator to a rank that has restarted since the new coordinator took over. Before
+// the restart it may have promised a lower step to the new coordinator, so it must
+// refuse the old request because of its fencing token.
 func TestRestartedRankRefusesOldToken(t *testing.T) {
 	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Restart, proof.Late}, Step: "promise asked for by a replaced coordinator", Together: true,
 		Guard: "both uses of the fencing token at a rank, each alone"}.Log(t)
 	is := is.New(t)
-	w := newWorld(2)
-	w.replace(Options{LeadSteps: 6})
-	w.settle()
-	w.run(0)
-	w.run(1)
-	effects, err := w.coords[0].Propose(0, testMap(1))
+	c := newCluster(2)
+	c.addCoordinator(Options{LeadSteps: 6})
+	c.deliverAll()
+	c.runStep(0)
+	c.runStep(1)
+	effects, err := c.coords[0].Propose(0, testMap(1))
 	is.NoErr(err)
-	w.effects(effects)
-	late := w.settle()[KindPromise] // promises step 6 to token 1
+	c.collectEffects(effects)
+	late := c.deliverAll()[KindPromise] // asks for a promise of step 6 with token 1
 
-	w.replace(Options{LeadSteps: 2})
-	w.apply(0, Entry{Kind: EntryAdopt, Group: testGroup, Token: 2, Epoch: 2})
-	is.Equal(w.record.Token, uint64(2))
-	w.crash(0, late.Rank, false)
-	for _, m := range w.sent {
+	c.addCoordinator(Options{LeadSteps: 2})
+	c.apply(0, Entry{Kind: EntryAdopt, Group: testGroup, Token: 2, Epoch: 2})
+	is.Equal(c.record.Token, uint64(2))
+	c.crash(0, late.Rank, false)
+	for _, m := range c.sent {
 		if m.Kind == KindRead {
-			w.deliver(0, m)
+			c.deliver(0, m)
 		}
 	}
-	for _, m := range w.sent {
+	for _, m := range c.sent {
 		if m.Kind == KindRecord {
-			w.deliver(0, m)
+			c.deliver(0, m)
 		}
 	}
-	w.sent = nil
-	w.run(late.Rank)
-	w.deliver(0, late)
-	is.Equal(len(w.sent), 1)
-	is.Equal(w.sent[0].Reason, ReasonFenced)
-	_, step := w.ranks[late.Rank].Promise()
+	c.sent = nil
+	c.runStep(late.Rank)
+	c.deliver(0, late)
+	is.Equal(len(c.sent), 1)
+	is.Equal(c.sent[0].Reason, ReasonFenced)
+	_, step := c.ranks[late.Rank].Promise()
 	is.Equal(step, uint64(0))
 }
 
-// settle delivers everything once and returns the last message of each kind.
-// Decisions stay uncommitted.
-func (w *world) settle() map[Kind]Message {
+// deliverAll delivers everything once and returns the last message of each kind.
+// Commit decisions are dropped.
+func (c *cluster) deliverAll() map[Kind]Message {
 	last := map[Kind]Message{}
-	for len(w.sent) > 0 || len(w.proposed) > 0 {
-		sent, proposed := w.sent, w.proposed
-		w.sent, w.proposed = nil, nil
+	for len(c.sent) > 0 || len(c.proposed) > 0 {
+		sent, proposed := c.sent, c.proposed
+		c.sent, c.proposed = nil, nil
 		for _, e := range proposed {
 			if e.Kind != EntryCommit {
-				w.apply(0, e)
+				c.apply(0, e)
 			}
 		}
 		for _, m := range sent {
 			last[m.Kind] = m
-			w.deliver(0, m)
+			c.deliver(0, m)
 		}
 	}
 	return last
--- a/group/mapswitch/sim_test.go
+++ b/group/mapswitch/sim_test.go
@@ -9,7 +9,7 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// event is something that happens at a time, in milliseconds.
+// event is an action scheduled for a time in milliseconds.
 type event struct {
 	at, order uint64
 	act       func()
@@ -29,45 +29,45 @@
 	return last
 }
 
-// faultyUntil is when the network heals, endsAt when the run ends.
+// faultyUntil is when the network heals, endsAt when the run ends, in milliseconds.
 const (
 	faultyUntil = uint64(3000)
 	endsAt      = uint64(6000)
 )
 
-// sim drives a world over a network that loses, doubles and delays.
+// sim runs a cluster over a network that loses, duplicates and delays messages.
 type sim struct {
-	*world
-	rng   *rand.Rand
-	queue events
-	now   uint64
-	order uint64
-	cut   []uint64 // until when each rank is cut off
-	deaf  []uint64 // until when nothing reaches each rank, which is still heard
-	stall []uint64 // until when each engine stands still
-	loads []Message
-	begun int
+	*cluster
+	rng             *rand.Rand
+	queue           events
+	now             uint64
+	order           uint64
+	cutUntil        []uint64 // until when each rank is cut off in both directions
+	inboundCutUntil []uint64 // until when nothing reaches each rank, while its own messages arrive
+	stalledUntil    []uint64 // until when each engine is stalled
+	loads           []Message
+	begun           int
 }
 
 func newSim(ranks int, seed uint64) *sim {
-	s := &sim{world: newWorld(ranks), rng: rand.New(rand.NewPCG(seed, 1))}
-	s.cut, s.deaf, s.stall = make([]uint64, ranks), make([]uint64, ranks), make([]uint64, ranks)
-	s.orders, s.holds = &s.loads, make([]map[uint64]bool, ranks)
-	for i := range s.holds {
-		s.holds[i] = map[uint64]bool{1: true}
+	s := &sim{cluster: newCluster(ranks), rng: rand.New(rand.NewPCG(seed, 1))}
+	s.cutUntil, s.inboundCutUntil, s.stalledUntil = make([]uint64, ranks), make([]uint64, ranks), make([]uint64, ranks)
+	s.deferredLoads, s.loadedEpochs = &s.loads, make([]map[uint64]bool, ranks)
+	for i := range s.loadedEpochs {
+		s.loadedEpochs[i] = map[uint64]bool{1: true}
 	}
-	s.replace(Options{})
+	s.addCoordinator(Options{})
 	for rank := range ranks {
-		s.every(4, func() { s.turn(rank) })
+		s.every(4, func() { s.runUnlessStalled(rank) })
 		s.every(10, func() { s.tickRank(s.now, rank) })
 	}
 	s.every(10, func() {
 		for i := range s.coords {
-			s.effects(s.coords[i].Tick(ms(s.now)))
+			s.collectEffects(s.coords[i].Tick(ms(s.now)))
 		}
 	})
 	s.every(150, func() { s.propose() })
-	s.every(60, func() { s.fault() })
+	s.every(60, func() { s.injectFault() })
 	return s
 }
 
@@ -85,9 +85,9 @@
 	s.after(period, func() { s.repeat(period, act) })
 }
 
-func (s *sim) turn(rank int) {
-	if s.now >= s.stall[rank] {
-		s.run(rank)
+func (s *sim) runUnlessStalled(rank int) {
+	if s.now >= s.stalledUntil[rank] {
+		s.runStep(rank)
 	}
 }
 
@@ -96,10 +96,10 @@
 	if err == nil {
 		s.begun++
 	}
-	s.effects(effects)
+	s.collectEffects(effects)
 }
 
-func (s *sim) fault() {
+func (s *sim) injectFault() {
 	if s.now >= faultyUntil {
 		return
 	}
@@ -108,19 +108,19 @@
 	case 0:
 		s.crash(s.now, rank, s.rng.IntN(2) == 0)
 	case 1:
-		s.cut[rank] = s.now + 300
+		s.cutUntil[rank] = s.now + 300
 	case 2:
-		s.stall[rank] = s.now + 100
+		s.stalledUntil[rank] = s.now + 100
 	case 4:
-		s.deaf[rank] = s.now + 300
+		s.inboundCutUntil[rank] = s.now + 300
 	case 3:
 		if len(s.coords) < 8 {
-			s.replace(Options{})
+			s.addCoordinator(Options{})
 		}
 	}
 }
 
-// transmit schedules what was emitted.
+// transmit schedules the delivery of what was emitted.
 func (s *sim) transmit() {
 	for _, m := range s.sent {
 		copies := 1
@@ -128,7 +128,7 @@
 			copies = []int{0, 1, 1, 1, 1, 1, 1, 1, 1, 2}[s.rng.IntN(10)]
 		}
 		for range copies {
-			s.after(s.latency(), func() { s.arrive(m) })
+			s.after(s.latency(), func() { s.receive(m) })
 		}
 	}
 	for _, e := range s.proposed {
@@ -136,7 +136,7 @@
 	}
 	for _, m := range s.loads {
 		s.after(5+s.rng.Uint64N(20), func() {
-			s.holds[m.Rank][m.Epoch] = true
+			s.loadedEpochs[m.Rank][m.Epoch] = true
 			m.Kind = KindLoaded
 			s.emit(s.ranks[m.Rank].Step(ms(s.now), m))
 		})
@@ -151,15 +151,15 @@
 	return 1 + s.rng.Uint64N(3)
 }
 
-func (s *sim) arrive(m Message) {
-	deaf := m.Kind.Destination() == ToRank && s.now < s.deaf[m.Rank]
-	if s.now >= s.cut[m.Rank] && !deaf {
+func (s *sim) receive(m Message) {
+	inboundCut := m.Kind.Destination() == ToRank && s.now < s.inboundCutUntil[m.Rank]
+	if s.now >= s.cutUntil[m.Rank] && !inboundCut {
 		s.deliver(s.now, m)
 	}
 }
 
-func (s *sim) play(until uint64) {
-	for len(s.queue) > 0 && s.now < until && s.broken == "" {
+func (s *sim) runUntil(until uint64) {
+	for len(s.queue) > 0 && s.now < until && s.violation == "" {
 		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
 		e.act()
@@ -167,8 +167,9 @@
 	}
 }
 
-// TestLargeGroupsUnderFaults runs groups of 16 and 64 ranks by seed through
-// restarts, stalls, cuts and replaced coordinators, then heals the network.
+// TestLargeGroupsUnderFaults runs groups of 4, 16 and 64 ranks with various seeds
+// through restarts, stalls, network cuts and replaced coordinators, then heals the
+// network and checks that the groups make progress.
 func TestLargeGroupsUnderFaults(t *testing.T) {
 	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Kill, proof.Restart, proof.StalledRank, proof.CutOneWay, proof.CutBothWays, proof.Late, proof.Doubled, proof.Crossed, proof.Lost}, Step: "every step of switches of 4, 16 and 64 ranks", Together: true,
 		Guard: "each alone: the promise, the check that a map is loaded, revisions only grow"}.Log(t)
@@ -178,14 +179,14 @@
 			var committed, begun, coordinators uint64
 			for seed := range uint64(size.seeds) {
 				s := newSim(size.ranks, seed)
-				s.play(faultyUntil + 1000)
-				middle := s.completed()
-				s.play(endsAt)
-				if s.broken != "" {
-					t.Fatalf("seed %d: %s", seed, s.broken)
+				s.runUntil(faultyUntil + 1000)
+				middle := s.completedSteps()
+				s.runUntil(endsAt)
+				if s.violation != "" {
+					t.Fatalf("seed %d: %s", seed, s.violation)
 				}
-				if s.completed() < middle+300 {
-					t.Fatalf("seed %d: stuck at step %d\n%+v\n%+v", seed, s.completed(), s.record, s.coords[len(s.coords)-1])
+				if s.completedSteps() < middle+300 {
+					t.Fatalf("seed %d: stuck at step %d\n%+v\n%+v", seed, s.completedSteps(), s.record, s.coords[len(s.coords)-1])
 				}
 				begun += uint64(s.begun)
 				committed += s.record.Epoch
--- a/group/mapswitch/sole_test.go
+++ b/group/mapswitch/sole_test.go
@@ -9,9 +9,9 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// begun proposes the next switch of a coordinator, or lets it adopt the pending one, and
-// returns the messages that follow and the record.
-func begun(t *testing.T, c *Coordinator, record Record) ([]Effect, Record) {
+// beginSwitch lets a coordinator propose its next switch, or adopt the pending one, and
+// returns the resulting effects and record.
+func beginSwitch(t *testing.T, c *Coordinator, record Record) ([]Effect, Record) {
 	t.Helper()
 	var effects []Effect
 	if record.PendingEpoch != 0 {
@@ -26,8 +26,9 @@
 	return c.Committed(0, next), next
 }
 
-// TestOnlyTheFirstCoordinatorIsSole tells ranks that nobody else has asked for a step only as long
-// as that is so: not after an adoption of the first switch, and not in a later term.
+// TestOnlyTheFirstCoordinatorIsSole checks that a coordinator claims to be the only one that
+// has asked for a promise only while that is true: not if it adopted the first switch, and
+// not in a later term.
 func TestOnlyTheFirstCoordinatorIsSole(t *testing.T) {
 	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Restart}, Step: "a host starts again, and the coordinator is another one than before",
 		Guard: "Coordinator.sole: only who began the first switch of a formation is"}.Log(t)
@@ -37,21 +38,21 @@
 	is.NoErr(err)
 
 	first := NewCoordinator("g", 2, 1, record, Options{})
-	effects, pending := begun(t, first, record)
+	effects, pending := beginSwitch(t, first, record)
 	is.Equal(len(effects), 2)
 	is.True(effects[0].Message.Sole)
 
 	adopting := NewCoordinator("g", 2, 2, pending, Options{})
-	effects, _ = begun(t, adopting, pending)
+	effects, _ = beginSwitch(t, adopting, pending)
 	is.Equal(len(effects), 2)
 	is.True(!effects[0].Message.Sole)
 
 	decided, err := pending.Apply(Entry{Kind: EntryAbort, Token: 1, Epoch: 2})
 	is.NoErr(err)
 	first.Committed(0, decided)
-	effects, _ = begun(t, first, decided)
-	is.True(effects[0].Message.Sole) // it asked for all that was asked for
+	effects, _ = beginSwitch(t, first, decided)
+	is.True(effects[0].Message.Sole) // all earlier requests were its own
 	later := NewCoordinator("g", 2, 2, decided, Options{})
-	effects, _ = begun(t, later, decided)
+	effects, _ = beginSwitch(t, later, decided)
 	is.True(!effects[0].Message.Sole)
 }
