--- a/group/balance/balance_test.go
+++ b/group/balance/balance_test.go
@@ -28,8 +28,9 @@
 	return out
 }
 
-// TestMapsStayValid checks that every map built or improved is valid, that the
-// running sums of an improved layer are right, and that it is no worse.
+// TestMapsStayValid checks that every map built or improved is valid, that an improved
+// map has no higher step load, and that the incrementally updated rank loads of an
+// improved layer are correct.
 func TestMapsStayValid(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(50) {
@@ -37,7 +38,7 @@
 		shape := group.Shape{Layers: 2, Experts: 20 + rng.IntN(30), Ranks: 8, Slots: 7, Zones: []int{0, 0, 0, 1, 1, 1, 2, 2}}
 		load, cost := randomLoad(rng, shape), ones(shape.Ranks)
 		cost[3] = 1.5
-		is.NoErr(Greedy(shape, load, cost).Validate(shape)) // seed decides the shape
+		is.NoErr(Greedy(shape, load, cost).Validate(shape)) // the seed determines the shape
 		before := group.RoundRobin(shape)
 		after := Improve(shape, before, load, cost, 40)
 		is.NoErr(after.Validate(shape))
@@ -47,13 +48,14 @@
 
 		l := newLayer(shape, before.Clone().Layer(0), load[:shape.Experts], cost)
 		improveLayer(l, 0, 40)
-		for rank, sum := range l.rank {
+		for rank, sum := range l.rankLoads {
 			is.True(math.Abs(sum-l.rankLoad(rank)) < 1e-6)
 		}
 	}
 }
 
-// benchConfig is a group of the given size at the evenness of Nawras.
+// benchConfig returns the configuration of a group of the given shape, with the evenness of
+// the Nawras deployment in measure/balancing.
 func benchConfig(shape group.Shape) Config {
 	return Config{
 		Shape: shape, Evenness: 0.9, StepTime: 4500 * time.Microsecond, TokenTime: 2.25e-3 / float64(1024*shape.Layers),
@@ -62,8 +64,8 @@
 	}
 }
 
-// BenchmarkDecide times a decision on a group whose popularity has just changed
-// in every layer, so that all moves allowed are looked for.
+// BenchmarkDecide measures a decision for a group in which the popularity of experts has
+// just changed in every layer, so that the search uses all allowed moves.
 func BenchmarkDecide(b *testing.B) {
 	for _, shape := range []group.Shape{
 		{Layers: 15, Experts: 64, Ranks: 16, Slots: 6},
@@ -75,7 +77,7 @@
 		b.Run(fmt.Sprintf("%dranks_%dexperts_%dlayers", shape.Ranks, shape.Experts, shape.Layers), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 1))
 			config := benchConfig(shape)
-			config.Ablation.NoMargin = true // every layer counts as improvable
+			config.Ablation.NoMargin = true // every layer is a candidate
 			balancer, err := New(config)
 			if err != nil {
 				b.Fatal(err)
@@ -91,10 +93,10 @@
 				balancer.Observe(load, nil)
 			}
 			if d := balancer.Decide(current); d.Moves == 0 {
-				b.Fatal("nothing to decide")
+				b.Fatal("the balancer found no moves")
 			}
 			for b.Loop() {
-				balancer.fresh = true
+				balancer.newObservations = true
 				balancer.Decide(current)
 			}
 		})
--- a/group/balance/follow.go
+++ b/group/balance/follow.go
@@ -8,32 +8,32 @@
 )
 
 // FollowConfig describes a group whose demand jumps every few seconds and stays
-// as it is between two jumps, and whose experts are copied from rank to rank in
-// fractions of a second: a switch has to pay before the next jump.
+// the same between two jumps, and whose experts are copied from rank to rank in
+// fractions of a second: a switch has to pay off before the next jump.
 type FollowConfig struct {
 	// Shape is the group's shape.
 	Shape group.Shape
-	// Reach bounds what one switch may bring to a rank.
+	// Limits bounds the experts that one switch may copy to a rank.
 	Limits MoveLimits
-	// Fixed is the part of a step, relative to the mean time that a rank spends on
-	// experts, that no map changes.
+	// FixedRatio is the part of the step time that does not depend on the map, relative
+	// to the mean time that a rank spends on experts.
 	FixedRatio float64
-	// CopySeconds is the time to copy one expert to a rank, CopySlow the part by
-	// which steps take longer meanwhile.
+	// CopySeconds is the time to copy one expert to a rank, CopySlowdown the fraction
+	// by which steps take longer during copying.
 	CopySeconds, CopySlowdown float64
-	// OrderSeconds is the part of a switch's time in which nothing is copied: the
-	// orders, the promises of all ranks and the decision.
+	// CoordinationSeconds is the part of a switch's time in which nothing is copied:
+	// the orders, the promises of all ranks and the decision.
 	CoordinationSeconds float64
-	// StallSeconds is what a switch costs besides, and MoveSeconds what the
-	// deployment pays for each expert copied, in seconds of steps.
+	// StallSeconds is what a switch costs in addition to its copies, and MoveSeconds
+	// what the deployment pays for each expert copied, in seconds of step time.
 	StallSeconds, MoveSeconds float64
-	// HoldSeconds is how long a new map is expected to be of use.
+	// LifetimeSeconds is how long a new map is expected to be of use.
 	LifetimeSeconds float64
-	// Smoothing is the weight of the newest observation while demand stays, above
-	// 0 and at most 1.
+	// Smoothing is the weight of the newest observation while demand stays the same,
+	// above 0 and at most 1.
 	Smoothing float64
-	// Jump is the distance between two distributions, 0 to 1, from which on one is
-	// another demand and not the noise of the same.
+	// JumpThreshold is the total variation distance between two load distributions, 0
+	// to 1, from which on they count as different demand rather than noise.
 	JumpThreshold float64
 }
 
@@ -44,26 +44,28 @@
 	layers []demand
 	load   []float64
 	cost   []float64
-	// declined is the last decision not to switch.
-	declined declined
-	// stall is what SetStall has set.
+	// lastRejection is the last decision not to switch.
+	lastRejection rejection
+	// stall is the cost set by SetStall.
 	stall float64
-	// unit and pause are what SetPace has set.
-	unit, pause time.Duration
-	// changed is the number of layers whose demand jumped in the last observation.
-	changed int
+	// unitTime and maxPause are the times set by SetStepTime.
+	unitTime, maxPause time.Duration
+	// changedLayers is the number of layers whose demand jumped in the last observation.
+	changedLayers int
 }
 
-// demand is what is known of the demand in one layer. An observation in which a
-// jump falls is a mixture of two demands: what is left of it without the former
-// one is the first estimate of the next, which the next observation replaces.
+// demand is the estimated distribution of the load of one layer over its experts. An
+// observation during which demand jumps is a mixture of the old and the new
+// distribution: what remains of it after subtracting the old one is the first estimate
+// of the new one, which the next observation replaces.
 type demand struct {
 	estimate []float64
-	// fresh is true for an estimate that is what was left of a mixture.
-	fresh bool
+	// provisional is true for a first observation and for an estimate that was
+	// extracted from a mixture.
+	provisional bool
 }
 
-// NewFollower returns a follower that has seen nothing.
+// NewFollower returns a follower without any observations.
 func NewFollower(config FollowConfig) *Follower {
 	shape := config.Shape
 	f := &Follower{
@@ -76,93 +78,95 @@
 	return f
 }
 
-// Observe takes in the tokens per step of every expert, by layer.
+// Observe records the tokens per step of every expert, by layer.
 func (f *Follower) Observe(load []float64) {
 	experts := f.config.Shape.Experts
-	f.changed = 0
+	f.changedLayers = 0
 	for n := range f.layers {
 		if f.layers[n].observe(load[n*experts:(n+1)*experts], &f.config) {
-			f.changed++
+			f.changedLayers++
 		}
 		copy(f.load[n*experts:(n+1)*experts], f.layers[n].estimate)
 	}
 }
 
-// Jumped reports whether the last observation showed another demand than the ones
-// before, in most layers: they change together.
-func (f *Follower) Jumped() bool { return 2*f.changed > len(f.layers) }
+// Jumped reports whether the last observation showed a change of demand in most
+// layers; layers change together.
+func (f *Follower) Jumped() bool { return 2*f.changedLayers > len(f.layers) }
 
-// SetStall sets what a switch is expected to cost beside its copies, in seconds of steps,
-// on top of FollowConfig.StallSeconds.
+// SetStall sets the expected cost of a switch other than its copies, in seconds of step
+// time, in addition to FollowConfig.StallSeconds.
 func (f *Follower) SetStall(seconds float64) { f.stall = seconds }
 
-// SetPace sets the time of a step for each unit of its relative time, as Pace learns it,
-// and the longest pause between two steps that callers were promised, zero for none. Until
-// the former is known every shorter step is worth what it saves.
-func (f *Follower) SetStepTime(unit, pause time.Duration) { f.unit, f.pause = unit, pause }
+// SetStepTime sets unit, the step time per unit of relative step time, as StepTimeEstimator
+// estimates it, and pause, the longest pause between two steps that callers were promised, zero
+// for none. While unit is zero, which means unknown, a shorter step is worth exactly
+// the time that it saves.
+func (f *Follower) SetStepTime(unit, pause time.Duration) { f.unitTime, f.maxPause = unit, pause }
 
-// Relative is the time of a step under a map, relative to the mean time that a rank spends
-// on experts.
+// RelativeStepTime returns the time of a step under a map, relative to the mean time that a
+// rank spends on experts.
 func (f *Follower) RelativeStepTime(m group.Map) float64 { return f.config.FixedRatio + f.Skew(m) }
 
 func (f *Follower) stallSeconds() float64 { return f.config.StallSeconds + f.stall }
 
-// SetHold sets for how long demand is expected to stay as it is, in seconds.
+// SetLifetime sets for how long demand is expected to stay the same, in seconds.
 func (f *Follower) SetLifetime(seconds float64) { f.config.LifetimeSeconds = seconds }
 
-// observe takes in an observation, and reports whether it shows another demand.
+// observe records an observation and reports whether it shows a change of demand.
 func (d *demand) observe(load []float64, config *FollowConfig) (jumped bool) {
-	share := shares(load)
+	share := normalize(load)
 	switch {
 	case share == nil:
 		return false
 	case d.estimate == nil:
-		d.estimate, d.fresh = share, true
-	case distance(share, d.estimate) < config.JumpThreshold:
+		d.estimate, d.provisional = share, true
+	case totalVariation(share, d.estimate) < config.JumpThreshold:
 		weight := config.Smoothing
-		if d.fresh {
+		if d.provisional {
 			weight = 1
 		}
 		for i := range d.estimate {
 			d.estimate[i] += weight * (share[i] - d.estimate[i])
 		}
-		d.fresh = false
-	case d.fresh:
-		// The estimate was only what was left of a mixture; this is better.
+		d.provisional = false
+	case d.provisional:
+		// The estimate was only provisional; the new observation is better.
 		d.estimate = share
 	default:
-		d.estimate, d.fresh = without(share, d.estimate), true
+		d.estimate, d.provisional = subtractDemand(share, d.estimate), true
 		return true
 	}
 	return false
 }
 
-// leastPart is the part of a mixture that the next demand must have before what
-// is left without the former one is told from noise.
-const leastPart = 0.2
+// minNextShare is the share of the new demand in a mixture below which what remains
+// after subtracting the old demand cannot be told from noise.
+const minNextShare = 0.2
 
-// without returns what is left of a mixture without the former demand. Its part
-// shows in what the former's busiest expert has lost.
-func without(mixture, former []float64) []float64 {
+// subtractDemand returns what remains of a mixture after subtracting the old demand.
+// The share of the old demand is estimated by how much the load of its busiest expert
+// has dropped.
+func subtractDemand(mixture, old []float64) []float64 {
 	busiest := 0
-	for i := range former {
-		if former[i] > former[busiest] {
+	for i := range old {
+		if old[i] > old[busiest] {
 			busiest = i
 		}
 	}
-	old := min(mixture[busiest]/former[busiest], 1)
-	if 1-old < leastPart {
+	oldShare := min(mixture[busiest]/old[busiest], 1)
+	if 1-oldShare < minNextShare {
 		return mixture
 	}
-	left := make([]float64, len(mixture))
-	for i := range left {
-		left[i] = max(mixture[i]-old*former[i], 0)
+	rest := make([]float64, len(mixture))
+	for i := range rest {
+		rest[i] = max(mixture[i]-oldShare*old[i], 0)
 	}
-	return shares(left)
+	return normalize(rest)
 }
 
-// shares returns a load as parts of its sum, nil if there is none.
-func shares(load []float64) []float64 {
+// normalize returns a load as fractions of its sum, or nil if the sum is zero.
+func normalize(load []float64) []float64 {
 	var sum float64
 	for _, tokens := range load {
 		sum += tokens
@@ -177,9 +181,8 @@
 	return share
 }
 
-// distance is the part of one distribution that would have to move to make it the
-// other.
-func distance(a, b []float64) float64 {
+// totalVariation returns the total variation distance between two distributions.
+func totalVariation(a, b []float64) float64 {
 	var sum float64
 	for i := range a {
 		sum += math.Abs(a[i] - b[i])
@@ -187,80 +190,83 @@
 	return sum / 2
 }
 
-// Decide weighs the best maps within reach against the present one, from one copy a
-// rank upwards. A switch of few copies is in force soon and leaves a part of the skew,
-// which the next one takes off; a switch of many takes longer and saves the second one's
-// orders. It takes the one that saves most until demand is expected to change, with
-// what would still follow it.
+// Decide compares the best maps within the limits with the current one, from one copy per
+// rank upwards. A switch of few copies is in force soon and leaves some of the skew,
+// which the next switch removes; a switch of many takes longer but saves the coordination
+// time of a second one. Decide chooses the option that saves most until demand is expected
+// to change, including the savings of a follow-up switch.
 func (f *Follower) Decide(current group.Map) Decision {
 	shape := f.config.Shape
 	before, mean := StepLoad(shape, current, f.load, f.cost)
-	if mean <= 0 || f.settled(current, before/mean) {
+	if mean <= 0 || f.alreadyRejected(current, before/mean) {
 		return Decision{}
 	}
 	p := newPlan(shape, current, f.load, f.cost, f.config.Limits)
 	options := make([]option, 0, f.config.Limits.Total)
-	for copies := 1; copies <= f.config.Limits.Total && worthMore(options); copies++ {
+	for copies := 1; copies <= f.config.Limits.Total && shouldExtend(options); copies++ {
 		p.extend(copies)
-		options = append(options, f.weigh(current, p.current.Clone(), before, mean))
+		options = append(options, f.evaluate(current, p.current.Clone(), before, mean))
 	}
 	var best Decision
-	var most float64
+	var bestValue float64
 	for i, o := range options {
-		if value := f.value(o, options[i+1:]); o.Switch && value > most {
-			best, most = o.Decision, value
+		if value := f.netValue(o, options[i+1:]); o.Switch && value > bestValue {
+			best, bestValue = o.Decision, value
 		}
 	}
 	if !best.Switch {
-		f.declined = declined{digest: current.Digest(), skew: before / mean, hold: f.config.LifetimeSeconds, stall: f.stall, unit: f.unit}
+		f.lastRejection = rejection{digest: current.Digest(), skew: before / mean, lifetime: f.config.LifetimeSeconds, stall: f.stall, unitTime: f.unitTime}
 	}
 	return best
 }
 
-// futile is how many further copies a rank may bring less than the best number of them before
-// more are not looked for: each takes some milliseconds of the leader's processor in a
-// large group, for which all else waits.
-const futile = 2
+// maxWorseOptions is the number of options with more copies, none better than the best so
+// far, after which Decide stops looking for others: in a large group each takes some
+// milliseconds of the leader's processor time, during which everything else waits.
+const maxWorseOptions = 2
 
-// worthMore reports whether options of more copies may be better than the best so far.
-func worthMore(options []option) bool {
+// shouldExtend reports whether to evaluate an option with one more copy per rank.
+func shouldExtend(options []option) bool {
 	best := 0
 	for i, o := range options {
 		if o.Gain-o.Cost > options[best].Gain-options[best].Cost {
 			best = i
 		}
 	}
-	return len(options)-1-best < futile || len(options) == 0
+	return len(options)-1-best < maxWorseOptions || len(options) == 0
 }
 
-// declined is what a decision not to switch was made on. It stands until the skew has
-// grown: looking for a better map takes tens of milliseconds in a large group.
-type declined struct {
-	digest uint64
-	skew   float64
-	hold   float64
-	stall  float64
-	unit   time.Duration
+// rejection holds the inputs of a decision not to switch. The decision stands until they
+// change in favour of a switch, as when the skew grows: looking for a better map takes tens
+// of milliseconds in a large group.
+type rejection struct {
+	digest   uint64
+	skew     float64
+	lifetime float64
+	stall    float64
+	unitTime time.Duration
 }
 
-// noticeable is the change of the skew, and of the time for which demand is expected to
-// stay, that makes a new look worth while.
-const noticeable = 0.03
+// skewTolerance is the relative growth of the skew, and the relative decrease of the stall
+// cost, beyond which a rejection is reconsidered.
+const skewTolerance = 0.03
 
-// slower is the change of the pace that makes a new look worth while; counted passes
-// scatter by a tenth.
-const slower = 1.15
+// stepTimeTolerance is the factor by which the step time must grow for a rejection to be
+// reconsidered; measured step times vary by a tenth.
+const stepTimeTolerance = 1.15
 
-// settled reports whether it was decided on the present map and skew not to switch.
-func (f *Follower) settled(current group.Map, skew float64) bool {
-	d := f.declined
-	if f.stall < d.stall*(1-noticeable) || f.unit > time.Duration(float64(d.unit)*slower) {
+// alreadyRejected reports whether the last rejection still stands for the current map and
+// skew.
+func (f *Follower) alreadyRejected(current group.Map, skew float64) bool {
+	d := f.lastRejection
+	if f.stall < d.stall*(1-skewTolerance) || f.unitTime > time.Duration(float64(d.unitTime)*stepTimeTolerance) {
 		return false
 	}
-	return d.digest == current.Digest() && skew <= d.skew*(1+noticeable) && f.config.LifetimeSeconds <= d.hold*2
+	return d.digest == current.Digest() && skew <= d.skew*(1+skewTolerance) && f.config.LifetimeSeconds <= d.lifetime*2
 }
 
-// Skew returns the load of the busiest ranks over the mean, under a map.
+// Skew returns the ratio of the load of the busiest ranks to the mean load under a map,
+// over all layers.
 func (f *Follower) Skew(m group.Map) float64 {
 	busiest, mean := StepLoad(f.config.Shape, m, f.load, f.cost)
 	if mean <= 0 {
--- a/group/balance/follow_test.go
+++ b/group/balance/follow_test.go
@@ -17,7 +17,8 @@
 	}
 }
 
-// follow plays observations and carries out every switch at once.
+// follow passes an observation to the follower and carries out a switch at once. It
+// reports whether there was one.
 func follow(f *Follower, current *group.Map, load []float64) bool {
 	f.Observe(load)
 	decision := f.Decide(*current)
@@ -27,7 +28,7 @@
 	return decision.Switch
 }
 
-func TestNoiseAloneSettlesAndSwitchesNoMore(t *testing.T) {
+func TestNoiseAloneCausesNoFurtherSwitches(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(3, 4))
 	f, current := NewFollower(followConfig()), group.RoundRobin(followShape)
@@ -42,14 +43,15 @@
 		}
 	}
 	is.True(switches >= 1)
-	is.True(late <= 2) // once even, it stays as it is
+	is.True(late <= 2) // an even map is kept
 	is.True(f.Skew(current) < 1.25)
 }
 
-// TestAJumpIsFollowedAtOnce cuts a jump into an observation at several places:
-// what is left of the mixture without the former demand shows the next one.
+// TestAJumpIsFollowedAtOnce places a jump at several points within an observation. The
+// follower must subtract the old demand from the mixture and switch to a map for the new
+// one.
 func TestAJumpIsFollowedAtOnce(t *testing.T) {
-	for _, part := range []float64{0.3, 0.5, 0.8, 1} {
+	for _, newShare := range []float64{0.3, 0.5, 0.8, 1} {
 		is := is.New(t)
 		rng := rand.New(rand.NewPCG(5, 6))
 		f, current := NewFollower(followConfig()), group.RoundRobin(followShape)
@@ -60,7 +62,7 @@
 			}
 			mixture := make([]float64, len(old))
 			for i := range mixture {
-				mixture[i] = old[i]*(1-part) + next[i]*part
+				mixture[i] = old[i]*(1-newShare) + next[i]*newShare
 			}
 			is.True(follow(f, &current, noisy(mixture, rng)))
 			busiest, mean := StepLoad(followShape, current, next, ones(16))
@@ -74,7 +76,7 @@
 	}
 }
 
-func TestAFollowerThatHasSeenNothingProposesNothing(t *testing.T) {
+func TestAFollowerWithoutObservationsProposesNothing(t *testing.T) {
 	is := is.New(t)
 	f := NewFollower(followConfig())
 	is.True(!f.Decide(group.RoundRobin(followShape)).Switch)
@@ -82,30 +84,29 @@
 	is.True(!f.Decide(group.RoundRobin(followShape)).Switch)
 }
 
-// TestFewCopiesComeFirst weighs a switch right after a jump: the one that is in
-// force soonest is taken if it saves most for its time, and a large one only for
-// what is left.
+// TestFewCopiesComeFirst decides right after a jump: a switch of few copies, which is in
+// force soonest, comes first, and a larger one only removes the remaining skew.
 func TestFewCopiesComeFirst(t *testing.T) {
 	is := is.New(t)
 	config := followConfig()
 	config.CoordinationSeconds = 0.09
 	rng := rand.New(rand.NewPCG(7, 8))
-	most := func(f *Follower, current group.Map) int {
+	maxMoves := func(f *Follower, current group.Map) int {
 		return slices.Max(group.Moves(current, f.Decide(current).Map))
 	}
-	first, rest := 0, 0
+	first, second := 0, 0
 	for range 20 {
 		f, current := NewFollower(config), group.RoundRobin(followShape)
 		load := zipfLoad(followShape, rng)
 		for range 3 {
 			f.Observe(noisy(load, rng))
 		}
-		first += most(f, current)
+		first += maxMoves(f, current)
 		current = f.Decide(current).Map
 		if f.Decide(current).Switch {
-			rest += most(f, current)
+			second += maxMoves(f, current)
 		}
 	}
-	is.True(first <= 25)   // one copy a rank, mostly
-	is.True(rest >= first) // and more at a time afterwards
+	is.True(first <= 25)     // mostly one copy per rank
+	is.True(second >= first) // and more at a time afterwards
 }
--- a/group/balance/forecast.go
+++ b/group/balance/forecast.go
@@ -3,22 +3,22 @@
 import "math"
 
 const (
-	// longLag is the distance, in observations, of the long differences that
-	// tell drift from noise.
+	// longLag is the lag, in observations, of the long differences that distinguish
+	// drift from noise.
 	longLag = 12
-	// memory is the number of observations over which variances are averaged.
-	memory = 60
+	// varianceWindow is the number of observations over which variances are averaged.
+	varianceWindow = 60
 )
 
 // Forecaster filters the load of the experts of one layer.
 //
 // It is a scalar Kalman filter of the local level model: the logarithm of each
-// load is a random walk seen through noise;
-// each observation moves the level by variance q and shows it with variance r.
-// The mean square of differences over one and over longLag observations gives
-// both, pooled over the experts by their load, because the heavy ones decide
-// which rank is busiest. With no drift q goes to zero and the filter averages;
-// when popularity moves, q grows and the filter follows.
+// load is a random walk observed with noise. Between observations the level moves
+// with variance q, and each observation has noise of variance r. Both are estimated
+// from the mean squares of the differences over one and over longLag observations,
+// pooled over the experts by their load, because the heavily loaded ones determine
+// which rank is busiest. Without drift q goes to zero and the filter averages; when
+// the experts' popularity changes, q grows and the filter follows.
 type Forecaster struct {
 	level     []float64
 	history   [longLag][]float64
@@ -30,8 +30,8 @@
 }
 
 // NewForecaster returns the forecaster of a layer with the given number of
-// experts. If lastValue is set it takes the last observation at its word,
-// which is only of use as a comparison.
+// experts. If lastValue is set, the forecast is the last observation, which is
+// only useful for comparison.
 func NewForecaster(experts int, lastValue bool) *Forecaster {
 	f := &Forecaster{level: make([]float64, experts), lastValue: lastValue}
 	for i := range f.history {
@@ -40,7 +40,7 @@
 	return f
 }
 
-// Observe takes in the load of every expert over the last interval.
+// Observe records the load of every expert over the last interval.
 func (f *Forecaster) Observe(load []float64) {
 	f.updateVariances(load)
 	gain := f.nextGain()
@@ -75,17 +75,17 @@
 	}
 }
 
-// logarithm is defined for idle experts too.
+// logarithm returns a logarithm that is also defined for idle experts.
 func logarithm(tokens float64) float64 { return math.Log(tokens + 1) }
 
-// average is a running mean over the last memory values, count being the number
-// of the new value.
+// average updates a running mean over about the last varianceWindow values; count is the
+// ordinal number of the new value.
 func average(mean, value float64, count int) float64 {
-	return mean + (value-mean)/float64(min(count, memory))
+	return mean + (value-mean)/float64(min(count, varianceWindow))
 }
 
 // nextGain advances the variance of the level and returns the filter's gain.
-// The first observations are averaged: drift is not known yet.
+// The first observations are averaged because drift is not known yet.
 func (f *Forecaster) nextGain() float64 {
 	if f.lastValue {
 		f.variance = f.Noise()
@@ -106,7 +106,7 @@
 	return gain
 }
 
-// Drift returns q, the variance by which a level moves per observation.
+// Drift returns q, the variance of the movement of a level per observation.
 func (f *Forecaster) Drift() float64 {
 	if f.seen < longLag {
 		return 0
@@ -114,10 +114,10 @@
 	return max(0, (f.long-f.short)/(longLag-1))
 }
 
-// Noise returns r, the variance of one observation.
+// Noise returns r, the noise variance of one observation.
 func (f *Forecaster) Noise() float64 { return max(0, (f.short-f.Drift())/2) }
 
-// Ready reports whether there is enough history to tell drift from noise.
+// Ready reports whether there is enough history to distinguish drift from noise.
 func (f *Forecaster) Ready() bool { return f.seen > 4*longLag }
 
 // Load writes the forecast load of every expert.
@@ -127,6 +127,6 @@
 	}
 }
 
-// Variance returns the variance of the forecast logarithm of a load, the given
+// Variance returns the variance of the forecast logarithm of a load, for the given
 // number of observations after the last one.
 func (f *Forecaster) Variance(ahead float64) float64 { return f.variance + ahead*f.Drift() }
--- a/group/balance/greedy.go
+++ b/group/balance/greedy.go
@@ -6,10 +6,10 @@
 	"github.com/lilackeel/lilackeel/group"
 )
 
-// Greedy builds a map from nothing but the loads: spare slots become replicas
-// of the expert with the highest load per replica, then the replicas go,
-// heaviest first, to the rank with the least load that has a slot. It ignores
-// the map in force and thus what the switch costs.
+// Greedy builds a map from the loads alone: spare slots become replicas of the
+// expert with the highest load per replica, then the replicas are assigned,
+// heaviest first, to the least loaded rank that has a free slot. It ignores the
+// map in force and thus the cost of the switch.
 func Greedy(shape group.Shape, load, cost []float64) group.Map {
 	m := group.NewMap(shape)
 	for n := range shape.Layers {
@@ -19,7 +19,7 @@
 }
 
 func greedyLayer(shape group.Shape, slots []uint16, load, cost []float64) {
-	replicas := replicate(shape, load)
+	replicas := chooseReplicas(shape, load)
 	order := make([]int, shape.Experts)
 	for e := range order {
 		order[e] = e
@@ -34,7 +34,7 @@
 		}
 		return a - b
 	})
-	p := &packer{shape: shape, slots: slots, cost: cost, used: make([]int, shape.Ranks), rank: make([]float64, shape.Ranks)}
+	p := &packer{shape: shape, slots: slots, cost: cost, used: make([]int, shape.Ranks), rankLoads: make([]float64, shape.Ranks)}
 	for _, e := range order {
 		for range replicas[e] {
 			p.place(uint16(e), share(e))
@@ -42,8 +42,9 @@
 	}
 }
 
-// replicate gives the spare slots to the experts with the most load per replica.
-func replicate(shape group.Shape, load []float64) []int {
+// chooseReplicas returns the number of replicas of each expert: one, plus the spare slots,
+// which are given to the experts with the highest load per replica.
+func chooseReplicas(shape group.Shape, load []float64) []int {
 	replicas := make([]int, shape.Experts)
 	for e := range replicas {
 		replicas[e] = 1
@@ -64,23 +65,23 @@
 }
 
 type packer struct {
-	shape group.Shape
-	slots []uint16
-	cost  []float64
-	used  []int
-	rank  []float64
+	shape     group.Shape
+	slots     []uint16
+	cost      []float64
+	used      []int
+	rankLoads []float64
 }
 
-// place puts one replica on the least loaded rank that can take it. A replica
-// that fits nowhere is left out; its expert has at least one already.
+// place assigns one replica to the least loaded rank that can take it. A replica
+// that fits nowhere is left out; its expert already has at least one.
 func (p *packer) place(expert uint16, share float64) {
 	best := -1
-	for rank := range p.rank {
+	for rank := range p.rankLoads {
 		held := p.slots[rank*p.shape.Slots : rank*p.shape.Slots+p.used[rank]]
 		if p.used[rank] == p.shape.Slots || slices.Contains(held, expert) {
 			continue
 		}
-		if best < 0 || (p.rank[rank]+share)*p.cost[rank] < (p.rank[best]+share)*p.cost[best] {
+		if best < 0 || (p.rankLoads[rank]+share)*p.cost[rank] < (p.rankLoads[best]+share)*p.cost[best] {
 			best = rank
 		}
 	}
@@ -89,5 +90,5 @@
 	}
 	p.slots[best*p.shape.Slots+p.used[best]] = expert
 	p.used[best]++
-	p.rank[best] += share
+	p.rankLoads[best] += share
 }
--- a/group/balance/improve.go
+++ b/group/balance/improve.go
@@ -14,15 +14,15 @@
 }
 
 // improveLayer changes a layer by the replicas and swaps that lower its busiest
-// rank most per move, until a move gains less than price or the moves are used
-// up. It returns the number of moves.
-func improveLayer(l *layer, price float64, moves int) int {
+// rank most per move, until a move gains no more than minGain or the moves are
+// used up. It returns the number of moves.
+func improveLayer(l *layer, minGain float64, moves int) int {
 	used := 0
 	for used < moves {
 		rank, second := l.busiest()
-		peak := l.rank[rank]
+		peak := l.rankLoads[rank]
 		best, found := l.bestChange(rank, second, moves-used)
-		if !found || (peak-best.peak)/float64(best.moves) <= max(price, peak*1e-9) {
+		if !found || (peak-best.peak)/float64(best.moves) <= max(minGain, peak*1e-9) {
 			return used
 		}
 		l.apply(best)
@@ -43,17 +43,17 @@
 	l.set(c.other, from)
 }
 
-// bestChange looks for the change that takes most off the busiest rank per move.
+// bestChange returns the change that reduces the load of the busiest rank most per move.
 func (l *layer) bestChange(rank int, second float64, moves int) (change, bool) {
-	best := change{peak: l.rank[rank], moves: 1}
+	best := change{peak: l.rankLoads[rank], moves: 1}
 	found := false
 	consider := func(c change) {
-		gain, bestGain := l.rank[rank]-c.peak, l.rank[rank]-best.peak
+		gain, bestGain := l.rankLoads[rank]-c.peak, l.rankLoads[rank]-best.peak
 		if gain*float64(best.moves) > bestGain*float64(c.moves) {
 			best, found = c, true
 		}
 	}
-	for i, expert := range l.of(rank) {
+	for i, expert := range l.rankSlots(rank) {
 		if expert == group.Empty {
 			continue
 		}
@@ -65,89 +65,89 @@
 	return best, found
 }
 
-// considerReplicas offers to put another replica of an expert of the busiest
-// rank into an empty slot, or in place of a replica that can be spared.
+// considerReplicas considers placing another replica of an expert of the busiest
+// rank in an empty slot, or in place of a replica that can be removed.
 func (l *layer) considerReplicas(rank int, expert uint16, second float64, consider func(change)) {
-	before := l.share(expert)
+	before := l.replicaLoad(expert)
 	after := l.load[expert] / float64(l.replicas[expert]+1)
-	eased := l.rank[rank] - (before-after)*l.cost[rank]
+	reduced := l.rankLoads[rank] - (before-after)*l.cost[rank]
 	for slot, old := range l.slots {
 		target := slot / l.shape.Slots
-		if target == rank || l.rank[target] >= l.rank[rank] || old == expert || !l.spareable(old) {
+		if target == rank || l.rankLoads[target] >= l.rankLoads[rank] || old == expert || !l.replaceable(old) {
 			continue
 		}
-		load := l.rank[target] + (after-l.share(old))*l.cost[target]
-		if load >= l.rank[rank] || l.holds(target, expert) {
+		load := l.rankLoads[target] + (after-l.replicaLoad(old))*l.cost[target]
+		if load >= l.rankLoads[rank] || l.holds(target, expert) {
 			continue
 		}
-		peak := max(eased, load, second)
+		peak := max(reduced, load, second)
 		if old != group.Empty {
-			peak = max(peak, l.withoutReplica(old, target, rank, eased))
+			peak = max(peak, l.withoutReplica(old, target, rank, reduced))
 		}
 		consider(change{slot: slot, expert: expert, moves: 1, peak: peak + l.zonePenalty(expert, target)})
 	}
 }
 
 // withoutReplica returns the highest load among the other ranks that hold an
-// expert once its replica on a rank is gone.
-func (l *layer) withoutReplica(expert uint16, from, busiest int, eased float64) float64 {
-	extra := l.extra(expert)
+// expert, once its replica on the rank from is removed.
+func (l *layer) withoutReplica(expert uint16, from, busiest int, reduced float64) float64 {
+	extra := l.extraLoad(expert)
 	var highest float64
-	for _, rank := range l.hosts[expert] {
+	for _, rank := range l.holders[expert] {
 		if rank == from {
 			continue
 		}
-		load := l.rank[rank]
+		load := l.rankLoads[rank]
 		if rank == busiest {
-			load = eased
+			load = reduced
 		}
 		highest = max(highest, load+extra*l.cost[rank])
 	}
 	return highest
 }
 
-// considerSwaps offers to exchange an expert of the busiest rank with a lighter
+// considerSwaps considers exchanging an expert of the busiest rank with a lighter
 // one of another rank.
 func (l *layer) considerSwaps(rank, slot int, second float64, consider func(change)) {
 	expert := l.slots[slot]
-	share := l.share(expert)
+	share := l.replicaLoad(expert)
 	for other, back := range l.slots {
 		target := other / l.shape.Slots
-		if l.rank[target] >= l.rank[rank] {
+		if l.rankLoads[target] >= l.rankLoads[rank] {
 			continue
 		}
-		difference := share - l.share(back)
+		difference := share - l.replicaLoad(back)
 		if difference <= 0 {
 			continue
 		}
-		load := l.rank[target] + difference*l.cost[target]
-		if load >= l.rank[rank] || !l.mayExchange(rank, expert, target, back) {
+		load := l.rankLoads[target] + difference*l.cost[target]
+		if load >= l.rankLoads[rank] || !l.canSwap(rank, expert, target, back) {
 			continue
 		}
-		eased := l.rank[rank] - difference*l.cost[rank]
-		consider(change{slot: slot, other: other, expert: back, swap: true, moves: 2, peak: max(eased, load, second)})
+		reduced := l.rankLoads[rank] - difference*l.cost[rank]
+		consider(change{slot: slot, other: other, expert: back, swap: true, moves: 2, peak: max(reduced, load, second)})
 	}
 }
 
-// zoneTie is the share of a rank's load by which a replica in a zone that has
-// one already is put behind an otherwise equal one: tokens of every zone should
-// find hot experts nearby.
-const zoneTie = 1e-3
+// zonePenaltyShare is the share of a rank's load that is added to the score of a replica
+// in a zone that already has one, so that an otherwise equal one is preferred: tokens of
+// every zone should find replicas of hot experts in their own zone.
+const zonePenaltyShare = 1e-3
 
 func (l *layer) zonePenalty(expert uint16, target int) float64 {
 	if len(l.shape.Zones) == 0 {
 		return 0
 	}
-	for _, rank := range l.hosts[expert] {
+	for _, rank := range l.holders[expert] {
 		if l.shape.Zone(rank) == l.shape.Zone(target) {
-			return zoneTie * l.rank[target]
+			return zonePenaltyShare * l.rankLoads[target]
 		}
 	}
 	return 0
 }
 
-// Improve returns the map that the best single moves lead to, at most the given
-// number of them, without regard to what they cost.
+// Improve returns the map that results from at most the given number of best changes,
+// regardless of the cost of the moves.
 func Improve(shape group.Shape, m group.Map, load, cost []float64, moves int) group.Map {
 	m = m.Clone()
 	for n := range shape.Layers {
--- a/group/balance/layer.go
+++ b/group/balance/layer.go
@@ -7,74 +7,74 @@
 	"github.com/lilackeel/lilackeel/group"
 )
 
-// layer is the placement of one layer with its loads kept up to date.
+// layer is the expert placement of one layer, with the resulting loads kept up to date.
 type layer struct {
-	shape    group.Shape
-	slots    []uint16  // aliases the map
-	load     []float64 // forecast of each expert
-	cost     []float64 // time a unit of load takes on each rank; 1 is nominal
-	replicas []int
-	hosts    [][]int   // the ranks that hold each expert
-	rank     []float64 // cost-weighted load of each rank
-	// base are the slots before any change. room is how many experts of this layer
-	// that base does not have each rank may still take, copies how many of all
-	// layers; nil for no such bounds.
-	base   []uint16
-	room   []int
-	copies []int
+	shape     group.Shape
+	slots     []uint16  // aliases the map
+	load      []float64 // forecast load of each expert
+	cost      []float64 // time that a unit of load takes on each rank; 1 is nominal
+	replicas  []int
+	holders   [][]int   // the ranks that hold each expert
+	rankLoads []float64 // cost-weighted load of each rank
+	// originalSlots are the slots before any change. layerBudget is how many experts of
+	// this layer each rank may still take that it does not have in originalSlots,
+	// totalBudget how many of all layers; nil for no such bounds.
+	originalSlots []uint16
+	layerBudget   []int
+	totalBudget   []int
 }
 
-// bound lets each rank take at most spare experts of this layer that it does not
-// hold now, and of all layers together what copies says, which the layers share.
-func (l *layer) bound(spare int, copies []int) {
-	l.base = slices.Clone(l.slots)
-	l.copies = copies
-	l.room = make([]int, l.shape.Ranks)
-	for rank := range l.room {
-		l.room[rank] = spare
+// limitMoves lets each rank take at most perLayer experts of this layer that it does not
+// hold now, and at most totalBudget in all layers together. The layers share totalBudget.
+func (l *layer) limitMoves(perLayer int, totalBudget []int) {
+	l.originalSlots = slices.Clone(l.slots)
+	l.totalBudget = totalBudget
+	l.layerBudget = make([]int, l.shape.Ranks)
+	for rank := range l.layerBudget {
+		l.layerBudget[rank] = perLayer
 	}
 }
 
-// isNew reports whether a rank would have to load an expert.
-func (l *layer) isNew(rank int, expert uint16) bool {
-	return expert != group.Empty && !slices.Contains(l.base[rank*l.shape.Slots:(rank+1)*l.shape.Slots], expert)
+// needsCopy reports whether a rank would have to load an expert.
+func (l *layer) needsCopy(rank int, expert uint16) bool {
+	return expert != group.Empty && !slices.Contains(l.originalSlots[rank*l.shape.Slots:(rank+1)*l.shape.Slots], expert)
 }
 
-// count notes that a rank takes (by 1) or gives back (by -1) an expert.
-func (l *layer) count(rank int, expert uint16, by int) {
-	if l.room != nil && l.isNew(rank, expert) {
-		l.room[rank] -= by
-		l.copies[rank] -= by
+// chargeBudget updates the budgets after a rank takes (by 1) or gives up (by -1) an expert.
+func (l *layer) chargeBudget(rank int, expert uint16, by int) {
+	if l.layerBudget != nil && l.needsCopy(rank, expert) {
+		l.layerBudget[rank] -= by
+		l.totalBudget[rank] -= by
 	}
 }
 
-// mayHost reports whether a rank may take an expert within its bound.
-func (l *layer) mayHost(rank int, expert uint16) bool {
-	return l.room == nil || l.room[rank] > 0 && l.copies[rank] > 0 || !l.isNew(rank, expert)
+// withinBudget reports whether the budgets of a rank allow it to take an expert.
+func (l *layer) withinBudget(rank int, expert uint16) bool {
+	return l.layerBudget == nil || l.layerBudget[rank] > 0 && l.totalBudget[rank] > 0 || !l.needsCopy(rank, expert)
 }
 
 func newLayer(shape group.Shape, slots []uint16, load, cost []float64) *layer {
 	l := &layer{shape: shape, slots: slots, load: load, cost: cost}
 	l.replicas = make([]int, shape.Experts)
-	l.rank = make([]float64, shape.Ranks)
-	l.hosts = make([][]int, shape.Experts)
+	l.rankLoads = make([]float64, shape.Ranks)
+	l.holders = make([][]int, shape.Experts)
 	for slot, expert := range slots {
 		if expert != group.Empty {
 			l.replicas[expert]++
-			l.hosts[expert] = append(l.hosts[expert], slot/shape.Slots)
+			l.holders[expert] = append(l.holders[expert], slot/shape.Slots)
 		}
 	}
-	for rank := range l.rank {
-		l.rank[rank] = l.rankLoad(rank)
+	for rank := range l.rankLoads {
+		l.rankLoads[rank] = l.rankLoad(rank)
 	}
 	return l
 }
 
-func (l *layer) of(rank int) []uint16 {
+func (l *layer) rankSlots(rank int) []uint16 {
 	return l.slots[rank*l.shape.Slots : (rank+1)*l.shape.Slots]
 }
 
-func (l *layer) share(expert uint16) float64 {
+func (l *layer) replicaLoad(expert uint16) float64 {
 	if expert == group.Empty {
 		return 0
 	}
@@ -83,39 +83,41 @@
 
 func (l *layer) rankLoad(rank int) float64 {
 	var sum float64
-	for _, expert := range l.of(rank) {
-		sum += l.share(expert)
+	for _, expert := range l.rankSlots(rank) {
+		sum += l.replicaLoad(expert)
 	}
 	return sum * l.cost[rank]
 }
 
 func (l *layer) holds(rank int, expert uint16) bool {
-	return expert != group.Empty && slices.Contains(l.hosts[expert], rank)
+	return expert != group.Empty && slices.Contains(l.holders[expert], rank)
 }
 
-// spareable reports whether what a slot holds may be overwritten: nothing, or an expert
-// that has another replica.
-func (l *layer) spareable(old uint16) bool { return old == group.Empty || l.replicas[old] >= 2 }
+// replaceable reports whether a slot with the given contents may be overwritten: it is
+// empty, or its expert has another replica.
+func (l *layer) replaceable(old uint16) bool { return old == group.Empty || l.replicas[old] >= 2 }
 
-// mayExchange reports whether a rank may give an expert to another one for what that holds.
-func (l *layer) mayExchange(rank int, expert uint16, target int, back uint16) bool {
+// canSwap reports whether a rank and a target rank may swap an expert of the rank with the
+// expert back of the target.
+func (l *layer) canSwap(rank int, expert uint16, target int, back uint16) bool {
 	return target != rank && back != group.Empty && !l.holds(rank, back) && !l.holds(target, expert)
 }
 
-// extra is what each other replica of an expert has more to do once one is gone.
-func (l *layer) extra(expert uint16) float64 {
+// extraLoad returns the load that each other replica of an expert gains when one replica is
+// removed.
+func (l *layer) extraLoad(expert uint16) float64 {
 	n := float64(l.replicas[expert])
 	return l.load[expert]/(n-1) - l.load[expert]/n
 }
 
 // busiest returns the rank with the highest load and the next highest load.
 func (l *layer) busiest() (rank int, second float64) {
-	for r, load := range l.rank {
-		if load > l.rank[rank] {
+	for r, load := range l.rankLoads {
+		if load > l.rankLoads[rank] {
 			rank = r
 		}
 	}
-	for r, load := range l.rank {
+	for r, load := range l.rankLoads {
 		if r != rank {
 			second = max(second, load)
 		}
@@ -123,69 +125,70 @@
 	return rank, second
 }
 
-// set puts an expert into a slot and updates all ranks that feel it.
+// set assigns an expert to a slot and updates the loads of all affected ranks.
 func (l *layer) set(slot int, expert uint16) {
 	rank := slot / l.shape.Slots
 	old := l.slots[slot]
 	l.slots[slot] = expert
-	l.count(rank, old, -1)
-	l.count(rank, expert, 1)
-	l.leave(old, rank)
-	l.join(expert, rank)
-	l.refresh(old)
-	l.refresh(expert)
-	l.rank[rank] = l.rankLoad(rank)
+	l.chargeBudget(rank, old, -1)
+	l.chargeBudget(rank, expert, 1)
+	l.removeHolder(old, rank)
+	l.addHolder(expert, rank)
+	l.updateHolders(old)
+	l.updateHolders(expert)
+	l.rankLoads[rank] = l.rankLoad(rank)
 }
 
-func (l *layer) leave(expert uint16, rank int) {
+func (l *layer) removeHolder(expert uint16, rank int) {
 	if expert == group.Empty {
 		return
 	}
 	l.replicas[expert]--
-	at := slices.Index(l.hosts[expert], rank)
-	l.hosts[expert] = slices.Delete(l.hosts[expert], at, at+1)
+	at := slices.Index(l.holders[expert], rank)
+	l.holders[expert] = slices.Delete(l.holders[expert], at, at+1)
 }
 
-func (l *layer) join(expert uint16, rank int) {
+func (l *layer) addHolder(expert uint16, rank int) {
 	if expert == group.Empty {
 		return
 	}
 	l.replicas[expert]++
-	l.hosts[expert] = append(l.hosts[expert], rank)
+	l.holders[expert] = append(l.holders[expert], rank)
 }
 
-// refresh adds up the ranks that hold an expert whose replicas have changed.
-func (l *layer) refresh(expert uint16) {
+// updateHolders recomputes the loads of the ranks that hold an expert, after its number of
+// replicas has changed.
+func (l *layer) updateHolders(expert uint16) {
 	if expert == group.Empty {
 		return
 	}
-	for _, rank := range l.hosts[expert] {
-		l.rank[rank] = l.rankLoad(rank)
+	for _, rank := range l.holders[expert] {
+		l.rankLoads[rank] = l.rankLoad(rank)
 	}
 }
 
-// peak returns the load expected of the busiest rank in one step. The tokens of
-// a step scatter around the mean loads, at least as counts do (Poisson); evening
-// out what is smaller than the scatter gains next to nothing. The smooth maximum
-// (log-sum-exp) stands in for the mean of the maximum.
-func (l *layer) peak() float64 {
+// expectedPeak returns the expected load of the busiest rank in one step. The tokens of
+// a step vary around the mean loads, with at least the variance of a Poisson
+// distribution; evening out differences smaller than this variation gains almost
+// nothing. The smooth maximum (log-sum-exp) approximates the mean of the maximum.
+func (l *layer) expectedPeak() float64 {
 	rank, _ := l.busiest()
-	highest := l.rank[rank]
-	scatter := math.Sqrt(l.even())
-	if scatter == 0 || len(l.rank) < 2 {
+	highest := l.rankLoads[rank]
+	deviation := math.Sqrt(l.evenLoad())
+	if deviation == 0 || len(l.rankLoads) < 2 {
 		return highest
 	}
-	steepness := math.Sqrt(2*math.Log(float64(len(l.rank)))) / scatter
+	steepness := math.Sqrt(2*math.Log(float64(len(l.rankLoads)))) / deviation
 	var sum float64
-	for _, load := range l.rank {
+	for _, load := range l.rankLoads {
 		sum += math.Exp((load - highest) * steepness)
 	}
 	return highest + math.Log(sum)/steepness
 }
 
-// even returns the load that every rank would have if it could be divided at
-// will: no placement has a lower peak.
-func (l *layer) even() float64 {
+// evenLoad returns the load that every rank would have if the load could be divided
+// arbitrarily: no placement has a lower peak.
+func (l *layer) evenLoad() float64 {
 	var load, speed float64
 	for _, tokens := range l.load {
 		load += tokens
@@ -196,9 +199,10 @@
 	return load / speed
 }
 
-// StepLoad returns the sum over the layers of the load of the busiest rank, and
-// of the mean of the ranks. load holds tokens by layer, then expert; cost is the
-// time a token takes on each rank, 1 being nominal. Their ratio is the skew.
+// StepLoad returns the sums over the layers of the load of the busiest rank and of the
+// mean load of the ranks. load holds tokens by layer, then expert; cost is the time
+// that a token takes on each rank, 1 being nominal. The ratio of the two sums is the
+// skew.
 func StepLoad(shape group.Shape, m group.Map, load, cost []float64) (busiest, mean float64) {
 	replicas := make([]int, shape.Experts)
 	for n := range shape.Layers {
@@ -208,14 +212,14 @@
 				replicas[expert]++
 			}
 		}
-		highest, sum := rankLoads(m, n, replicas, load[n*shape.Experts:], cost)
+		highest, sum := maxAndTotalLoad(m, n, replicas, load[n*shape.Experts:], cost)
 		busiest += highest
 		mean += sum / float64(shape.Ranks)
 	}
 	return busiest, mean
 }
 
-func rankLoads(m group.Map, n int, replicas []int, load, cost []float64) (highest, sum float64) {
+func maxAndTotalLoad(m group.Map, n int, replicas []int, load, cost []float64) (highest, sum float64) {
 	for rank := range m.Ranks {
 		var total float64
 		for _, expert := range m.Rank(n, rank) {
--- a/group/balance/within_test.go
+++ b/group/balance/limits_test.go
@@ -12,7 +12,7 @@
 
 var followShape = group.Shape{Layers: 4, Experts: 64, Ranks: 16, Slots: 5}
 
-// zipfLoad is demand whose hot experts are drawn anew, as after a jump.
+// zipfLoad returns a load with newly drawn hot experts, as after a jump.
 func zipfLoad(shape group.Shape, rng *rand.Rand) []float64 {
 	load := make([]float64, shape.Layers*shape.Experts)
 	for n := range shape.Layers {
@@ -23,42 +23,42 @@
 	return load
 }
 
-// noisy is an observation of a load.
+// noisy returns a noisy observation of a load.
 func noisy(load []float64, rng *rand.Rand) []float64 {
-	seen := make([]float64, len(load))
+	observed := make([]float64, len(load))
 	for i, tokens := range load {
-		seen[i] = max(0, tokens+rng.NormFloat64()*math.Sqrt(tokens))
+		observed[i] = max(0, tokens+rng.NormFloat64()*math.Sqrt(tokens))
 	}
-	return seen
+	return observed
 }
 
-func TestASwitchStaysWithinItsReach(t *testing.T) {
+func TestASwitchStaysWithinItsLimits(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
-	reach := MoveLimits{PerLayer: 2, Total: 3}
+	limits := MoveLimits{PerLayer: 2, Total: 3}
 	current := group.RoundRobin(followShape)
 	for range 30 {
 		load := zipfLoad(followShape, rng)
-		p := newPlan(followShape, current, load, ones(16), reach)
-		p.extend(reach.Total)
+		p := newPlan(followShape, current, load, ones(16), limits)
+		p.extend(limits.Total)
 		next := p.current
 		is.NoErr(next.Validate(followShape))
 		for rank, copies := range group.Moves(current, next) {
-			is.True(copies <= reach.Total) // of all layers together
+			is.True(copies <= limits.Total) // in all layers together
 			for layer := range followShape.Layers {
-				fresh := 0
+				added := 0
 				for _, expert := range next.Rank(layer, rank) {
 					if expert != group.Empty && !holds(current.Rank(layer, rank), expert) {
-						fresh++
+						added++
 					}
 				}
-				is.True(fresh <= reach.PerLayer)
+				is.True(added <= limits.PerLayer)
 			}
 		}
 		before, mean := StepLoad(followShape, current, load, ones(16))
 		after, _ := StepLoad(followShape, next, load, ones(16))
 		is.True(after < before)
-		is.True(after/mean < 2) // a third of a second of copies takes most of the skew away
+		is.True(after/mean < 2) // a third of a second of copying removes most of the skew
 		current = next
 	}
 }
--- a/group/balance/plan_test.go
+++ b/group/balance/plan_test.go
@@ -10,14 +10,15 @@
 	"github.com/lilackeel/lilackeel/group"
 )
 
-// TestAPlanGoesOnWhereSeveralRanksAreTheBusiest improves the first map of large groups. An
-// expert that is on two ranks makes both the busiest, so that no single move lowers the
-// highest load; a search for that stopped with a skew of 1.9 at 32 ranks.
-func TestAPlanGoesOnWhereSeveralRanksAreTheBusiest(t *testing.T) {
+// TestAPlanImprovesWhereSeveralRanksAreTheBusiest improves the first map of large groups. An
+// expert on two ranks makes both of them the busiest, so that no single move lowers the
+// highest load; a search that minimized the highest load stopped at a skew of 1.9 with 32
+// ranks.
+func TestAPlanImprovesWhereSeveralRanksAreTheBusiest(t *testing.T) {
 	for _, test := range []struct {
-		shape  group.Shape
-		power  float64
-		copies int
+		shape    group.Shape
+		exponent float64
+		copies   int
 	}{
 		{group.Shape{Layers: 6, Experts: 64, Ranks: 8, Slots: 11}, 1.6, 5},
 		{group.Shape{Layers: 4, Experts: 64, Ranks: 16, Slots: 5}, 1.1, 4},
@@ -29,7 +30,7 @@
 		load := make([]float64, test.shape.Layers*test.shape.Experts)
 		for n := range test.shape.Layers {
 			for place, expert := range rng.Perm(test.shape.Experts) {
-				load[n*test.shape.Experts+expert] = 1 / math.Pow(float64(place+1), test.power)
+				load[n*test.shape.Experts+expert] = 1 / math.Pow(float64(place+1), test.exponent)
 			}
 		}
 		cost := ones(test.shape.Ranks)
@@ -39,7 +40,7 @@
 			p.extend(copies)
 			is.NoErr(p.current.Validate(test.shape))
 			busiest, mean := StepLoad(test.shape, p.current, load, cost)
-			is.True(busiest/mean <= last) // more copies never make it worse
+			is.True(busiest/mean <= last) // more copies never increase the skew
 			last = busiest / mean
 		}
 		is.True(last < 1.25)
--- a/group/balance/stalls.go
+++ b/group/balance/stalls.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// Stalls learns what switches cost beside their copies. It is not safe for concurrent
-// use.
+// StallEstimator estimates what switches cost in addition to their copies. It is not safe
+// for concurrent use.
 //
-// A group that waits at the step of a switch for longer than streams bear makes every
-// stream under way late: as if the group had not worked for as long as a stream takes.
-// Where packets are lost or orders go unanswered that happens in most switches, and none
-// of them is worth it; in calm times in none.
+// If a group waits at the step of a switch for longer than its streams tolerate, every
+// active stream is late, which costs as much as if the group had not worked for the
+// duration of a stream. Where packets are lost or orders go unanswered, this happens in
+// most switches and none of them is worthwhile; otherwise it happens in none.
 type StallEstimator struct {
-	mean time.Duration
-	at   time.Duration
+	mean      time.Duration
+	updatedAt time.Duration
 }
 
 const (
-	// borne is how long a group may wait without its streams being late: about what a
-	// promised pause leaves beside a step.
-	borne = 40 * time.Millisecond
-	// streamTime is the work that is lost with a longer wait: about that of one stream.
-	streamTime = 1200 * time.Millisecond
-	// stallWeight is the weight of the newest switch, and stallMemory the time after
-	// which a switch is worth a try again.
-	stallWeight = 0.5
-	stallMemory = 3 * time.Second
+	// toleratedStall is how long a group may wait without its streams being late: about
+	// what remains of the promised maximum pause after a step.
+	toleratedStall = 40 * time.Millisecond
+	// lostStreamTime is the work that is lost by a longer wait: about that of one stream.
+	lostStreamTime = 1200 * time.Millisecond
+	// stallWeight is the weight of the newest switch, and stallDecayTime the time constant
+	// after which switching is worth trying again.
+	stallWeight    = 0.5
+	stallDecayTime = 3 * time.Second
 )
 
-// Switched takes in how long a group may have waited at the step of a switch.
-func (s *StallEstimator) RecordSwitch(now, waited time.Duration) {
+// RecordSwitch records how long a group may have waited at the step of a switch.
+func (e *StallEstimator) RecordSwitch(now, waited time.Duration) {
 	cost := waited
-	if waited > borne {
-		cost = streamTime
+	if waited > toleratedStall {
+		cost = lostStreamTime
 	}
-	mean := s.ExpectedCost(now)
-	s.mean, s.at = mean+time.Duration(stallWeight*float64(cost-mean)), now
+	mean := e.ExpectedCost(now)
+	e.mean, e.updatedAt = mean+time.Duration(stallWeight*float64(cost-mean)), now
 }
 
-// Expected is what the next switch is expected to cost.
-func (s *StallEstimator) ExpectedCost(now time.Duration) time.Duration {
-	return time.Duration(float64(s.mean) * math.Exp(-float64(now-s.at)/float64(stallMemory)))
+// ExpectedCost returns the expected cost of the next switch.
+func (e *StallEstimator) ExpectedCost(now time.Duration) time.Duration {
+	return time.Duration(float64(e.mean) * math.Exp(-float64(now-e.updatedAt)/float64(stallDecayTime)))
 }
--- a/group/balance/stalls_test.go
+++ b/group/balance/stalls_test.go
@@ -10,9 +10,9 @@
 	"github.com/lilackeel/lilackeel/group"
 )
 
-// TestSwitchesThatStopTheGroupAreLeftOut plays a group whose every switch is waited for
-// a quarter of a second, as where packets are lost, and one whose switches are not.
-func TestSwitchesThatStopTheGroupAreLeftOut(t *testing.T) {
+// TestSwitchesThatStallTheGroupAreAvoided simulates a group that waits a quarter of a second
+// for each switch, as happens with packet loss, and one that does not wait.
+func TestSwitchesThatStallTheGroupAreAvoided(t *testing.T) {
 	is := is.New(t)
 	count := func(waited time.Duration) int {
 		rng := rand.New(rand.NewPCG(5, 6))
@@ -35,9 +35,9 @@
 	}
 	calm, lossy := count(0), count(250*time.Millisecond)
 	is.True(calm >= 20)
-	is.True(lossy >= 3)      // it is tried again now and then
-	is.True(lossy*2 <= calm) // and otherwise left out
-	var s StallEstimator
-	s.RecordSwitch(0, 10*time.Millisecond)
-	is.True(s.ExpectedCost(0) < borne) // a short wait costs no more than itself
+	is.True(lossy >= 3)      // switching is retried from time to time
+	is.True(lossy*2 <= calm) // and otherwise avoided
+	var e StallEstimator
+	e.RecordSwitch(0, 10*time.Millisecond)
+	is.True(e.ExpectedCost(0) < toleratedStall) // a short wait costs only its own duration
 }
