--- a/agent/announce.go
+++ b/agent/announce.go
@@ -14,47 +14,48 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// heartbeatsPerLease keeps the lease when two heartbeats in a row are lost.
+// heartbeatsPerLease is the minimum number of heartbeats in the time of one lease. With four, the
+// lease survives the loss of two consecutive heartbeats.
 const heartbeatsPerLease = 4
 
 var announceFailures = metrics.NewCounter("lilackeel_agent_announce_failures_total")
 
-// announcer keeps the lease of the agent's endpoints by heartbeats to the
-// control leader.
+// announcer renews the lease of the agent's endpoints by heartbeats to the control leader.
 type announcer struct {
 	settings   *Settings
 	lockedGate *lockedGate
 	controls   *controls
-	loaded     *loaded
+	loaded     *loadedState
 	health     *health
 	logger     *slog.Logger
 	addr       string
 
-	// now wakes the loop ahead of its time.
-	now       chan struct{}
+	// wakeup makes run send the next announcement at once.
+	wakeup    chan struct{}
 	stopping  atomic.Bool
 	announced atomic.Bool
 
 	mu       sync.Mutex
 	sendFull bool
-	// sent is the number of changes of loaded and health that the last full
-	// announcement carried.
-	sent uint64
-	// acknowledged is closed once a replica has taken the stop, or none can be any more.
+	// sentChanges is the sum of the change counters of loaded and health at the last full
+	// announcement.
+	sentChanges uint64
+	// acknowledged is closed once a replica has accepted the announcement of the stop, or when run has
+	// ended and no replica can accept it any more.
 	acknowledged chan struct{}
 	ackOnce      sync.Once
 }
 
-func newAnnouncer(s *Settings, k *lockedGate, c *controls, l *loaded, h *health, logger *slog.Logger) *announcer {
+func newAnnouncer(s *Settings, g *lockedGate, c *controls, l *loadedState, h *health, logger *slog.Logger) *announcer {
 	a := &announcer{
 		settings:     s,
-		lockedGate:   k,
+		lockedGate:   g,
 		controls:     c,
 		loaded:       l,
 		health:       h,
 		logger:       logger,
 		addr:         s.Advertise,
-		now:          make(chan struct{}, 1),
+		wakeup:       make(chan struct{}, 1),
 		sendFull:     true,
 		acknowledged: make(chan struct{}),
 	}
@@ -62,8 +63,8 @@
 	return a
 }
 
-// run announces until ctx ends. It returns an error if another process has
-// taken this agent's name over.
+// run sends announcements until ctx ends. It returns an error if another process has taken over this
+// agent's name.
 func (a *announcer) run(ctx context.Context) error {
 	defer a.acknowledge()
 	for ctx.Err() == nil {
@@ -73,7 +74,7 @@
 		}
 		if err != nil && ctx.Err() == nil {
 			announceFailures.Inc()
-			a.logger.WarnContext(ctx, "no control replica took the announcement", slog.Any("error", err))
+			a.logger.WarnContext(ctx, "no control replica accepted the announcement", slog.Any("error", err))
 			interval = retryPause
 		}
 		a.wait(ctx, jitter(interval))
@@ -86,13 +87,13 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-a.now:
+	case <-a.wakeup:
 	case <-ctx.Done():
 	}
 }
 
-// stop announces the planned stop at once and with every heartbeat that
-// follows. The returned channel closes when a replica has taken it.
+// stop announces the planned stop at once and in every heartbeat from then on. The returned channel
+// is closed when a replica has accepted it.
 func (a *announcer) stop() <-chan struct{} {
 	a.stopping.Store(true)
 	a.mu.Lock()
@@ -102,20 +103,20 @@
 	return a.acknowledged
 }
 
-// wake announces ahead of time, for example when an endpoint has drained.
+// wake makes run send an announcement at once, for example when the health of an endpoint changes.
 func (a *announcer) wake() {
 	select {
-	case a.now <- struct{}{}:
+	case a.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 // announce sends one heartbeat and returns the time until the next.
 func (a *announcer) announce(ctx context.Context) (time.Duration, error) {
-	changes := a.loaded.changed() + a.health.changed()
-	request := a.request(changes)
+	changes := a.loaded.changeCount() + a.health.transitionCount()
+	request := a.newRequest(changes)
 	var response *controlv1.AnnounceResponse
-	err := a.controls.Ask(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
+	err := a.controls.Call(ctx, func(ctx context.Context, client controlv1.ControlClient) error {
 		var err error
 		response, err = client.Announce(ctx, request)
 		return err
@@ -123,13 +124,13 @@
 	if err != nil {
 		return 0, err
 	}
-	a.accept(request, changes, response)
-	return untilNext(a.settings.HeartbeatInterval, response), nil
+	a.handleResponse(request, changes, response)
+	return nextInterval(a.settings.HeartbeatInterval, response), nil
 }
 
-// untilNext returns the time from one announcement to the next: the set interval
-// or the slower pace that the leader asks for, but often enough for the lease.
-func untilNext(interval time.Duration, response *controlv1.AnnounceResponse) time.Duration {
+// nextInterval returns the time until the next announcement: the configured interval, or the longer
+// one that the leader asks for, but short enough to keep the lease.
+func nextInterval(interval time.Duration, response *controlv1.AnnounceResponse) time.Duration {
 	if response.GetSendFull() {
 		return time.Millisecond
 	}
@@ -140,13 +141,13 @@
 	return max(interval, time.Millisecond)
 }
 
-// accept notes that an announcement, made after the given number of changes,
-// was taken.
-func (a *announcer) accept(request *controlv1.AnnounceRequest, changes uint64, response *controlv1.AnnounceResponse) {
+// handleResponse records that an announcement was accepted. Changes is the change count for which it
+// was made.
+func (a *announcer) handleResponse(request *controlv1.AnnounceRequest, changes uint64, response *controlv1.AnnounceResponse) {
 	a.mu.Lock()
 	a.sendFull = response.GetSendFull() || (a.stopping.Load() && !request.GetStopping())
 	if request.GetFull() {
-		a.sent = changes
+		a.sentChanges = changes
 	}
 	a.mu.Unlock()
 	a.lockedGate.raiseFence(response.GetFence())
@@ -158,7 +159,7 @@
 
 func (a *announcer) acknowledge() { a.ackOnce.Do(func() { close(a.acknowledged) }) }
 
-func (a *announcer) request(changes uint64) *controlv1.AnnounceRequest {
+func (a *announcer) newRequest(changes uint64) *controlv1.AnnounceRequest {
 	s := a.settings
 	drain := a.lockedGate.drain()
 	request := &controlv1.AnnounceRequest{
@@ -171,18 +172,18 @@
 		InFlight:    drain.InFlight,
 	}
 	a.mu.Lock()
-	request.Full = a.sendFull || a.sent != changes
+	request.Full = a.sendFull || a.sentChanges != changes
 	a.mu.Unlock()
 	if request.GetFull() {
-		request.Endpoints = a.endpoints()
+		request.Endpoints = a.announcedEndpoints()
 	}
 	return request
 }
 
-func (a *announcer) endpoints() []*fleetv1.Endpoint {
+func (a *announcer) announcedEndpoints() []*fleetv1.Endpoint {
 	list := make([]*fleetv1.Endpoint, len(a.settings.Endpoints))
 	for i, e := range a.settings.Endpoints {
-		list[i] = e.announced(a.settings)
+		list[i] = e.toProto(a.settings)
 		a.loaded.apply(list[i])
 		if a.health.down(e.ID) {
 			list[i].State = fleetv1.EndpointState_ENDPOINT_STATE_LEAVING
--- a/agent/ranks/ranks.go
+++ b/agent/ranks/ranks.go
@@ -13,103 +13,102 @@
 	"github.com/lilackeel/lilackeel/group/mapwire"
 )
 
-// tickInterval is the time between two looks at the machines.
+// tickInterval is the interval between ticks of the ranks' state machines.
 const tickInterval = 10 * time.Millisecond
 
 // Member is one rank that the agent serves.
 type Member struct {
-	// Group is the name of the rank's group, Rank its number in it, from 0.
+	// Group is the name of the rank's group, Rank its number within the group, from 0.
 	Group string
 	Rank  int
 	// Endpoint is the id of the engine.
 	Endpoint string
 }
 
-// Control reads from a quorum of control replicas.
+// Control provides linearizable reads from the control replicas.
 type Control interface {
-	// ReadMap returns the record of a group and the fencing token of the
-	// coordinator that wrote it last, linearizably.
+	// ReadMap returns the record of a group and the fencing token of the coordinator that wrote it
+	// last. The read is linearizable.
 	ReadMap(ctx context.Context, group string) (record *fleetv1.MapRecord, fence uint64, err error)
 }
 
-// Engines reaches the engines of the host.
+// Engines sends requests to the engines of the host.
 type Engines interface {
-	// LoadMap carries out an order to load a map, with a fencing token not lower
-	// than the order's. It returns once the weights are in place.
+	// LoadMap sends an order to load a map, with a fencing token not lower than the order's. It returns
+	// once the weights are loaded.
 	LoadMap(ctx context.Context, endpoint string, order engineapi.Order) error
-	// Experts reads what the experts of an engine have handled.
-	Experts(ctx context.Context, endpoint string) (engineapi.Experts, error)
+	// ReadExperts reads the token counts of an engine's experts.
+	ReadExperts(ctx context.Context, endpoint string) (engineapi.ExpertCounts, error)
 }
 
-// Config sets up Ranks.
+// Config is the configuration of Ranks.
 type Config struct {
 	// Members are the ranks that the agent serves.
 	Members []Member
-	// Control reads the decided records, Engines gives orders to the engines.
+	// Control reads the decided records, Engines sends requests to the engines.
 	Control Control
 	Engines Engines
-	// Ahead is the number of steps granted from an engine's position on.
-	Ahead int
-	// ExpertInterval is the least time between two readings of what an engine's
-	// experts have handled.
+	// StepsAhead is the maximum number of steps granted from an engine's position on.
+	StepsAhead int
+	// ExpertInterval is the minimum time between reads of the expert counts.
 	ExpertInterval time.Duration
 	Logger         *slog.Logger
 }
 
-// Ranks drives the machines of all ranks of an agent.
+// Ranks runs the drivers of all ranks of an agent.
 type Ranks struct {
 	cfg     Config
 	started time.Time
-	// background ends with Run; reads and orders live in it.
+	// background is the context of reads and orders. It ends with Run.
 	background context.Context
-	end        context.CancelFunc
+	cancel     context.CancelFunc
 
-	mu       sync.Mutex
-	machines map[rankName]*machine
-	readers  map[string]*reader
-	// outbox holds the newest message of each kind for the coordinator.
+	mu      sync.Mutex
+	drivers map[rankKey]*rankDriver
+	readers map[string]*recordReader
+	// outbox holds, for each rank, the latest message of each kind to the coordinator.
 	outbox map[outboxKey]mapswitch.Message
-	// counted is when experts were read last.
-	counted time.Duration
+	// lastExpertRead is the time of the last read of the expert counts.
+	lastExpertRead time.Duration
 }
 
-type rankName struct {
+type rankKey struct {
 	group string
 	rank  int
 }
 
 type outboxKey struct {
-	rankName
+	rankKey
 	kind mapswitch.Kind
 }
 
-// New returns the machines of the members. They allow no step before Run.
+// New returns the Ranks of the members. No step is granted before Run.
 func New(cfg Config) *Ranks {
 	r := &Ranks{
-		cfg:      cfg,
-		started:  time.Now(),
-		machines: make(map[rankName]*machine),
-		readers:  make(map[string]*reader),
-		outbox:   make(map[outboxKey]mapswitch.Message),
-		counted:  -cfg.ExpertInterval,
+		cfg:            cfg,
+		started:        time.Now(),
+		drivers:        make(map[rankKey]*rankDriver),
+		readers:        make(map[string]*recordReader),
+		outbox:         make(map[outboxKey]mapswitch.Message),
+		lastExpertRead: -cfg.ExpertInterval,
 	}
-	r.background, r.end = context.WithCancel(context.Background())
+	r.background, r.cancel = context.WithCancel(context.Background())
 	for _, member := range cfg.Members {
-		r.machines[rankName{member.Group, member.Rank}] = newMachine(member)
-		r.readers[member.Group] = &reader{ranks: r, group: member.Group, pause: minPause}
+		r.drivers[rankKey{member.Group, member.Rank}] = newRankDriver(member)
+		r.readers[member.Group] = &recordReader{ranks: r, group: member.Group, interval: minReadInterval}
 	}
 	return r
 }
 
-// Any reports whether the agent serves any rank.
-func (r *Ranks) Any() bool { return len(r.machines) > 0 }
+// HasMembers reports whether the agent serves any rank.
+func (r *Ranks) HasMembers() bool { return len(r.drivers) > 0 }
 
-// Run drives the machines until ctx ends.
+// Run ticks the state machines until ctx ends.
 func (r *Ranks) Run(ctx context.Context) {
-	defer r.end()
+	defer r.cancel()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	for r.Any() {
+	for r.HasMembers() {
 		select {
 		case <-ctx.Done():
 			return
@@ -124,13 +123,13 @@
 func (r *Ranks) tick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, m := range r.machines {
-		r.emit(m.rank.Tick(r.now()))
+	for _, d := range r.drivers {
+		r.deliver(d.rank.Tick(r.now()))
 	}
 }
 
-// Group implements the call of Agent: it hands the coordinator's messages to the
-// ranks, and returns their answers and what else they have for it.
+// Group implements the Group call of the Agent service: it passes the coordinator's messages to the
+// ranks, and returns the messages and expert loads that they have for the coordinator.
 func (r *Ranks) Group(request *agentv1.GroupRequest) (*agentv1.GroupResponse, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,31 +138,31 @@
 		if err != nil {
 			return nil, err
 		}
-		machine := r.machines[rankName{m.Group, m.Rank}]
-		if machine == nil || m.Kind.Destination() != mapswitch.ToRank {
+		driver := r.drivers[rankKey{m.Group, m.Rank}]
+		if driver == nil || m.Kind.Destination() != mapswitch.ToRank {
 			continue
 		}
-		r.emit(machine.step(r.now(), m))
+		r.deliver(driver.step(r.now(), m))
 	}
-	response := &agentv1.GroupResponse{Loads: r.loads()}
+	response := &agentv1.GroupResponse{Loads: r.expertLoads()}
 	for key, m := range r.outbox {
 		response.Messages = append(response.Messages, mapwire.ToProto(m))
 		delete(r.outbox, key)
 	}
-	r.countExperts()
+	r.readExperts()
 	return response, nil
 }
 
-// emit passes on what machines ask for; the lock is held.
-func (r *Ranks) emit(messages []mapswitch.Message) {
+// deliver routes the messages of the ranks to their destinations. The caller holds the mutex.
+func (r *Ranks) deliver(messages []mapswitch.Message) {
 	for _, m := range messages {
 		switch m.Kind.Destination() {
 		case mapswitch.ToCoordinator:
-			r.outbox[outboxKey{rankName{m.Group, m.Rank}, m.Kind}] = m
+			r.outbox[outboxKey{rankKey{m.Group, m.Rank}, m.Kind}] = m
 		case mapswitch.ToControl:
-			r.readers[m.Group].add(m)
+			r.readers[m.Group].enqueue(m)
 		case mapswitch.ToEngine:
-			r.load(m)
+			r.loadMap(m)
 		}
 	}
 }
--- a/call/simulation_test.go
+++ b/call/simulation_test.go
@@ -197,12 +197,12 @@
 				return
 			}
 			if sim.withProbability(sim.faultRate) {
-				g.Finish(sim.agentTime(), d, gate.Broken, nil)
+				g.Finish(sim.agentTime(), d, gate.Incomplete, nil)
 				sim.reply(x, d, &agentv1.DispatchResponse{Kind: &agentv1.DispatchResponse_Broken{Broken: &agentv1.Broken{MayHaveRun: true}}})
 				return
 			}
 			answer := &controlv1.Answer{Status: 200, Body: []byte("done " + x.key + " " + string(d.GetBody()))}
-			g.Finish(sim.agentTime(), d, gate.Whole, answer)
+			g.Finish(sim.agentTime(), d, gate.Complete, answer)
 			sim.reply(x, d, answerResponses(answer)...)
 		})
 	})
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -14,14 +14,14 @@
 	termsLed      = metrics.NewCounter("lilackeel_control_terms_led_total")
 
 	orderOutcomes = map[reconcile.Outcome]*metrics.Counter{
-		reconcile.Done:     metrics.NewCounter(`lilackeel_control_orders_total{outcome="done"}`),
-		reconcile.NotRun:   metrics.NewCounter(`lilackeel_control_orders_total{outcome="not_run"}`),
-		reconcile.CutShort: metrics.NewCounter(`lilackeel_control_orders_total{outcome="cut_short"}`),
+		reconcile.Done:        metrics.NewCounter(`lilackeel_control_orders_total{outcome="done"}`),
+		reconcile.NotRun:      metrics.NewCounter(`lilackeel_control_orders_total{outcome="not_run"}`),
+		reconcile.Interrupted: metrics.NewCounter(`lilackeel_control_orders_total{outcome="cut_short"}`),
 	}
 )
 
-// exportMetrics registers the gauges of this replica. With several replicas in
-// one process, as in tests, the first one's are shown.
+// exportMetrics registers the gauges of this replica. If several replicas run in one process,
+// as in tests, the gauges show the first one.
 func (d *Daemon) exportMetrics() {
 	metrics.GetOrCreateGauge("lilackeel_control_configuration_revision", func() float64 {
 		return float64(d.source.Revision())
--- a/direct/listening_test.go
+++ b/direct/refused_test.go
@@ -7,14 +7,14 @@
 	"github.com/matryer/is"
 )
 
-func TestAnEndedProcessIsToldFromOneThatListens(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	addr := listener.Addr().String()
 	c := NewClient(Config{})
 	defer c.Close()
-	is.True(!c.Refuses(t.Context(), addr))
+	is.True(!c.ConnectionRefused(t.Context(), addr))
 	is.NoErr(listener.Close())
-	is.True(c.Refuses(t.Context(), addr))
+	is.True(c.ConnectionRefused(t.Context(), addr))
 }
--- a/entry/config.go
+++ b/entry/config.go
@@ -64,7 +64,7 @@
 	// Headers are the names of the headers that are exchanged with callers and endpoints if Routed is
 	// set, RetryStyle the form in which callers are told when to retry.
 	Headers    routed.Headers
-	RetryStyle answer.Style
+	RetryStyle answer.RetryAfterFormat
 	// RetryAfter is the default Retry-After if Routed is set.
 	RetryAfter time.Duration
 	// MaxWait is the longest wait of a request of a route for a free slot, MaxRetryAfter the longest
--- a/entry/late.go
+++ b/entry/late.go
@@ -143,11 +143,11 @@
 // While a pool is stopped, as many requests may wait for it as it will have slots once it runs.
 // After a restart of all machines its groups form soon, and no admission rate is known yet from
 // which to estimate free slots.
-func (l *lateQueues) setCapacity(pool string, now time.Duration, r routed.Room) (lateHeld int) {
+func (l *lateQueues) setCapacity(pool string, now time.Duration, r routed.PoolCapacity) (lateHeld int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	q := l.queue(pool, now)
-	q.reopeningSlots, q.lateFree = r.Opening, r.Late
+	q.reopeningSlots, q.lateFree = r.AfterReopen, r.LateSlots
 	return q.lateHeld
 }
 
--- a/entry/publish.go
+++ b/entry/publish.go
@@ -57,11 +57,11 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			p.crashes.Forget(time.Since(processStart))
-		case <-p.crashes.Published().Changed():
+			p.crashes.EvictStale(time.Since(processStart))
+		case <-p.crashes.LocalReports().Changed():
 		}
 		for {
-			reports, next := p.crashes.Published().Since(published)
+			reports, next := p.crashes.LocalReports().Since(published)
 			if len(reports) == 0 {
 				break
 			}
@@ -152,6 +152,6 @@
 // mergeCrashReports merges the crash reports of other entries.
 func (p *ReportSubscriber) mergeCrashReports(now time.Duration, messages []*agentv1.CrashReport) {
 	for _, fingerprint := range p.crashes.Merge(now, quarantine.FromProto(now, messages)) {
-		p.logger.Info("quarantined a request that other entries reported", slog.Any("fingerprint", fingerprint), slog.Duration("hold", p.crashes.Held(now, fingerprint)))
+		p.logger.Info("quarantined a request that other entries reported", slog.Any("fingerprint", fingerprint), slog.Duration("hold", p.crashes.HoldRemaining(now, fingerprint)))
 	}
 }
--- a/gate/example_test.go
+++ b/gate/example_test.go
@@ -10,7 +10,7 @@
 )
 
 // A claimed call is admitted once. Its delayed duplicate gets the outcome, and a
-// claim that was revoked before its dispatch came is refused.
+// claim that was revoked before its dispatch arrived is refused.
 func ExampleGate_Admit() {
 	const incarnation = 7
 	now := time.Hour
@@ -28,7 +28,7 @@
 
 	first := dispatch("first")
 	fmt.Println("admitted:", g.Admit(now, first).Decision == gate.Admit)
-	g.Finish(now, first, gate.Broken, nil)
+	g.Finish(now, first, gate.Incomplete, nil)
 	fmt.Println("may have run:", g.Admit(now, first).Decision == gate.Unknown)
 
 	second := dispatch("second")
--- a/operator/client.go
+++ b/operator/client.go
@@ -59,7 +59,7 @@
 	var last *fault.Error
 	lost := false
 	for try := 1; ; try++ {
-		number, addr := c.cursor.Present()
+		number, addr := c.cursor.Current()
 		response, err := askOnce(ctx, c, addr, request, method)
 		if err == nil {
 			return response, nil
@@ -69,7 +69,7 @@
 			return nil, last
 		}
 		lost = lost || (kind == change && last.Kind == fault.Unknown)
-		c.cursor.MoveOn(number, last)
+		c.cursor.Advance(number, last)
 		if !pause(ctx, c.pauseAfter(try)) {
 			return nil, c.givenUp(last, lost)
 		}
@@ -94,7 +94,7 @@
 	if typed := fault.As(err); typed != nil {
 		return typed
 	}
-	return fault.New(fault.Unknown, "the answer of a control replica was lost", "run the same command again").Because(err)
+	return fault.New(fault.Unknown, "the answer of a control replica was lost", "run the same command again").WithCause(err)
 }
 
 // decided reports whether a fault is the decision of a replica, so that another
@@ -109,7 +109,7 @@
 
 // pauseAfter is the wait after a try: none while there are replicas left to ask.
 func (c *Client) pauseAfter(try int) time.Duration {
-	if try%c.cursor.Known() != 0 {
+	if try%c.cursor.Len() != 0 {
 		return 0
 	}
 	return roundPause
@@ -133,10 +133,10 @@
 	tried := strings.Join(c.addrs, ", ")
 	if lost {
 		return fault.Newf(fault.Unknown, "run the same command again: the same request gets the same answer",
-			"an answer of the control replicas (%s) was lost; the request may have been carried out", tried).Because(last)
+			"an answer of the control replicas (%s) was lost; the request may have been carried out", tried).WithCause(last)
 	}
 	return fault.Newf(fault.Unavailable, "check that a majority of control replicas runs and that -control names them, then try again",
-		"none of the control replicas (%s) could decide; nothing was done", tried).Because(last)
+		"none of the control replicas (%s) could decide; nothing was done", tried).WithCause(last)
 }
 
 // Plan states an intent.
