--- a/agent/client.go
+++ b/agent/client.go
@@ -24,136 +24,137 @@
 )
 
 const (
-	// connectTimeout bounds opening a connection to an endpoint of the host.
+	// connectTimeout is the time limit for opening a connection to an endpoint of the host.
 	connectTimeout = 2 * time.Second
-	// idleTimeout closes connections to endpoints that are not used. Usual
-	// servers of engines do so after five seconds; being first avoids that a
-	// call meets a connection that is just being closed.
+	// idleTimeout is how long an idle connection to an endpoint is kept. The usual HTTP servers of
+	// engines close idle connections after 5 s; closing them earlier avoids sending a call on a
+	// connection that the server is closing.
 	idleTimeout = 4 * time.Second
-	// idlePerEndpoint bounds the open connections kept for one endpoint.
-	idlePerEndpoint = 256
-	// headerLimit bounds the headers of an endpoint's answer, in bytes.
-	headerLimit = 1 << 20
+	// maxIdlePerEndpoint is the maximum number of idle connections kept to one endpoint.
+	maxIdlePerEndpoint = 256
+	// maxHeaderBytes is the maximum size of the headers of an endpoint's response.
+	maxHeaderBytes = 1 << 20
 )
 
-// headerResend marks a request for net/http as one that may be sent again.
-const headerResend = "X-Idempotency-Key"
+// headerIdempotencyKey is the header by whose presence net/http recognizes a request that it may
+// retry.
+const headerIdempotencyKey = "X-Idempotency-Key"
 
-// endpointClient speaks HTTP to the endpoints of the host.
+// endpointClient is the HTTP client for the endpoints of the host.
 type endpointClient struct {
-	// reused serves calls that may be repeated.
-	reused *http.Transport
-	// single opens a connection for each call, so that a call that must run at
-	// most once never meets a connection that the endpoint is closing, and is
-	// never sent again by the transport.
-	single *http.Transport
-	dialer *net.Dialer
-	// lockedGate learns the rate limits that answers name.
+	// keepAlive reuses connections. It is for requests that may be repeated.
+	keepAlive *http.Transport
+	// singleUse opens a connection for each request, so that one that must run at most once is never
+	// sent on a connection that the endpoint is closing, and is never retried by the transport.
+	singleUse *http.Transport
+	dialer    *net.Dialer
+	// lockedGate is told the rate limits, pauses and announced stops that responses carry.
 	lockedGate *lockedGate
 }
 
-func newEndpointClient(k *lockedGate) *endpointClient {
+func newEndpointClient(g *lockedGate) *endpointClient {
 	dialer := &net.Dialer{Timeout: connectTimeout}
-	reused := &http.Transport{
+	keepAlive := &http.Transport{
 		DialContext:            dialer.DialContext,
 		DisableCompression:     true,
 		IdleConnTimeout:        idleTimeout,
-		MaxIdleConnsPerHost:    idlePerEndpoint,
-		MaxResponseHeaderBytes: headerLimit,
+		MaxIdleConnsPerHost:    maxIdlePerEndpoint,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
-	single := reused.Clone()
-	single.DisableKeepAlives = true
-	return &endpointClient{reused: reused, single: single, dialer: dialer, lockedGate: k}
+	singleUse := keepAlive.Clone()
+	singleUse.DisableKeepAlives = true
+	return &endpointClient{keepAlive: keepAlive, singleUse: singleUse, dialer: dialer, lockedGate: g}
 }
 
 func (c *endpointClient) close() {
-	c.reused.CloseIdleConnections()
-	c.single.CloseIdleConnections()
+	c.keepAlive.CloseIdleConnections()
+	c.singleUse.CloseIdleConnections()
 }
 
-// connects reports whether an endpoint takes a connection.
-func (c *endpointClient) connects(ctx context.Context, e Endpoint) bool {
+// canConnect reports whether an endpoint accepts a connection.
+func (c *endpointClient) canConnect(ctx context.Context, e Endpoint) bool {
 	target, err := url.Parse(e.URL)
 	if err != nil {
 		return false
 	}
-	connection, err := c.dialer.DialContext(ctx, "tcp", address(target))
+	connection, err := c.dialer.DialContext(ctx, "tcp", dialAddress(target))
 	if err != nil {
 		return false
 	}
 	return connection.Close() == nil
 }
 
-// notAsked is an error of a call whose endpoint never saw any of it.
-type notAsked struct {
+// notSentError is the error of a request of which nothing was sent to its endpoint.
+type notSentError struct {
 	cause *fault.Error
-	// refused: the endpoint takes no connections.
+	// refused is set if the endpoint did not accept a connection.
 	refused bool
 }
 
 // Error implements error.
-func (n notAsked) Error() string { return n.cause.Error() }
+func (n notSentError) Error() string { return n.cause.Error() }
 
 // Unwrap returns the fault.
-func (n notAsked) Unwrap() error { return n.cause }
+func (n notSentError) Unwrap() error { return n.cause }
 
-// onceBody is a request body that the transport cannot rewind and send again.
-type onceBody struct{ io.Reader }
+// nonReplayableBody is a request body that the transport cannot rewind to send it again.
+type nonReplayableBody struct{ io.Reader }
 
 // Close implements io.Closer.
-func (onceBody) Close() error { return nil }
+func (nonReplayableBody) Close() error { return nil }
 
-// call sends a dispatch to its endpoint and returns the answer's head. An error
-// of type notAsked means that the endpoint never saw the call; after any other
-// error it may have run.
+// call sends a dispatch to its endpoint and returns the response once its headers are read. After a
+// notSentError the call has not run; after any other error it may have run.
 func (c *endpointClient) call(ctx context.Context, e Endpoint, d *agentv1.DispatchRequest, streamID string) (*http.Response, error) {
 	request, err := newRequest(ctx, e, d, streamID)
 	if err != nil {
 		return nil, err
 	}
-	transport := c.reused
+	transport := c.keepAlive
 	if d.GetClaimId() != "" {
-		transport = c.single
+		transport = c.singleUse
 	}
 	return c.roundTrip(transport, request, e)
 }
 
-// roundTrip sends a request; an error of type notAsked means that the endpoint
-// never saw any of it. All requests to endpoints pass here.
+// roundTrip sends a request unless its endpoint is in a pause, and records what the response says
+// about the endpoint. A notSentError means that nothing was sent. All requests to endpoints are sent
+// here.
 func (c *endpointClient) roundTrip(transport *http.Transport, request *http.Request, e Endpoint) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	request = request.WithContext(httptrace.WithClientTrace(request.Context(), trace))
 	if paused := c.lockedGate.checkSend(e.ID); paused != nil {
 		countPaused(e.ID)
-		return nil, notAsked{cause: paused}
+		return nil, notSentError{cause: paused}
 	}
 	sent := c.lockedGate.clock.now()
 	response, err := transport.RoundTrip(request)
 	switch {
 	case err != nil && !connected.Load():
-		return nil, unconnected(request.Context(), e, err)
+		return nil, connectError(request.Context(), e, err)
 	case err == nil:
-		c.answered(e, sent, response)
+		c.recordResponse(e, sent, response)
 	}
 	return response, err
 }
 
-// answered takes in what an answer says of the requests that the endpoint takes.
-func (c *endpointClient) answered(e Endpoint, sent time.Duration, response *http.Response) {
-	c.lockedGate.named(e.ID, sent, response.Header.Get(engineapi.HeaderRateLimit))
-	c.lockedGate.saidLeaving(e.ID, sent, response.Header.Get(engineapi.HeaderLeaving) != "")
+// recordResponse records in the gate what a response says about the requests that the endpoint
+// accepts: a rate limit, a pause, or that it is about to stop.
+func (c *endpointClient) recordResponse(e Endpoint, sent time.Duration, response *http.Response) {
+	c.lockedGate.learnRateLimit(e.ID, sent, response.Header.Get(engineapi.HeaderRateLimit))
+	c.lockedGate.recordLeaving(e.ID, sent, response.Header.Get(engineapi.HeaderLeaving) != "")
 	if pause, ok := ratelimit.RetryAfter(response.StatusCode, response.Header); ok {
-		c.lockedGate.pushedBack(e.ID, pause)
+		c.lockedGate.recordPushback(e.ID, pause)
 		return
 	}
 	if response.StatusCode != http.StatusServiceUnavailable {
-		c.lockedGate.taken(e.ID, sent)
+		c.lockedGate.recordAccepted(e.ID, sent)
 	}
 }
 
-// countPushback counts an answer that asks for a pause, countPaused a request that is not sent
-// because of one.
+// countPushback counts a response that asks for a pause; countPaused counts a request that is not
+// sent because of such a pause.
 func countPushback(endpoint string) {
 	metrics.GetOrCreateCounter(`lilackeel_agent_pushbacks_total{endpoint="` + endpoint + `"}`).Inc()
 }
@@ -162,16 +163,16 @@
 	metrics.GetOrCreateCounter(`lilackeel_agent_paused_requests_total{endpoint="` + endpoint + `"}`).Inc()
 }
 
-// unconnected tells an endpoint that takes no connection from a call that the
-// transport would not send.
-func unconnected(ctx context.Context, e Endpoint, err error) error {
+// connectError returns the error of a request that never had a connection: the endpoint did not
+// accept one, the context ended first, or the transport rejected the request as invalid.
+func connectError(ctx context.Context, e Endpoint, err error) error {
 	var dial *net.OpError
 	refused := ctx.Err() == nil && errors.As(err, &dial) && dial.Op == "dial"
 	if ctx.Err() == nil && !refused {
-		return invalidCall(err)
+		return invalidCallError(err)
 	}
-	return notAsked{refused: refused, cause: fault.Newf(fault.Unavailable, "choose another endpoint",
-		"endpoint %q takes no connection", e.ID).WithCause(err)}
+	return notSentError{refused: refused, cause: fault.Newf(fault.Unavailable, "choose another endpoint",
+		"endpoint %q does not accept connections", e.ID).WithCause(err)}
 }
 
 func newRequest(ctx context.Context, e Endpoint, d *agentv1.DispatchRequest, streamID string) (*http.Request, error) {
@@ -181,33 +182,33 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, d.GetMethod(), target, bytes.NewReader(d.GetBody()))
 	if err != nil {
-		return nil, invalidCall(err)
+		return nil, invalidCallError(err)
 	}
 	if d.GetClaimId() != "" {
 		request.GetBody = nil
-		request.Body = onceBody{bytes.NewReader(d.GetBody())}
+		request.Body = nonReplayableBody{bytes.NewReader(d.GetBody())}
 	}
 	request.Header = requestHeader(d.GetHeaders())
 	if d.GetClaimId() == "" {
-		allowResend(request.Header)
+		allowRetransmission(request.Header)
 	}
 	if e.Kind == KindEngine {
 		request.Header.Set(engineapi.HeaderPriority, strconv.Itoa(int(d.GetPriority())))
-		setResume(request.Header, d.GetResumeOffset(), streamID)
+		setResumeHeaders(request.Header, d.GetResumeOffset(), streamID)
 	}
 	telemetry.Inject(ctx, request.Header)
 	return request, nil
 }
 
-// allowResend lets the transport send a call again that met a connection which
-// the endpoint had closed. A key without values is not sent.
-func allowResend(header http.Header) {
-	if _, present := header[headerResend]; !present {
-		header[headerResend] = nil
+// allowRetransmission lets the transport retry a call that was sent on a connection which the
+// endpoint had closed. The header has no value, so it is not sent.
+func allowRetransmission(header http.Header) {
+	if _, present := header[headerIdempotencyKey]; !present {
+		header[headerIdempotencyKey] = nil
 	}
 }
 
-func setResume(header http.Header, offset uint64, streamID string) {
+func setResumeHeaders(header http.Header, offset uint64, streamID string) {
 	header.Del(engineapi.HeaderResumeOffset)
 	header.Del(engineapi.HeaderStreamID)
 	if offset > 0 {
@@ -216,16 +217,16 @@
 	}
 }
 
-// targetURL joins an endpoint's URL and the path and query of a call. The path
-// cannot lead to another host.
+// targetURL joins an endpoint's URL with the path and query of a call. The path must begin with a
+// slash, so that it cannot change the host.
 func targetURL(base, path string) (string, error) {
 	if !strings.HasPrefix(path, "/") {
-		return "", invalidCall(fault.New(fault.Invalid, "the path does not begin with a slash", "begin the path of the call with a slash"))
+		return "", invalidCallError(fault.New(fault.Invalid, "the path of the call does not begin with a slash", "begin the path of the call with a slash"))
 	}
 	return strings.TrimSuffix(base, "/") + path, nil
 }
 
-func invalidCall(err error) error {
-	return notAsked{cause: fault.New(fault.Invalid, "the call cannot be sent to an endpoint",
+func invalidCallError(err error) error {
+	return notSentError{cause: fault.New(fault.Invalid, "the call cannot be sent to an endpoint",
 		"correct its method, path or headers").WithCause(err)}
 }
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -19,59 +19,60 @@
 	"github.com/lilackeel/lilackeel/telemetry"
 )
 
-// dispatcher runs dispatches on endpoints.
+// dispatcher runs admitted dispatches on the endpoints.
 type dispatcher struct {
 	settings   *Settings
 	lockedGate *lockedGate
 	client     *endpointClient
 	health     *health
-	runs       *runs
+	runs       *processRuns
 	logger     *slog.Logger
 	endpoints  map[string]Endpoint
 	streams    streamIDs
 }
 
-func newDispatcher(s *Settings, k *lockedGate, c *endpointClient, h *health, logger *slog.Logger) *dispatcher {
+func newDispatcher(s *Settings, g *lockedGate, c *endpointClient, h *health, logger *slog.Logger) *dispatcher {
 	endpoints := make(map[string]Endpoint, len(s.Endpoints))
 	for _, e := range s.Endpoints {
 		endpoints[e.ID] = e
 	}
 	return &dispatcher{
 		settings:   s,
-		lockedGate: k,
+		lockedGate: g,
 		client:     c,
 		health:     h,
-		runs:       newRuns(k),
+		runs:       newProcessRuns(g),
 		logger:     logger,
 		endpoints:  endpoints,
 		streams:    streamIDs{byRequest: make(map[string]string)},
 	}
 }
 
-// dispatch runs one attempt, or repeats what is known of a claim.
+// dispatch serves one attempt: it runs the call, or delivers the outcome of its claim if the claim was
+// dispatched before.
 func (p *dispatcher) dispatch(d *agentv1.DispatchRequest, stream grpc.ServerStreamingServer[agentv1.DispatchResponse]) error {
 	ctx := telemetry.WithAttributes(stream.Context(),
 		slog.String("request_id", d.GetRequestId()), slog.String("workspace", d.GetWorkspace()),
 		slog.String("endpoint", d.GetEndpoint()), slog.Uint64("attempt", uint64(d.GetAttempt())))
 	ctx, span := telemetry.StartSpan(ctx, "agent", attribute.String("endpoint", d.GetEndpoint()))
 	out := &sender{stream: stream, dispatch: d, incarnation: p.lockedGate.incarnation()}
-	err := p.decide(ctx, d, out)
+	err := p.serve(ctx, d, out)
 	telemetry.EndSpan(span, err)
 	return err
 }
 
-func (p *dispatcher) decide(ctx context.Context, d *agentv1.DispatchRequest, out *sender) error {
+func (p *dispatcher) serve(ctx context.Context, d *agentv1.DispatchRequest, out *sender) error {
 	for {
 		verdict := p.lockedGate.admit(d)
 		switch verdict.Decision {
 		case gate.Admit:
 			return p.run(ctx, d, out)
 		case gate.Running:
-			if err := p.lockedGate.awaitEnd(ctx, d); err != nil {
+			if err := p.lockedGate.awaitClaim(ctx, d); err != nil {
 				return err
 			}
 		case gate.Answered:
-			return repeat(verdict.Answer, out)
+			return replay(verdict.Answer, out)
 		case gate.Unknown:
 			return out.broken("an earlier dispatch of this claim may have run", "")
 		default:
@@ -81,10 +82,10 @@
 	}
 }
 
-// repeat delivers the recorded answer of a claimed call.
-func repeat(recorded *controlv1.Answer, out *sender) error {
+// replay delivers the recorded answer to a claimed call.
+func replay(recorded *controlv1.Answer, out *sender) error {
 	if recorded.GetTruncated() {
-		return out.broken("the call has run; its answer was too large to be kept", "")
+		return out.broken("the call has run, but its answer was too large to be recorded", "")
 	}
 	if err := out.head(int(recorded.GetStatus()), recorded.GetHeaders(), ""); err != nil {
 		return err
@@ -97,11 +98,10 @@
 	return out.end(uint64(len(recorded.GetBody())))
 }
 
-// run asks the endpoint and passes its answer on. The outcome is recorded
-// before the last message is sent, so that a revocation that follows the
-// message finds it.
+// run sends the call to the endpoint and forwards its answer. The outcome is recorded before the last
+// message is sent, so that a revocation sent after that message finds it.
 func (p *dispatcher) run(ctx context.Context, d *agentv1.DispatchRequest, out *sender) error {
-	ctx, cancel := p.limit(ctx, d)
+	ctx, cancel := p.callContext(ctx, d)
 	defer cancel()
 	call := &call{dispatcher: p, dispatch: d, out: out}
 	outcome, err := call.run(ctx)
@@ -116,20 +116,20 @@
 	default:
 		countOutcome("broken")
 		ended := p.endedRun(ctx, d.GetEndpoint())
-		p.logger.InfoContext(ctx, "the answer of an endpoint is not whole", slog.Any("error", err), slog.String("ended_run", ended))
+		p.logger.InfoContext(ctx, "the answer of an endpoint is incomplete", slog.Any("error", err), slog.String("ended_run", ended))
 		return out.broken(err.Error(), ended)
 	}
 }
 
-// endedRun names the run of an endpoint's process that has ended under a call; empty if the
-// endpoint still listens, or the call was ended from this side.
+// endedRun returns the name of the run if the endpoint's process ended during the call. It is empty
+// if the endpoint still listens, or if the call was canceled or timed out on this side.
 func (p *dispatcher) endedRun(ctx context.Context, endpoint string) string {
-	if ctx.Err() != nil || !p.client.refuses(ctx, p.endpoints[endpoint]) {
+	if ctx.Err() != nil || !p.client.refusesConnections(ctx, p.endpoints[endpoint]) {
 		return ""
 	}
 	metrics.GetOrCreateCounter(`lilackeel_agent_ended_under_call_total{endpoint="` + endpoint + `"}`).Inc()
-	p.lockedGate.ended(endpoint)
-	return p.runs.end(endpoint)
+	p.lockedGate.processEnded(endpoint)
+	return p.runs.recordEnd(endpoint)
 }
 
 func countOutcome(outcome string) {
@@ -140,12 +140,12 @@
 	if f := fault.As(err); f != nil {
 		return f
 	}
-	return fault.New(fault.Internal, err.Error(), "report the defect with the log of the agent")
+	return fault.New(fault.Internal, err.Error(), "report this as a bug, with the log of the agent")
 }
 
-// limit bounds a call in time. A claimed call goes on when its caller leaves,
-// so that its answer can be recorded; any other ends with its caller.
-func (p *dispatcher) limit(ctx context.Context, d *agentv1.DispatchRequest) (context.Context, context.CancelFunc) {
+// callContext returns a context with the time limit of the call. A claimed call goes on when its
+// caller disconnects, so that its answer can be recorded; any other call is canceled.
+func (p *dispatcher) callContext(ctx context.Context, d *agentv1.DispatchRequest) (context.Context, context.CancelFunc) {
 	if d.GetClaimId() != "" {
 		return context.WithTimeout(context.WithoutCancel(ctx), p.settings.ClaimLimit)
 	}
@@ -155,7 +155,7 @@
 	return context.WithCancel(ctx)
 }
 
-// call is one admitted dispatch.
+// call is the state of one admitted dispatch.
 type call struct {
 	*dispatcher
 	dispatch *agentv1.DispatchRequest
@@ -164,69 +164,70 @@
 	length   uint64
 }
 
-// run returns how the call ended, and why if it is not whole.
+// run runs the call in a span of its own. It returns the outcome, and an error if the outcome is not
+// Complete.
 func (c *call) run(ctx context.Context) (gate.Outcome, error) {
 	e := c.endpoints[c.dispatch.GetEndpoint()]
 	ctx, span := telemetry.StartSpan(ctx, "endpoint", attribute.String("endpoint", e.ID))
-	outcome, err := c.ask(ctx, e)
+	outcome, err := c.send(ctx, e)
 	telemetry.EndSpan(span, err)
 	return outcome, err
 }
 
-func (c *call) ask(ctx context.Context, e Endpoint) (gate.Outcome, error) {
+func (c *call) send(ctx context.Context, e Endpoint) (gate.Outcome, error) {
 	offset := c.dispatch.GetResumeOffset()
-	streamID := c.streams.of(c.dispatch)
+	streamID := c.streams.lookup(c.dispatch)
 	if offset > 0 && (streamID == "" || e.Kind != KindEngine) {
 		return gate.NotRun, errNoResume()
 	}
 	response, err := c.client.call(ctx, e, c.dispatch, streamID)
-	c.health.noteCall(e.ID, err)
-	var unasked notAsked
-	if errors.As(err, &unasked) {
+	c.health.recordCall(e.ID, err)
+	var notSent notSentError
+	if errors.As(err, &notSent) {
 		return gate.NotRun, err
 	}
 	if err != nil {
 		return gate.Incomplete, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	c.runs.answered(e.ID)
+	c.runs.recordAnswer(e.ID)
 	answer := newAnswer(e, response, offset)
 	if offset > 0 && response.StatusCode == http.StatusNotFound {
 		return gate.NotRun, errNoResume()
 	}
-	if offset > 0 && !answer.resumed(offset) {
-		return gate.Incomplete, errors.New("the engine did not resume at the offset")
+	if offset > 0 && !answer.resumedAt(offset) {
+		return gate.Incomplete, errors.New("the engine did not confirm that it resumes at the requested offset")
 	}
-	return c.pass(answer)
+	return c.forward(answer)
 }
 
 func errNoResume() *fault.Error {
 	return fault.New(fault.NotFound, "the stream cannot be resumed here", "start the call again from the beginning")
 }
 
-// pass passes an answer on to the caller. A claimed call is read to its end
-// even if the caller has left.
-func (c *call) pass(a *answer) (gate.Outcome, error) {
+// forward sends an answer to the caller. The answer to a claimed call is read to its end even if the
+// caller has disconnected.
+func (c *call) forward(a *answer) (gate.Outcome, error) {
 	streamID := a.response.Header.Get(engineapi.HeaderStreamID)
 	c.streams.remember(c.dispatch.GetRequestId(), streamID)
-	headers := answerHeaders(a.response.Header)
+	headers := responseHeaders(a.response.Header)
 	claimed := c.dispatch.GetClaimId() != ""
 	if claimed {
 		c.record = newRecording(a.response.StatusCode, headers)
 		a.record = c.record
 	}
-	lost := c.out.head(a.response.StatusCode, headers, streamID)
-	if lost != nil && !claimed {
-		return gate.Incomplete, lost
+	sendErr := c.out.head(a.response.StatusCode, headers, streamID)
+	if sendErr != nil && !claimed {
+		return gate.Incomplete, sendErr
 	}
 	err := a.copyTo(func(offset uint64, part []byte) error {
-		if lost == nil {
-			lost = c.out.chunk(offset, part)
+		if sendErr == nil {
+			sendErr = c.out.chunk(offset, part)
 		}
 		if claimed {
 			return nil
 		}
-		return lost
+		return sendErr
 	})
 	c.length = a.offset
 	if err != nil {
--- a/agent/lockedgate.go
+++ b/agent/lockedgate.go
@@ -14,12 +14,14 @@
 	"github.com/lilackeel/lilackeel/ratelimit"
 )
 
-// freshnessSource is what a lockedGate asks of the feed.
+// freshnessSource is the part of the feed client that a lockedGate needs. Freshness returns the last
+// revision that a quorum has confirmed, and when.
 type freshnessSource interface {
 	Freshness() (revision uint64, at time.Time, ok bool)
 }
 
-// lockedGate guards the gate: one decision at a time, at the time of the clock.
+// lockedGate makes the gate safe for concurrent use and passes it the time of the clock. The mutex is
+// held for one decision at a time.
 type lockedGate struct {
 	clock     *clock
 	agent     string
@@ -27,8 +29,9 @@
 
 	mu   sync.Mutex
 	gate *gate.Gate
-	// ends holds a channel for each running claim that others wait for.
-	ends map[string]chan struct{}
+	// claimDone holds, by claim id, a channel for each running claim that other dispatches wait for. It
+	// is closed when the claim ends.
+	claimDone map[string]chan struct{}
 }
 
 func newLockedGate(s *Settings, i incarnation, c *clock, freshness freshnessSource) *lockedGate {
@@ -36,118 +39,120 @@
 		clock:     c,
 		agent:     s.Name,
 		freshness: freshness,
-		gate:      gate.New(uint64(i), s.Limits, gated(s.Endpoints)),
-		ends:      make(map[string]chan struct{}),
+		gate:      gate.New(uint64(i), s.Limits, gateEndpoints(s.Endpoints)),
+		claimDone: make(map[string]chan struct{}),
 	}
 }
 
-// incarnation never changes, so it needs no lock.
-func (k *lockedGate) incarnation() uint64 { return k.gate.Incarnation() }
+// incarnation returns the incarnation of the agent. It never changes, so the mutex is not needed.
+func (g *lockedGate) incarnation() uint64 { return g.gate.Incarnation() }
 
-func (k *lockedGate) ticket() int64 { return int64(k.clock.now()) }
+func (g *lockedGate) ticket() int64 { return int64(g.clock.now()) }
 
-// configure puts a configuration in force. Endpoints that the configuration
-// gives to another agent are not served.
-func (k *lockedGate) configure(view *feed.View) {
+// configure puts a configuration into force. Endpoints that the configuration assigns to another agent
+// are not served.
+func (g *lockedGate) configure(view *feed.View) {
 	states := make(map[string]fleetv1.EndpointState)
 	for id, e := range view.Endpoints.All() {
-		if e.GetAgent() == k.agent {
+		if e.GetAgent() == g.agent {
 			states[id] = e.GetState()
 		}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.gate.Configure(view.Revision, states)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.gate.Configure(view.Revision, states)
 }
 
-func (k *lockedGate) admit(d *agentv1.DispatchRequest) gate.Verdict {
-	revision, at, ok := k.freshness.Freshness()
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (g *lockedGate) admit(d *agentv1.DispatchRequest) gate.Verdict {
+	revision, at, ok := g.freshness.Freshness()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	if ok {
-		k.gate.Confirm(revision, k.clock.at(at))
+		g.gate.Confirm(revision, g.clock.at(at))
 	}
-	return k.gate.Admit(k.clock.now(), d)
+	return g.gate.Admit(g.clock.now(), d)
 }
 
-// limits are the rate limits that endpoints name. They have a lock of their own.
-func (k *lockedGate) limits() *ratelimit.Arbiter { return k.gate.RateLimits() }
+// rateLimits returns the rate limits that endpoints advertise. The arbiter has a mutex of its own.
+func (g *lockedGate) rateLimits() *ratelimit.Arbiter { return g.gate.RateLimits() }
 
-// named takes in what an endpoint has named in its answer to a request that was sent at a time.
-func (k *lockedGate) named(endpoint string, sent time.Duration, text string) {
+// learnRateLimit records the rate limit in the response to a request that was sent at the given time,
+// if there is a valid one.
+func (g *lockedGate) learnRateLimit(endpoint string, sent time.Duration, text string) {
 	rate, ok := ratelimit.Parse(text)
 	if !ok {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.clock.now()
-	k.gate.LearnRateLimit(now, endpoint, ratelimit.Limit{Rate: rate, SentAt: sent, ReceivedAt: now})
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	now := g.clock.now()
+	g.gate.LearnRateLimit(now, endpoint, ratelimit.Limit{Rate: rate, SentAt: sent, ReceivedAt: now})
 }
 
-// pushedBack notes that an endpoint wants nothing for a pause.
-func (k *lockedGate) pushedBack(endpoint string, pause time.Duration) {
+// recordPushback records that an endpoint has asked for a pause.
+func (g *lockedGate) recordPushback(endpoint string, pause time.Duration) {
 	countPushback(endpoint)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.gate.RecordPushback(k.clock.now(), endpoint, pause)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.gate.RecordPushback(g.clock.now(), endpoint, pause)
 }
 
-// taken notes that an endpoint has not rejected a request that was sent at a time.
-func (k *lockedGate) taken(endpoint string, sent time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.gate.RecordAccepted(endpoint, sent)
+// recordAccepted records that an endpoint has accepted a request that was sent at the given time.
+func (g *lockedGate) recordAccepted(endpoint string, sent time.Duration) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.gate.RecordAccepted(endpoint, sent)
 }
 
-// saidLeaving takes in whether an answer says that its endpoint is about to stop.
-func (k *lockedGate) saidLeaving(endpoint string, sent time.Duration, leaving bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.gate.RecordLeaving(k.clock.now(), endpoint, sent, leaving)
+// recordLeaving records whether the response to a request that was sent at the given time announces
+// that the endpoint is about to stop.
+func (g *lockedGate) recordLeaving(endpoint string, sent time.Duration, leaving bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.gate.RecordLeaving(g.clock.now(), endpoint, sent, leaving)
 }
 
-// goes reports whether an endpoint's answers say that it is about to stop.
-func (k *lockedGate) goes(endpoint string) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.gate.AnnouncedLeaving(endpoint)
+// announcedLeaving reports whether an endpoint's responses announce that it is about to stop.
+func (g *lockedGate) announcedLeaving(endpoint string) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.gate.AnnouncedLeaving(endpoint)
 }
 
-// checkSend lets one request be sent to an endpoint, unless that is in a pause.
-func (k *lockedGate) checkSend(endpoint string) *fault.Error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.gate.CheckSend(k.clock.now(), endpoint)
+// checkSend admits one request to an endpoint unless the endpoint is in a pause.
+func (g *lockedGate) checkSend(endpoint string) *fault.Error {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.gate.CheckSend(g.clock.now(), endpoint)
 }
 
-// ended notes that an endpoint's process has ended.
-func (k *lockedGate) ended(endpoint string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.gate.ProcessEnded(k.clock.now(), endpoint)
+// processEnded records that an endpoint's process has ended.
+func (g *lockedGate) processEnded(endpoint string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.gate.ProcessEnded(g.clock.now(), endpoint)
 }
 
-// admitPoll reports whether an endpoint may be polled now, and whether it names a rate limit.
-func (k *lockedGate) admitPoll(endpoint string) (ok, limited bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.gate.AdmitPoll(k.clock.now(), endpoint)
+// admitPoll reports whether an endpoint may be polled now, and whether it advertises a rate limit.
+func (g *lockedGate) admitPoll(endpoint string) (ok, limited bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.gate.AdmitPoll(g.clock.now(), endpoint)
 }
 
-func (k *lockedGate) finish(d *agentv1.DispatchRequest, outcome gate.Outcome, answer *controlv1.Answer) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.gate.Finish(k.clock.now(), d, outcome, answer)
-	if end, waited := k.ends[d.GetClaimId()]; waited {
+func (g *lockedGate) finish(d *agentv1.DispatchRequest, outcome gate.Outcome, answer *controlv1.Answer) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.gate.Finish(g.clock.now(), d, outcome, answer)
+	if end, waited := g.claimDone[d.GetClaimId()]; waited {
 		close(end)
-		delete(k.ends, d.GetClaimId())
+		delete(g.claimDone, d.GetClaimId())
 	}
 }
 
-// awaitEnd waits until a running claim has ended, or for ctx.
-func (k *lockedGate) awaitEnd(ctx context.Context, d *agentv1.DispatchRequest) error {
-	end := k.endOf(d)
+// awaitClaim waits until the claim of a dispatch is no longer running, or until ctx ends.
+func (g *lockedGate) awaitClaim(ctx context.Context, d *agentv1.DispatchRequest) error {
+	end := g.doneChannel(d)
 	if end == nil {
 		return nil
 	}
@@ -159,77 +164,78 @@
 	}
 }
 
-// endOf returns a channel that closes when the claim ends; nil if it has.
-func (k *lockedGate) endOf(d *agentv1.DispatchRequest) <-chan struct{} {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !k.gate.Running(d.GetClaimId()) {
+// doneChannel returns a channel that is closed when the claim of a dispatch ends; nil if it is not
+// running.
+func (g *lockedGate) doneChannel(d *agentv1.DispatchRequest) <-chan struct{} {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if !g.gate.Running(d.GetClaimId()) {
 		return nil
 	}
-	end := k.ends[d.GetClaimId()]
+	end := g.claimDone[d.GetClaimId()]
 	if end == nil {
 		end = make(chan struct{})
-		k.ends[d.GetClaimId()] = end
+		g.claimDone[d.GetClaimId()] = end
 	}
 	return end
 }
 
-func (k *lockedGate) revoke(r *agentv1.RevokeRequest) *agentv1.RevokeResponse {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.gate.Revoke(k.clock.now(), r)
+func (g *lockedGate) revoke(r *agentv1.RevokeRequest) *agentv1.RevokeResponse {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.gate.Revoke(g.clock.now(), r)
 }
 
-func (k *lockedGate) admitOrder(o *agentv1.OrderRequest) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.gate.AdmitOrder(o)
+func (g *lockedGate) admitOrder(o *agentv1.OrderRequest) error {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.gate.AdmitOrder(o)
 }
 
-func (k *lockedGate) learnFence(token uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.gate.LearnFence(token)
+func (g *lockedGate) learnFence(token uint64) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.gate.LearnFence(token)
 }
 
-func (k *lockedGate) raiseFence(token uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.gate.RaiseFence(token)
+func (g *lockedGate) raiseFence(token uint64) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.gate.RaiseFence(token)
 }
 
-func (k *lockedGate) fence() (highest uint64, known bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.gate.Fence()
+func (g *lockedGate) fence() (highest uint64, known bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.gate.Fence()
 }
 
-func (k *lockedGate) stop() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.gate.Stop()
+func (g *lockedGate) stop() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.gate.Stop()
 }
 
-func (k *lockedGate) drain() gate.Drain {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.gate.Drain()
+func (g *lockedGate) drain() gate.Drain {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.gate.Drain()
 }
 
-func (k *lockedGate) inFlight() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.gate.InFlight()
+func (g *lockedGate) inFlight() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.gate.InFlight()
 }
 
-func (k *lockedGate) inFlightAt(endpoint string) int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.gate.InFlightAt(endpoint)
+func (g *lockedGate) inFlightAt(endpoint string) int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.gate.InFlightAt(endpoint)
 }
 
-func (k *lockedGate) revision() uint64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.gate.Revision()
+func (g *lockedGate) revision() uint64 {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.gate.Revision()
 }
--- a/agent/poll.go
+++ b/agent/poll.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// pollTimeout bounds one poll of an endpoint.
+	// pollTimeout is the time limit for one poll of an endpoint.
 	pollTimeout = time.Second
-	// readBackEvery is the number of polls after which an engine is read back.
-	readBackEvery = 10
+	// pollsPerReadBack is the number of polls between reads of what an engine has loaded.
+	pollsPerReadBack = 10
 )
 
 // poller polls the load and the cache events of one endpoint.
@@ -25,31 +25,31 @@
 	lockedGate   *lockedGate
 	client       *endpointClient
 	reportBuffer *reportBuffer
-	loaded       *loaded
+	loaded       *loadedState
 	health       *health
 	logger       *slog.Logger
 	interval     time.Duration
 
-	// run names the run of the engine that events come from. lastSeq is the
-	// number of the last event read of it. seqOffset is added to such numbers, so
-	// that they keep growing when the engine starts again.
+	// run is the run of the engine that the events are from, lastSeq the sequence number of the last
+	// event read from it. seqOffset is added to the engine's sequence numbers, so that the reported
+	// ones keep increasing across restarts of the engine.
 	run                string
 	lastSeq, seqOffset uint64
 }
 
 // loop polls until ctx ends.
 func (p *poller) loop(ctx context.Context) {
-	for number := 1; ctx.Err() == nil; number++ {
+	for polls := 1; ctx.Err() == nil; polls++ {
 		p.poll(ctx)
-		if _, limited := p.lockedGate.limits().Limit(p.endpoint.ID); !limited && number%readBackEvery == 0 {
+		if _, limited := p.lockedGate.rateLimits().Limit(p.endpoint.ID); !limited && polls%pollsPerReadBack == 0 {
 			p.readLoaded(ctx)
 		}
 		wait.For(ctx, jitter(p.interval))
 	}
 }
 
-// readLoaded reads back what an engine has loaded. It may have started again
-// with something else.
+// readLoaded reads back what an engine has loaded, which differs from what is known if the engine has
+// restarted with other settings.
 func (p *poller) readLoaded(ctx context.Context) {
 	if p.endpoint.Kind != KindEngine {
 		return
@@ -57,7 +57,7 @@
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	if _, _, err := p.client.readLoaded(ctx, p.endpoint, p.loaded); err != nil {
-		p.logger.DebugContext(ctx, "cannot read an engine back", slog.String("endpoint", p.endpoint.ID), slog.Any("error", err))
+		p.logger.DebugContext(ctx, "cannot read back what an engine has loaded", slog.String("endpoint", p.endpoint.ID), slog.Any("error", err))
 	}
 }
 
@@ -65,57 +65,57 @@
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	if p.endpoint.Kind != KindEngine {
-		p.ownLoad()
+		p.reportInFlight()
 		p.probe(ctx)
 		return
 	}
 	ok, limited := p.lockedGate.admitPoll(p.endpoint.ID)
 	if !ok {
-		p.ownLoad()
+		p.reportInFlight()
 		return
 	}
-	asked := time.Now()
+	requested := time.Now()
 	var load engineapi.Load
 	status, err := p.client.exchange(ctx, http.MethodGet, p.endpoint, engineapi.PathLoad, nil, &load)
-	p.health.noteCall(p.endpoint.ID, err)
+	p.health.recordCall(p.endpoint.ID, err)
 	switch {
 	case err != nil:
 		p.reportBuffer.dropLoad(p.endpoint.ID)
 		return
 	case status == http.StatusOK:
-		p.reportBuffer.setLoad(p.report(load), asked.Add(-time.Duration(load.AgeMS)*time.Millisecond))
+		p.reportBuffer.setLoad(p.loadReport(load), requested.Add(-time.Duration(load.AgeMS)*time.Millisecond))
 	default:
-		p.ownLoad()
+		p.reportInFlight()
 	}
 	if !limited {
 		p.pollEvents(ctx)
 	}
 }
 
-// probe connects to a plain service whose last call found no connection, or which leaves: it gets
-// no calls that would show its end.
+// probe checks by a connection whether a service is reachable, if its last call could not connect or if
+// it is leaving. A leaving service gets no calls that would reveal that its process has ended.
 func (p *poller) probe(ctx context.Context) {
-	goes := p.lockedGate.goes(p.endpoint.ID)
-	if !goes && !p.health.suspected(p.endpoint.ID) {
+	leaving := p.lockedGate.announcedLeaving(p.endpoint.ID)
+	if !leaving && !p.health.suspected(p.endpoint.ID) {
 		return
 	}
-	connects := p.client.connects(ctx, p.endpoint)
-	p.health.note(p.endpoint.ID, connects)
-	if goes && !connects {
-		p.lockedGate.ended(p.endpoint.ID)
+	reachable := p.client.canConnect(ctx, p.endpoint)
+	p.health.record(p.endpoint.ID, reachable)
+	if leaving && !reachable {
+		p.lockedGate.processEnded(p.endpoint.ID)
 	}
 }
 
-// ownLoad reports the calls that the agent itself has in flight, for endpoints
-// that do not report their load.
-func (p *poller) ownLoad() {
+// reportInFlight reports the number of calls that the agent has in flight as the load of an endpoint
+// that does not report its own, or that may not be polled now.
+func (p *poller) reportInFlight() {
 	p.reportBuffer.setLoad(&agentv1.LoadReport{
 		Endpoint: p.endpoint.ID,
 		Running:  int32(p.lockedGate.inFlightAt(p.endpoint.ID)),
 	}, time.Now())
 }
 
-func (p *poller) report(load engineapi.Load) *agentv1.LoadReport {
+func (p *poller) loadReport(load engineapi.Load) *agentv1.LoadReport {
 	report := &agentv1.LoadReport{
 		Endpoint:        p.endpoint.ID,
 		Running:         int32(load.Running),
@@ -141,13 +141,13 @@
 	if err != nil || status != http.StatusOK {
 		return
 	}
-	p.reportBuffer.addEvents(p.renumber(answer))
+	p.reportBuffer.addEvents(p.toEvents(answer))
 }
 
-// renumber renumbers the events of an answer. A new run of the engine begins with
-// an event that says that its cache is empty; what the answer held of the new
-// run is read again from its beginning.
-func (p *poller) renumber(answer engineapi.CacheEvents) []*agentv1.CacheEvent {
+// toEvents converts the events of a response and renumbers them. For a new run of the engine it returns
+// a single event that says that the cache was cleared; the events of that run are read by the next
+// poll, from the first on.
+func (p *poller) toEvents(answer engineapi.CacheEvents) []*agentv1.CacheEvent {
 	if answer.Run != p.run {
 		restarted := p.run != ""
 		p.run = answer.Run
--- a/agent/service.go
+++ b/agent/service.go
@@ -11,7 +11,7 @@
 	"github.com/lilackeel/lilackeel/sharing"
 )
 
-// Bounds of the interval between two reports.
+// Limits and default of the interval between reports.
 const (
 	minReportInterval     = 20 * time.Millisecond
 	maxReportInterval     = 10 * time.Second
@@ -26,31 +26,31 @@
 	orderer      *orderer
 	reportBuffer *reportBuffer
 	ranks        *ranks.Ranks
-	// drained closes when a planned stop has finished all calls.
+	// drained is closed when a planned stop has waited for the calls in flight.
 	drained chan struct{}
-	// shared is what entries share.
-	shared *sharing.Host
+	// sharingHost holds the data that entries share through this host.
+	sharingHost *sharing.Host
 }
 
 // PublishCrashReports implements agentv1.AgentServer.
 func (s *service) PublishCrashReports(_ context.Context, r *agentv1.PublishCrashReportsRequest) (*agentv1.PublishCrashReportsResponse, error) {
-	s.shared.PublishCrashReports(r)
+	s.sharingHost.PublishCrashReports(r)
 	return &agentv1.PublishCrashReportsResponse{}, nil
 }
 
 // PublishSuspicions implements agentv1.AgentServer.
 func (s *service) PublishSuspicions(_ context.Context, r *agentv1.PublishSuspicionsRequest) (*agentv1.PublishSuspicionsResponse, error) {
-	s.shared.PublishSuspicions(r)
+	s.sharingHost.PublishSuspicions(r)
 	return &agentv1.PublishSuspicionsResponse{}, nil
 }
 
 // Permit implements agentv1.AgentServer.
 func (s *service) Permit(_ context.Context, r *agentv1.PermitRequest) (*agentv1.PermitResponse, error) {
-	return s.shared.Permit(r), nil
+	return s.sharingHost.Permit(r), nil
 }
 
-func newService(k *lockedGate, p *dispatcher, o *orderer, b *reportBuffer, r *ranks.Ranks) *service {
-	return &service{lockedGate: k, dispatcher: p, orderer: o, reportBuffer: b, ranks: r, drained: make(chan struct{}), shared: sharing.NewHost(k.clock.now, k.limits())}
+func newService(g *lockedGate, p *dispatcher, o *orderer, b *reportBuffer, r *ranks.Ranks) *service {
+	return &service{lockedGate: g, dispatcher: p, orderer: o, reportBuffer: b, ranks: r, drained: make(chan struct{}), sharingHost: sharing.NewHost(g.clock.now, g.rateLimits())}
 }
 
 // Dispatch implements agentv1.AgentServer.
@@ -73,12 +73,12 @@
 	return s.ranks.Group(r)
 }
 
-// Reports implements agentv1.AgentServer. It ends when the reader leaves or the
-// agent has drained.
+// Reports implements agentv1.AgentServer. The stream ends when the reader disconnects or the agent has
+// drained.
 func (s *service) Reports(r *agentv1.ReportsRequest, stream grpc.ServerStreamingServer[agentv1.Report]) error {
-	ticker := time.NewTicker(intervalOf(r))
+	ticker := time.NewTicker(reportInterval(r))
 	defer ticker.Stop()
-	reader := s.shared.NewReader(r)
+	reader := s.sharingHost.NewReader(r)
 	var read position
 	for {
 		report, next := s.reportBuffer.report(read, time.Now())
@@ -99,10 +99,10 @@
 	}
 }
 
-func intervalOf(r *agentv1.ReportsRequest) time.Duration {
+func reportInterval(r *agentv1.ReportsRequest) time.Duration {
 	if r.GetIntervalMs() <= 0 {
 		return defaultReportInterval
 	}
-	asked := time.Duration(min(r.GetIntervalMs(), maxReportInterval.Milliseconds())) * time.Millisecond
-	return max(asked, minReportInterval)
+	requested := time.Duration(min(r.GetIntervalMs(), maxReportInterval.Milliseconds())) * time.Millisecond
+	return max(requested, minReportInterval)
 }
--- a/control/expertmap/rescue.go
+++ b/control/expertmap/rescue.go
@@ -103,7 +103,7 @@
 		d.cfg.Logger.Info("the engine of an unresponsive host does not respond either", "group", name, "rank", rank, "error", err)
 		return
 	}
-	if status.Name() != name || status.Rank != rank {
+	if status.FormationName() != name || status.Rank != rank {
 		return // it has left the formation, and its present state is unknown
 	}
 	stored, fence, err := d.cfg.Rescue.ReadRecord(ctx, name)
@@ -123,7 +123,7 @@
 	if !ok {
 		return
 	}
-	err = engine.Give(ctx, order) // returns a conflict if the order was carried out after the status was read
+	err = engine.SendOrder(ctx, order) // returns a conflict if the order was carried out after the status was read
 	d.cfg.Logger.Warn("sent an order in place of a rank's unresponsive host", slog.String("group", name), slog.Int("rank", rank),
 		slog.String("order", order.Kind.String()), slog.Uint64("version", order.Version), slog.Uint64("step", order.Step), slog.Any("error", err))
 }
--- a/control/expertmap/settings.go
+++ b/control/expertmap/settings.go
@@ -93,7 +93,7 @@
 		StoreRate:   s.StoreBytesPerSecond,
 		LoadShare:   defaultLoadShare,
 		MaxMoves:    defaultMaxMoves,
-		MaxHold:     defaultMaxHold,
+		MaxLifetime: defaultMaxHold,
 	}
 	for _, field := range []struct {
 		target   *time.Duration
--- a/control/formations.go
+++ b/control/formations.go
@@ -76,7 +76,7 @@
 	for _, pool := range configuration.GetSite().GetPools() {
 		engines[pool.GetName()] = pool.GetEngine()
 	}
-	gapsByPool := site.Pauses(configuration.GetSite().GetRoutes())
+	gapsByPool := site.MaxGaps(configuration.GetSite().GetRoutes())
 	f.shapes, f.engines, f.maxGaps = map[string]group.Shape{}, map[string]*fleetv1.EngineModel{}, map[string]time.Duration{}
 	for _, e := range configuration.GetEndpoints() {
 		engine := engines[e.GetPool()]
@@ -117,10 +117,10 @@
 		copySeconds = engine.GetExpertBytes() / engine.GetLinkRate()
 	}
 	return balance.FollowConfig{
-		Shape: shape, Reach: balance.Reach{Spare: max(int(engine.GetSpare()), 1), Copies: followMaxCopies},
-		Fixed: fixedTimeRatio(engine), CopySeconds: copySeconds, CopySlow: copySlowdown,
-		OrderSeconds: followOrderTime.Seconds(), StallSeconds: followStallTime.Seconds(),
-		MoveSeconds: copyPrice.Seconds() * engine.GetExpertBytes() / gigabyte, Smoothing: followSmoothing, Jump: followJumpThreshold,
+		Shape: shape, Limits: balance.MoveLimits{PerLayer: max(int(engine.GetSpare()), 1), Total: followMaxCopies},
+		FixedRatio: fixedTimeRatio(engine), CopySeconds: copySeconds, CopySlowdown: copySlowdown,
+		CoordinationSeconds: followOrderTime.Seconds(), StallSeconds: followStallTime.Seconds(),
+		MoveSeconds: copyPrice.Seconds() * engine.GetExpertBytes() / gigabyte, Smoothing: followSmoothing, JumpThreshold: followJumpThreshold,
 	}
 }
 
--- a/control/maps.go
+++ b/control/maps.go
@@ -63,7 +63,7 @@
 	}
 	return expertmap.Rescue{
 		Engine: func(id string) rankhost.Engine {
-			if address, ok := rankhost.EndpointOf(id); ok {
+			if address, ok := rankhost.EngineAddr(id); ok {
 				return m.engine(address)
 			}
 			return nil
--- a/operator/client.go
+++ b/operator/client.go
@@ -59,7 +59,7 @@
 	var lastErr *fault.Error
 	lost := false
 	for attempt := 1; ; attempt++ {
-		index, addr := c.cursor.Present()
+		index, addr := c.cursor.Current()
 		response, err := callOnce(ctx, c, addr, request, method)
 		if err == nil {
 			return response, nil
@@ -69,7 +69,7 @@
 			return nil, lastErr
 		}
 		lost = lost || (kind == changeRequest && lastErr.Kind == fault.Unknown)
-		c.cursor.MoveOn(index, lastErr)
+		c.cursor.Advance(index, lastErr)
 		if !sleep(ctx, c.retryDelay(attempt)) {
 			return nil, c.noDecisionError(lastErr, lost)
 		}
@@ -110,7 +110,7 @@
 // retryDelay returns the delay after an attempt: none until every replica has been
 // tried.
 func (c *Client) retryDelay(attempt int) time.Duration {
-	if attempt%c.cursor.Known() != 0 {
+	if attempt%c.cursor.Len() != 0 {
 		return 0
 	}
 	return roundRetryDelay
--- a/routed/capacity.go
+++ b/routed/capacity.go
@@ -155,7 +155,7 @@
 func (s *Server) computePlacement(now time.Duration, table *site.Table, entries int) *placement {
 	loads := s.groupLoads(now)
 	s.groupLimits.retain(loads)
-	gaps, recent := site.Pauses(table.Routes()), s.recentlyStarted(now)
+	gaps, recent := site.MaxGaps(table.Routes()), s.recentlyStarted(now)
 	next := &placement{pools: map[string][]groupCapacity{}, reopensAt: reopenTimes(loads), sizes: poolSizes(loads)}
 	for _, pool := range table.Pools() {
 		next.pools[pool.GetName()] = nil
--- a/routed/headers.go
+++ b/routed/headers.go
@@ -68,7 +68,7 @@
 
 // forwardedHeaders returns the caller's headers that are forwarded to the endpoint.
 func forwardedHeaders(header http.Header, consumed map[string]bool) http.Header {
-	connectionHeaders := hopbyhop.Named(header)
+	connectionHeaders := hopbyhop.ConnectionOptions(header)
 	forwarded := make(http.Header, len(header)+6)
 	for name, values := range header {
 		if !hopbyhop.Is(name) && !consumed[name] && !connectionHeaders[name] {
@@ -80,7 +80,7 @@
 
 // copyResponseHeaders copies an endpoint's end-to-end headers to the caller's response.
 func copyResponseHeaders(from, to http.Header) {
-	connectionHeaders := hopbyhop.Named(from)
+	connectionHeaders := hopbyhop.ConnectionOptions(from)
 	for name, values := range from {
 		if !hopbyhop.Is(name) && !connectionHeaders[name] && name != "Content-Length" {
 			to[name] = values
