--- a/entry/admission.go
+++ b/entry/admission.go
@@ -49,7 +49,7 @@
 
 // Admit implements Admitter.
 func (a *AdmissionController) Admit(ctx context.Context, r AdmissionRequest) (func(), error) {
-	return a.AdmitTo(ctx, r.Pool, workspace.Request{Workspace: r.Workspace, Priority: r.Priority, ExpectedTokens: r.Tokens})
+	return a.AdmitOnTime(ctx, r.Pool, workspace.Request{Workspace: r.Workspace, Priority: r.Priority, ExpectedTokens: r.Tokens})
 }
 
 // latePollInterval is the interval at which a late request checks for a free slot.
@@ -122,7 +122,7 @@
 }
 
 // AdmitTo implements routed.Admitter.
-func (a *AdmissionController) AdmitTo(ctx context.Context, pool string, r workspace.Request) (func(), error) {
+func (a *AdmissionController) AdmitOnTime(ctx context.Context, pool string, r workspace.Request) (func(), error) {
 	a.lateQueues.countOnTime(pool, time.Since(processStart))
 	return a.acquire(ctx, pool, r)
 }
--- a/entry/config.go
+++ b/entry/config.go
@@ -49,7 +49,7 @@
 	RetryRatio  float64
 	RetryBurst  float64
 	// HoldBytes is the size up to which an answer is buffered until it is complete.
-	HoldBytes int64
+	MaxBufferedBytes int64
 	// FirstByteTimeout is the longest wait for the head of a streamed answer, IdleTimeout the longest
 	// gap within it.
 	FirstByteTimeout, IdleTimeout time.Duration
@@ -63,8 +63,8 @@
 	Routed bool
 	// Headers are the names of the headers that are exchanged with callers and endpoints if Routed is
 	// set, RetryStyle the form in which callers are told when to retry.
-	Headers    routed.Headers
-	RetryStyle answer.RetryAfterFormat
+	Headers          routed.Headers
+	RetryAfterFormat answer.RetryAfterFormat
 	// RetryAfter is the default Retry-After if Routed is set.
 	RetryAfter time.Duration
 	// MaxWait is the longest wait of a request of a route for a free slot, MaxRetryAfter the longest
@@ -132,7 +132,7 @@
 	s.Int(&cfg.MaxAttempts, "max-attempts", policy.MaxAttempts, "maximum number of attempts of one request", setting.Min(1), setting.Max(10))
 	s.Float(&cfg.RetryRatio, "retry-ratio", budget.Ratio, "retries allowed as a share of live traffic", setting.Min(0.0), setting.Max(1.0))
 	s.Float(&cfg.RetryBurst, "retry-burst", budget.Burst, "largest burst of retries", setting.Min(1.0))
-	s.Bytes(&cfg.HoldBytes, "hold-body", int64(policy.MaxBufferedBytes), "size up to which an answer is buffered until it is complete", setting.Min(int64(policy.MaxRecordedBodyBytes)))
+	s.Bytes(&cfg.MaxBufferedBytes, "hold-body", int64(policy.MaxBufferedBytes), "size up to which an answer is buffered until it is complete", setting.Min(int64(policy.MaxRecordedBodyBytes)))
 	s.Duration(&cfg.FirstByteTimeout, "first-byte-timeout", policy.FirstByteTimeout, "longest wait for the head of a streamed answer", setting.Min(minDeadline))
 	s.Duration(&cfg.IdleTimeout, "idle-timeout", policy.IdleTimeout, "longest gap in a streamed answer", setting.Min(minDeadline))
 }
@@ -162,7 +162,7 @@
 func (cfg *Config) policy() *call.Policy {
 	policy := call.DefaultPolicy
 	policy.MaxAttempts = cfg.MaxAttempts
-	policy.MaxBufferedBytes = int(cfg.HoldBytes)
+	policy.MaxBufferedBytes = int(cfg.MaxBufferedBytes)
 	policy.FirstByteTimeout = cfg.FirstByteTimeout
 	policy.IdleTimeout = cfg.IdleTimeout
 	return &policy
--- a/entry/flow_test.go
+++ b/entry/flow_test.go
@@ -129,7 +129,7 @@
 	policy := call.DefaultPolicy
 	s := NewServer(Config{
 		DefaultDeadline: time.Minute, MaxDeadline: time.Hour, MaxBodyBytes: 1 << 20, MaxHeaderBytes: 1 << 16, BodyTimeout: time.Second,
-		WriteTimeout: time.Second, MaxAttempts: policy.MaxAttempts, RetryRatio: 1, RetryBurst: 10, HoldBytes: 1 << 20,
+		WriteTimeout: time.Second, MaxAttempts: policy.MaxAttempts, RetryRatio: 1, RetryBurst: 10, MaxBufferedBytes: 1 << 20,
 		FirstByteTimeout: 5 * time.Second, IdleTimeout: 5 * time.Second, AccessLog: true,
 	}, Dependencies{
 		Directory: directory, Admitter: f, Picker: f, Loads: load.New(load.Config{}, table), Index: prefix.New(prefix.Config{Entries: 64}),
--- a/entry/permits.go
+++ b/entry/permits.go
@@ -54,7 +54,7 @@
 // Answered implements routed.RateLimits. A changed limit is forwarded to the host that grants the
 // permits; a value that is not a valid limit is ignored. Responses of an earlier incarnation of
 // the endpoint are ignored, since they do not apply to the current one.
-func (p *PermitClient) RecordAnswer(e *endpoint.Endpoint, f ratelimit.Feedback) {
+func (p *PermitClient) RecordFeedback(e *endpoint.Endpoint, f ratelimit.Feedback) {
 	if present, known := p.endpoints.Get(e.ID); !known || present.Incarnation != e.Incarnation {
 		return
 	}
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -63,7 +63,7 @@
 		headers = routed.DefaultHeaders
 	}
 	settings := routed.Config{
-		Name: cfg.Name, Zone: cfg.Zone, Headers: headers, RetryAfterFormat: cfg.RetryStyle,
+		Name: cfg.Name, Zone: cfg.Zone, Headers: headers, RetryAfterFormat: cfg.RetryAfterFormat,
 		MaxHeaderBytes: cfg.MaxHeaderBytes, MaxBodyBytes: cfg.MaxBodyBytes,
 		BodyTimeout: cfg.BodyTimeout, WriteTimeout: cfg.WriteTimeout, MaxBufferedBytes: policy.MaxBufferedBytes,
 		Backoff: policy.Backoff, RetryAfter: cfg.RetryAfter, AccessLog: cfg.AccessLog,
--- a/entry/ratelimits.go
+++ b/entry/ratelimits.go
@@ -161,7 +161,7 @@
 func (l *RateLimits) Blocked() []string { return l.table.Blocked(time.Since(processStart)) }
 
 // Limited returns the endpoints that advertise a limit. It implements routed.RateLimits.
-func (l *RateLimits) Limited() []string { return l.table.LimitedEndpoints() }
+func (l *RateLimits) LimitedEndpoints() []string { return l.table.LimitedEndpoints() }
 
 // Refusal returns the fault for a request that no endpoint of a pool can take now, if some
 // endpoints will take requests again later; nil otherwise.
--- a/entry/ratelimits_test.go
+++ b/entry/ratelimits_test.go
@@ -89,7 +89,7 @@
 	f.t.Helper()
 	d, err := New(Config{
 		Name: fmt.Sprint("entry-", len(f.entries)), Zone: "a", Listen: "127.0.0.1:0", Feed: []string{"127.0.0.1:1"}, Control: []string{"127.0.0.1:1"},
-		Routed: true, MaxHeaderBytes: 4 << 10, MaxBodyBytes: 1 << 10, BodyTimeout: time.Second, WriteTimeout: time.Second, HoldBytes: 64 << 10,
+		Routed: true, MaxHeaderBytes: 4 << 10, MaxBodyBytes: 1 << 10, BodyTimeout: time.Second, WriteTimeout: time.Second, MaxBufferedBytes: 64 << 10,
 		RetryAfter: 250 * time.Millisecond, RetryRatio: 0.1, RetryBurst: 10, MaxWait: 300 * time.Millisecond, MaxRetryAfter: time.Second,
 		ReportInterval: 20 * time.Millisecond, Peers: 1, Link: link.Config{},
 	}, slog.New(slog.DiscardHandler))
--- a/routed/choose.go
+++ b/routed/choose.go
@@ -26,7 +26,7 @@
 		}
 		denied = append(denied, chosen.ID)
 	}
-	chosen, err := x.choose(slices.Concat(s.RateLimits.Limited(), s.RateLimits.Blocked(), denied))
+	chosen, err := x.choose(slices.Concat(s.RateLimits.LimitedEndpoints(), s.RateLimits.Blocked(), denied))
 	if err != nil || !s.RateLimits.Admit(x.callerCtx, &chosen, len(x.tried) > 0) {
 		return chosen, x.noEndpointError(err, true)
 	}
--- a/routed/deliver.go
+++ b/routed/deliver.go
@@ -32,7 +32,7 @@
 		s.Reach.Succeeded(a.target.ID)
 		s.Reach.Received(s.clock(), a.target.ID)
 		s.Suspects.Succeeded(s.clock(), a.started, a.target.RunID())
-		s.RateLimits.RecordAnswer(&a.target, a.feedback(r))
+		s.RateLimits.RecordFeedback(&a.target, a.feedback(r))
 	}
 	if r.Status == http.StatusMisdirectedRequest || names.NotRun != "" && r.Header.Get(names.NotRun) != "" {
 		return a.handleRejection(r)
--- a/routed/exchange.go
+++ b/routed/exchange.go
@@ -115,7 +115,7 @@
 	}
 	r.MaxWait = s.firstChunkTimes.maxQueueWait(q)
 	if q.onTime() {
-		release, err = s.Admitter.AdmitTo(ctx, q.pool, r)
+		release, err = s.Admitter.AdmitOnTime(ctx, q.pool, r)
 		if err == nil || !fault.Is(err, fault.Overloaded) {
 			return release, err
 		}
--- a/routed/harness_test.go
+++ b/routed/harness_test.go
@@ -41,7 +41,7 @@
 // admitAll admits every request.
 type admitAll struct{}
 
-func (admitAll) AdmitTo(context.Context, string, workspace.Request) (func(), error) {
+func (admitAll) AdmitOnTime(context.Context, string, workspace.Request) (func(), error) {
 	return func() {}, nil
 }
 
@@ -52,13 +52,13 @@
 // unlimited implements RateLimits without limits.
 type unlimited struct{}
 
-func (unlimited) RecordAnswer(*endpoint.Endpoint, ratelimit.Feedback)  {}
-func (unlimited) Admit(context.Context, *endpoint.Endpoint, bool) bool { return true }
-func (unlimited) Limited() []string                                    { return nil }
-func (unlimited) Blocked() []string                                    { return nil }
-func (unlimited) InPause(string) bool                                  { return false }
-func (unlimited) Restrictions() map[string]ratelimit.Restriction       { return nil }
-func (unlimited) Refusal(string) *fault.Error                          { return nil }
+func (unlimited) RecordFeedback(*endpoint.Endpoint, ratelimit.Feedback) {}
+func (unlimited) Admit(context.Context, *endpoint.Endpoint, bool) bool  { return true }
+func (unlimited) LimitedEndpoints() []string                            { return nil }
+func (unlimited) Blocked() []string                                     { return nil }
+func (unlimited) InPause(string) bool                                   { return false }
+func (unlimited) Restrictions() map[string]ratelimit.Restriction        { return nil }
+func (unlimited) Refusal(string) *fault.Error                           { return nil }
 
 // testEntry is an entry with scripted endpoints.
 type testEntry struct {
--- a/routed/quarantine_test.go
+++ b/routed/quarantine_test.go
@@ -124,9 +124,9 @@
 	calls atomic.Int32
 }
 
-func (a *countingAdmitter) AdmitTo(ctx context.Context, pool string, r workspace.Request) (func(), error) {
+func (a *countingAdmitter) AdmitOnTime(ctx context.Context, pool string, r workspace.Request) (func(), error) {
 	a.calls.Add(1)
-	return a.admitAll.AdmitTo(ctx, pool, r)
+	return a.admitAll.AdmitOnTime(ctx, pool, r)
 }
 
 // Guards against a quarantined request that queues for capacity only to be refused; it must be
--- a/routed/server.go
+++ b/routed/server.go
@@ -30,7 +30,7 @@
 // After success, release must be called once.
 type Admitter interface {
 	// AdmitTo waits for capacity in a pool until ctx is done.
-	AdmitTo(ctx context.Context, pool string, r workspace.Request) (release func(), err error)
+	AdmitOnTime(ctx context.Context, pool string, r workspace.Request) (release func(), err error)
 	// AdmitLate waits up to maxWait for capacity that no other request waits for, or for
 	// capacity in a group that responds late.
 	AdmitLate(ctx context.Context, pool string, r workspace.Request, maxWait time.Duration) (release func(), err error)
@@ -45,13 +45,13 @@
 // RateLimits tracks the rate limits and pauses that endpoints state.
 type RateLimits interface {
 	// RecordAnswer records what a response states about its endpoint's rate limit and state.
-	RecordAnswer(e *endpoint.Endpoint, f ratelimit.Feedback)
+	RecordFeedback(e *endpoint.Endpoint, f ratelimit.Feedback)
 	// Admit reports whether another request may be sent to an endpoint now, and counts it;
 	// again is true for a retry. It may ask a host for a permit.
 	Admit(ctx context.Context, e *endpoint.Endpoint, again bool) bool
 	// Limited returns the endpoints that state a rate limit; Blocked returns those to which
 	// nothing may be sent now.
-	Limited() []string
+	LimitedEndpoints() []string
 	Blocked() []string
 	// InPause reports whether an endpoint has asked for a pause that has not ended yet.
 	InPause(id string) bool
