--- a/workspace/gate.go
+++ b/workspace/gate.go
@@ -152,7 +152,7 @@
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return fault.New(fault.DeadlineTooShort, "not run: the deadline passed while the request was queued", "use a longer deadline").WithCause(ctx.Err())
 	}
-	return fault.New(fault.Unavailable, "not run: the caller cancelled the request while it was queued", "send the request again if it is still needed").WithCause(ctx.Err())
+	return fault.New(fault.Unavailable, "not run: the caller cancelled the request while it was queued", "retry if the request is still needed").WithCause(ctx.Err())
 }
 
 // releaser returns the function that releases the slot of a request once.
