--- a/entry/admission.go
+++ b/entry/admission.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// admissionOvercommit is the share of requests that are admitted in excess of a pool's slots, so
-	// that endpoints need not wait for the next request.
+	// admissionOvercommit is the number of requests that are admitted in excess of a pool's slots, as
+	// a share of these, so that endpoints need not wait for the next request.
 	admissionOvercommit = 0.25
 	// defaultSlots is assumed for an endpoint that states no slots.
 	defaultSlots = 64
@@ -26,8 +26,8 @@
 // routed.Admitter. No other lock is taken while its lock is held.
 type AdmissionController struct {
 	peers int
-	// routed is true if the capacity of the gates follows from the step rate of the pools, set by
-	// SetPlaces, instead of from their slots.
+	// routed is true if SetPoolCapacity sets the capacity of the gates, from the step rate of the
+	// pools. Otherwise Resize sets it, from their slots.
 	routed bool
 	policy workspace.Config
 
@@ -86,7 +86,7 @@
 	}
 }
 
-// SetPlaces implements routed.Places.
+// SetPoolCapacity implements routed.CapacitySetter.
 func (a *AdmissionController) SetPoolCapacity(pool string, r routed.PoolCapacity) {
 	lateHeld := a.lateQueues.setCapacity(pool, time.Since(processStart), r)
 	a.gate(pool).SetCapacity(r.OnTime + max(r.OtherInFlight-lateHeld, 0))
@@ -121,7 +121,7 @@
 	}, nil
 }
 
-// AdmitTo implements routed.Admitter.
+// AdmitOnTime implements routed.Admitter.
 func (a *AdmissionController) AdmitOnTime(ctx context.Context, pool string, r workspace.Request) (func(), error) {
 	a.lateQueues.countOnTime(pool, time.Since(processStart))
 	return a.acquire(ctx, pool, r)
@@ -192,7 +192,7 @@
 }
 
 // Resize sets the capacity of the gates to the slots of the endpoints that take new requests. It
-// does nothing if the entry answers by routes, where SetPlaces sets the capacity.
+// does nothing if the entry answers by routes, where SetPoolCapacity sets the capacity.
 func (a *AdmissionController) Resize(endpoints []*endpoint.Endpoint) {
 	if a.routed {
 		return
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -105,7 +105,7 @@
 	if x.request.header.Get(call.HeaderRequestID) == "" {
 		headers = append(headers, &controlv1.Header{Name: call.HeaderRequestID, Value: x.request.id})
 	}
-	if x.single != nil && !x.request.keyFromCaller {
+	if x.atMostOnce != nil && !x.request.keyFromCaller {
 		headers = append(headers, &controlv1.Header{Name: call.HeaderIdempotencyKey, Value: x.request.idempotencyKey})
 	}
 	if a.Offset > 0 && x.repeatable.StreamID() != "" {
@@ -144,7 +144,7 @@
 		f = fault.New(fault.Unknown, "the answer was truncated: the agent closed the stream early", "retry the request")
 	}
 	if x.attempt.timedOut.Load() && !callerLeft {
-		f = fault.New(fault.Unknown, "the endpoint did not answer in time", "retry, or allow more time")
+		f = fault.New(fault.Unknown, "the endpoint did not answer in time", "retry, or use a longer deadline")
 	}
 	notRun := f.Kind != fault.Unknown && f.Kind != fault.Internal && x.attempt.chunks == 0
 	x.attempt.failed = !callerLeft && x.now() < x.request.deadline
@@ -192,7 +192,7 @@
 // incarnation, since agents name one only after it has exited.
 func (x *exchange) recordCompletion() {
 	if cleared := x.server.Quarantine.RecordCompletion(x.now(), x.startedAt, x.request.fingerprint, ""); cleared > 0 {
-		x.server.Logger.LogAttrs(x.callerCtx, slog.LevelInfo, "cleared a request",
+		x.server.Logger.LogAttrs(x.callerCtx, slog.LevelInfo, "cleared the recorded crashes of a request",
 			slog.String("request_id", x.request.id), slog.Any("fingerprint", x.request.fingerprint), slog.Int("ends", cleared))
 	}
 }
@@ -214,17 +214,17 @@
 	if a.chunks == 0 && !a.failed {
 		return
 	}
-	s.Outliers.Observe(now, x.peerGroup, a.load.ID, outlier.Sample{Failed: a.failed, Latency: x.unitLatency(a, now)})
+	s.Outliers.Observe(now, x.peerGroup, a.load.ID, outlier.Sample{Failed: a.failed, Latency: x.normalizedLatency(a, now)})
 	if _, known := s.Targets.Renew(x.target); !known {
 		s.Outliers.Forget(a.load.ID)
 	}
 }
 
-// unitLatency returns the latency of an attempt normalized by its size, which is comparable among
-// peers: the mean time per chunk of a stream, or the duration of a service call. It is zero if the
-// attempt says nothing about it, and for engines that report their own step times, by which they
+// normalizedLatency returns the latency of an attempt normalized by its size, which is comparable
+// among peers: the mean time per chunk of a stream, or the duration of a service call. It is zero if
+// the attempt says nothing about it, and for engines that report their own step times, by which they
 // are compared.
-func (x *exchange) unitLatency(a *attempt, now time.Duration) time.Duration {
+func (x *exchange) normalizedLatency(a *attempt, now time.Duration) time.Duration {
 	switch {
 	case a.failed, x.server.Loads.ReportsOwnStep(a.load.ID):
 		return 0
--- a/entry/body.go
+++ b/entry/body.go
@@ -31,13 +31,13 @@
 	if errors.As(err, &tooLarge) {
 		return nil, s.errBodyTooLarge()
 	}
-	return nil, call.Refuse(fault.New(fault.Invalid, "the request body was incomplete, so nothing was run",
+	return nil, call.Refuse(fault.New(fault.Invalid, "not run: the request body is incomplete",
 		"send the whole body, with its Content-Length or in chunks, within the body timeout").WithCause(err))
 }
 
 func (s *Server) errBodyTooLarge() *call.Verdict {
 	return call.RefuseWithStatus(http.StatusRequestEntityTooLarge, fault.Newf(fault.Invalid, "send a smaller body",
-		"the body is larger than %d bytes", s.config.MaxBodyBytes))
+		"the body exceeds the limit of %d bytes", s.config.MaxBodyBytes))
 }
 
 // readAll reads r to its end. A non-negative length is used to preallocate the buffer.
--- a/entry/client.go
+++ b/entry/client.go
@@ -75,7 +75,7 @@
 
 // Claim implements Claims.
 func (c *remoteClaims) Claim(ctx context.Context, r *controlv1.ClaimRequest) (response *controlv1.ClaimResponse, err error) {
-	err = c.askReplicas(ctx, func(ctx context.Context, client controlv1.ControlClient) (err error) {
+	err = c.callReplicas(ctx, func(ctx context.Context, client controlv1.ControlClient) (err error) {
 		response, err = client.Claim(ctx, r)
 		return err
 	})
@@ -84,16 +84,16 @@
 
 // Settle implements Claims.
 func (c *remoteClaims) Settle(ctx context.Context, r *controlv1.SettleRequest) (response *controlv1.SettleResponse, err error) {
-	err = c.askReplicas(ctx, func(ctx context.Context, client controlv1.ControlClient) (err error) {
+	err = c.callReplicas(ctx, func(ctx context.Context, client controlv1.ControlClient) (err error) {
 		response, err = client.Settle(ctx, r)
 		return err
 	})
 	return response, err
 }
 
-// askReplicas calls the replicas in turn until one decides, in one round at most. Unavailable is
+// callReplicas calls the replicas in turn until one decides, in one round at most. Unavailable is
 // the response of a replica that is stopping, or that finds an endpoint's lease expired.
-func (c *remoteClaims) askReplicas(ctx context.Context, call func(context.Context, controlv1.ControlClient) error) error {
+func (c *remoteClaims) callReplicas(ctx context.Context, call func(context.Context, controlv1.ControlClient) error) error {
 	var unavailable error
 	err := c.finder.CallUntil(ctx, call, func(err error) bool {
 		if f := fault.As(err); f != nil && f.Kind == fault.Unavailable && f.Cause == nil {
--- a/entry/config.go
+++ b/entry/config.go
@@ -48,7 +48,7 @@
 	MaxAttempts int
 	RetryRatio  float64
 	RetryBurst  float64
-	// HoldBytes is the size up to which an answer is buffered until it is complete.
+	// MaxBufferedBytes is the size up to which an answer is buffered until it is complete.
 	MaxBufferedBytes int64
 	// FirstByteTimeout is the longest wait for the head of a streamed answer, IdleTimeout the longest
 	// gap within it.
@@ -62,7 +62,7 @@
 	// and the services.
 	Routed bool
 	// Headers are the names of the headers that are exchanged with callers and endpoints if Routed is
-	// set, RetryStyle the form in which callers are told when to retry.
+	// set, RetryAfterFormat the format of the Retry-After header.
 	Headers          routed.Headers
 	RetryAfterFormat answer.RetryAfterFormat
 	// RetryAfter is the default Retry-After if Routed is set.
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -86,7 +86,7 @@
 	go d.configurer.reports.publishCrashReports(background)
 	go d.configurer.reports.publishSuspicions(background)
 	if d.config.Routed {
-		go d.runThrottle(background)
+		go d.runCapacityUpdates(background)
 	}
 	server := d.httpServer()
 	failed := make(chan error, 1)
@@ -191,9 +191,9 @@
 	}
 }
 
-// runThrottle periodically limits the calls in flight to the number at which the pools keep their
-// step rate.
-func (d *Daemon) runThrottle(ctx context.Context) {
+// runCapacityUpdates periodically updates the capacity of the pools, which limits the calls in
+// flight to the number at which the pools keep their step rate.
+func (d *Daemon) runCapacityUpdates(ctx context.Context) {
 	ticker := time.NewTicker(routed.CapacityUpdateInterval)
 	defer ticker.Stop()
 	for {
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -34,7 +34,7 @@
 	request    *request
 	machine    machine
 	repeatable *call.Repeatable
-	single     *call.AtMostOnce
+	atMostOnce *call.AtMostOnce
 	delivery   *delivery
 	// callerCtx ends when the caller disconnects or the deadline passes. workCtx is the same for a
 	// repeatable call. For a claimed call it never ends by itself, so that the outcome of the call
@@ -49,8 +49,8 @@
 	startedAt time.Duration
 }
 
-// claimRecordTimeout is the timeout of each step of recording a call whose caller has its answer. It
-// may exceed the deadline of the request.
+// claimRecordTimeout is the timeout of each step of recording a claimed call whose caller already
+// has its answer. It may exceed the deadline of the request.
 const claimRecordTimeout = 15 * time.Second
 
 // run admits a parsed request and runs it to its end.
@@ -112,11 +112,11 @@
 	}
 	x.workCtx = context.WithoutCancel(x.callerCtx)
 	x.delivery.w.Header().Set(call.HeaderIdempotencyKey, q.idempotencyKey)
-	x.single = call.NewAtMostOnce(call.AtMostOnceOptions{
+	x.atMostOnce = call.NewAtMostOnce(call.AtMostOnceOptions{
 		Options: options, Workspace: q.workspace.GetName(), Key: q.idempotencyKey,
 		Digest: call.Digest(q.method, q.requestURI, q.body), CallerKey: q.keyFromCaller, ClaimIDPrefix: q.localID,
 	})
-	x.machine = x.single
+	x.machine = x.atMostOnce
 }
 
 // runActions executes actions until the caller has the final answer. It returns false if the
@@ -228,7 +228,7 @@
 	if x.repeatable != nil {
 		return x.repeatable.CallerGone(x.now()), true
 	}
-	return x.single.Abandon(x.now(), a)
+	return x.atMostOnce.Abandon(x.now(), a)
 }
 
 func (x *exchange) pick(a *call.Action) call.Action {
@@ -264,7 +264,7 @@
 			return call.Target{}, x.pickFault(err)
 		}
 		target, ticketed := s.Targets.Resolve(&chosen)
-		if x.single != nil && !ticketed {
+		if x.atMostOnce != nil && !ticketed {
 			wanted.Exclude = append(wanted.Exclude[:len(wanted.Exclude):len(wanted.Exclude)], chosen.ID)
 			continue
 		}
@@ -292,7 +292,7 @@
 	})
 	telemetry.EndSpan(span, err)
 	s.metrics.claimSeconds.Update((x.now() - startedAt).Seconds())
-	return x.single.Claimed(x.now(), response, faultOrNil(err))
+	return x.atMostOnce.Claimed(x.now(), response, faultOrNil(err))
 }
 
 func (x *exchange) revoke(a *call.Action) call.Action {
@@ -300,7 +300,7 @@
 	defer cancel()
 	response, err := x.server.Agents.Revoke(ctx, a.Target.AgentAddr, &agentv1.RevokeRequest{ClaimId: a.ClaimID, Incarnation: a.Target.Incarnation})
 	x.server.metrics.revokes.Inc()
-	return x.single.Revoked(x.now(), response, faultOrNil(err))
+	return x.atMostOnce.Revoked(x.now(), response, faultOrNil(err))
 }
 
 func (x *exchange) settle(a *call.Action) call.Action {
@@ -310,7 +310,7 @@
 	_, err := x.server.Claims.Settle(ctx, &controlv1.SettleRequest{
 		Workspace: x.request.workspace.GetName(), Key: x.request.idempotencyKey, ClaimId: a.ClaimID, State: a.State, Answer: a.Answer,
 	})
-	return x.single.Settled(x.now(), faultOrNil(err))
+	return x.atMostOnce.Settled(x.now(), faultOrNil(err))
 }
 
 // claimCallContext returns the context of one call that queries or records a claim. It may outlast
--- a/entry/flow_test.go
+++ b/entry/flow_test.go
@@ -140,8 +140,8 @@
 	return s
 }
 
-// ask sends a POST request and returns the answer and how long it took.
-func ask(s *Server, ctx context.Context, path, body string) (*httptest.ResponseRecorder, time.Duration) {
+// sendPost sends a POST request and returns the answer and how long it took.
+func sendPost(s *Server, ctx context.Context, path, body string) (*httptest.ResponseRecorder, time.Duration) {
 	r := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body)).WithContext(ctx)
 	r.Header.Set("Authorization", "Bearer secret-key")
 	w := httptest.NewRecorder()
@@ -199,7 +199,7 @@
 			send(endOf(len(whole)))
 			return io.EOF
 		}
-		w, took := ask(f.server(), t.Context(), chatPath, streamBody)
+		w, took := sendPost(f.server(), t.Context(), chatPath, streamBody)
 		is.Equal(w.Body.String(), whole)
 		is.Equal(w.Result().Trailer.Get(call.HeaderOutcome), "answered")
 		is.True(took >= 5*time.Second && took < 7*time.Second)
@@ -218,7 +218,7 @@
 			time.Sleep(100 * time.Millisecond)
 			return nil, fault.New(fault.NoQuorum, "no leader", "")
 		}}
-		w, took := ask(f.server(), t.Context(), "/roster/swap", "duty")
+		w, took := sendPost(f.server(), t.Context(), "/roster/swap", "duty")
 		is.Equal(w.Code, 503)
 		is.Equal(w.Header().Get(call.HeaderOutcome), "not-run")
 		is.True(w.Header().Get("Retry-After") != "")
@@ -257,7 +257,7 @@
 				}
 				ctx, leave := context.WithCancel(t.Context())
 				time.AfterFunc(leaveAfter, leave)
-				ask(f.server(), ctx, "/roster/swap", "duty")
+				sendPost(f.server(), ctx, "/roster/swap", "duty")
 				if len(f.dispatches) == 0 {
 					is.Equal(name, "before the dispatch")
 					is.Equal(f.settled, []controlv1.ClaimState{controlv1.ClaimState_CLAIM_STATE_NOT_RUN})
@@ -285,7 +285,7 @@
 		f.revoke = func() (*agentv1.RevokeResponse, error) {
 			return &agentv1.RevokeResponse{State: agentv1.RevokeState_REVOKE_STATE_UNKNOWN}, nil
 		}
-		w, took := ask(f.server(), t.Context(), "/roster/swap", "duty")
+		w, took := sendPost(f.server(), t.Context(), "/roster/swap", "duty")
 		is.Equal(w.Code, 502)
 		is.Equal(w.Header().Get(call.HeaderOutcome), "unknown")
 		is.Equal(took, time.Duration(0)) // reported immediately
@@ -304,7 +304,7 @@
 	is := is.New(t)
 	s := (&fakes{}).server()
 	s.directory.current.Store(NewDirectory().current.Load())
-	w, _ := ask(s, context.Background(), chatPath, streamBody)
+	w, _ := sendPost(s, context.Background(), chatPath, streamBody)
 	is.Equal(w.Code, http.StatusServiceUnavailable)
 	is.Equal(w.Header().Get(call.HeaderOutcome), "not-run")
 	is.True(w.Header().Get("Retry-After") != "")
--- a/entry/late.go
+++ b/entry/late.go
@@ -82,8 +82,8 @@
 }
 
 // onTimeDemand returns the mean number of slots that on-time requests hold: those that arrive
-// during one mean hold time. The count starts at zero: requests that have waited for the entry to
-// start are not on time in the first second after it, and that burst says nothing about the rate.
+// during one mean hold time. The count starts at zero: the requests that have waited for the entry
+// to start arrive in a burst and are already late, so they say nothing about the rate.
 func (q *lateQueue) onTimeDemand(load occupancy) float64 {
 	return q.onTime / lateRateDecay.Seconds() * load.holdTime.Seconds()
 }
--- a/entry/permits.go
+++ b/entry/permits.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Answered implements routed.RateLimits. A changed limit is forwarded to the host that grants the
-// permits; a value that is not a valid limit is ignored. Responses of an earlier incarnation of
+// RecordFeedback implements routed.RateLimits. A changed limit is forwarded to the host that grants
+// the permits; a value that is not a valid limit is ignored. Responses of an earlier incarnation of
 // the endpoint are ignored, since they do not apply to the current one.
 func (p *PermitClient) RecordFeedback(e *endpoint.Endpoint, f ratelimit.Feedback) {
 	if present, known := p.endpoints.Get(e.ID); !known || present.Incarnation != e.Incarnation {
@@ -104,14 +104,14 @@
 	named := ratelimit.EndpointLimit{Endpoint: e.RunID(), Limit: limit}
 	hosts := p.permitHosts(named.Endpoint)
 	if len(hosts) == 0 {
-		return p.askLocally(named)
+		return p.requestLocally(named)
 	}
 	for i, addr := range hosts {
-		askedAt := time.Since(processStart)
-		if p.inBackoff(addr, askedAt) {
+		requestedAt := time.Since(processStart)
+		if p.inBackoff(addr, requestedAt) {
 			continue
 		}
-		response, err := p.callHost(ctx, addr, &agentv1.PermitRequest{Limit: ratelimit.ToProto(askedAt, named), Wanted: true, Choice: uint32(i)})
+		response, err := p.callHost(ctx, addr, &agentv1.PermitRequest{Limit: ratelimit.ToProto(requestedAt, named), Wanted: true, Choice: uint32(i)})
 		now := time.Since(processStart)
 		switch {
 		case ctx.Err() != nil:
@@ -121,7 +121,7 @@
 			continue
 		}
 		p.mergeLimits(now, []*agentv1.RateLimit{response.GetLimit()})
-		if now-askedAt > maxPermitAge {
+		if now-requestedAt > maxPermitAge {
 			return false, 0
 		}
 		return response.GetGranted(), time.Duration(response.GetWaitMs()) * time.Millisecond
@@ -129,8 +129,8 @@
 	return false, hostBackoff / 2
 }
 
-// askLocally requests a permit from the local arbiter, for an equal share of the limit.
-func (p *PermitClient) askLocally(n ratelimit.EndpointLimit) (granted bool, wait time.Duration) {
+// requestLocally requests a permit from the local arbiter, for an equal share of the limit.
+func (p *PermitClient) requestLocally(n ratelimit.EndpointLimit) (granted bool, wait time.Duration) {
 	n.Limit.Rate /= float64(p.peers)
 	permit := p.localArbiter.Acquire(time.Since(processStart), n, 0)
 	return permit.Granted, permit.Wait
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -68,11 +68,11 @@
 		BodyTimeout: cfg.BodyTimeout, WriteTimeout: cfg.WriteTimeout, MaxBufferedBytes: policy.MaxBufferedBytes,
 		Backoff: policy.Backoff, RetryAfter: cfg.RetryAfter, AccessLog: cfg.AccessLog,
 	}
-	parts := routed.Dependencies{
+	dependencies := routed.Dependencies{
 		Admitter: admissions, Picker: picker, Endpoints: table, Loads: loads, Outliers: outliers,
 		Reach: reached, Groups: groups, Client: client, Quarantine: crashes, RateLimits: permits, Suspects: suspects, Budget: call.NewBudget(cfg.budget()), Logger: logger,
 	}
-	return routed.NewServer(settings, parts, func() time.Duration { return time.Since(processStart) })
+	return routed.NewServer(settings, dependencies, func() time.Duration { return time.Since(processStart) })
 }
 
 // newSuspects returns the tracker of endpoints that are suspected of not answering. The seed is
--- a/entry/pushback_test.go
+++ b/entry/pushback_test.go
@@ -232,14 +232,14 @@
 		s.Picker, s.RateLimits = singleEndpointPicker{single}, NewRateLimits(Config{}, table, NewAdmissionController(Config{}), slog.New(slog.DiscardHandler))
 		s.config.DefaultDeadline = 5 * time.Second
 		startedAt := time.Now()
-		w, _ := ask(s, t.Context(), chatPath, streamBody)
+		w, _ := sendPost(s, t.Context(), chatPath, streamBody)
 		t.Logf("a pause of %v: %d after %v, %d dispatches, Retry-After %s", c.pause, w.Code, time.Since(startedAt), dispatches.Load(), w.Header().Get("Retry-After"))
 		is.Equal(w.Code == http.StatusOK, c.served)
 		is.Equal(time.Since(startedAt) >= c.pause, c.served)
 		if !c.served {
 			is.Equal(w.Header().Get("Retry-After"), "60")
 			is.Equal(dispatches.Load(), int64(1))
-			second, _ := ask(s, t.Context(), chatPath, streamBody)
+			second, _ := sendPost(s, t.Context(), chatPath, streamBody)
 			is.Equal(second.Code, http.StatusServiceUnavailable)
 			is.Equal(dispatches.Load(), int64(1)) // no further dispatch to the agent
 		}
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -64,12 +64,12 @@
 				m := newCrashingEngines()
 				s := m.server()
 				for range 10 {
-					ask(s, t.Context(), path, body(crashingBody))
-					other, _ := ask(s, t.Context(), path, body("another"))
+					sendPost(s, t.Context(), path, body(crashingBody))
+					other, _ := sendPost(s, t.Context(), path, body("another"))
 					is.Equal(other.Code, http.StatusOK) // other requests are still served
 				}
 				is.Equal(m.crashes, 3) // three crashes suffice
-				refused, took := ask(s, t.Context(), path, body(crashingBody))
+				refused, took := sendPost(s, t.Context(), path, body(crashingBody))
 				is.Equal(refused.Code, http.StatusServiceUnavailable)
 				is.Equal(refused.Header().Get(call.HeaderOutcome), "not-run")
 				is.True(refused.Header().Get("Retry-After") != "") // quarantine is temporary, in case it is mistaken
@@ -87,7 +87,7 @@
 		m := newCrashingEngines()
 		s := m.server()
 		s.policy.MaxAttempts = 6
-		refused, _ := ask(s, t.Context(), chatPath, `{"model":"draft","messages":[{"role":"user","content":"`+crashingBody+`"}]}`)
+		refused, _ := sendPost(s, t.Context(), chatPath, `{"model":"draft","messages":[{"role":"user","content":"`+crashingBody+`"}]}`)
 		is.Equal(m.crashes, 3)
 		is.Equal(refused.Header().Get(call.HeaderOutcome), "unknown") // it may have run
 	})
--- a/entry/ratelimits.go
+++ b/entry/ratelimits.go
@@ -14,8 +14,9 @@
 	"github.com/lilackeel/lilackeel/ratelimit"
 )
 
-// RateLimits holds the rate limits that endpoints advertise, as far as this entry knows them. It
-// is safe for concurrent use. No other lock is taken while its lock is held.
+// RateLimits holds the rate limits that endpoints advertise and the pauses that they request, as
+// far as this entry knows them. It is safe for concurrent use. No other lock is taken while its
+// lock is held.
 type RateLimits struct {
 	// peers is the configured number of entries, maxWait the longest delay after which a refused
 	// caller is asked to retry.
@@ -32,8 +33,8 @@
 	pushbacks *metrics.Counter
 
 	mu sync.Mutex
-	// turns schedules the retries of refused requests, by pool.
-	turns map[string]ratelimit.RetrySchedule
+	// retrySchedules schedules the retries of refused requests, by pool.
+	retrySchedules map[string]ratelimit.RetrySchedule
 }
 
 // HoldTimes provides the mean time that requests hold a slot. AdmissionController implements it.
@@ -45,7 +46,7 @@
 // NewRateLimits returns an empty RateLimits.
 func NewRateLimits(cfg Config, endpoints *endpoint.Table, admission *AdmissionController, logger *slog.Logger) *RateLimits {
 	l := &RateLimits{
-		peers: max(cfg.Peers, 1), maxWait: cmp.Or(cfg.MaxRetryAfter, defaultMaxRateLimitWait), turns: map[string]ratelimit.RetrySchedule{},
+		peers: max(cfg.Peers, 1), maxWait: cmp.Or(cfg.MaxRetryAfter, defaultMaxRateLimitWait), retrySchedules: map[string]ratelimit.RetrySchedule{},
 		table: ratelimit.NewTable(), endpoints: endpoints, holdTimes: admission, logger: logger,
 		limitedAttempts: attemptCounts{
 			first:   metrics.GetOrCreateCounter(`lilackeel_entry_rate_limited_attempts_total{attempt="first"}`),
@@ -151,16 +152,16 @@
 // InPause implements routed.RateLimits.
 func (l *RateLimits) InPause(id string) bool { return l.table.InPause(time.Since(processStart), id) }
 
-// Reserves implements routed.RateLimits.
+// Restrictions implements routed.RateLimits.
 func (l *RateLimits) Restrictions() map[string]ratelimit.Restriction {
 	return l.table.Restrictions(time.Since(processStart))
 }
 
-// Closed returns the endpoints to which no request may be sent at the moment. It implements
+// Blocked returns the endpoints to which no request may be sent at the moment. It implements
 // routed.RateLimits.
 func (l *RateLimits) Blocked() []string { return l.table.Blocked(time.Since(processStart)) }
 
-// Limited returns the endpoints that advertise a limit. It implements routed.RateLimits.
+// LimitedEndpoints returns the endpoints that advertise a limit. It implements routed.RateLimits.
 func (l *RateLimits) LimitedEndpoints() []string { return l.table.LimitedEndpoints() }
 
 // Refusal returns the fault for a request that no endpoint of a pool can take now, if some
@@ -178,12 +179,12 @@
 	}
 	latest := max(earliest, now) + max(l.maxWait, minRateLimitWait)
 	l.mu.Lock()
-	turns := l.turns[pool]
-	turn := turns.Next(max(earliest, now+minRateLimitWait), latest, rate/float64(max(entries, 1)))
-	l.turns[pool] = turns
+	schedule := l.retrySchedules[pool]
+	retryAt := schedule.Next(max(earliest, now+minRateLimitWait), latest, rate/float64(max(entries, 1)))
+	l.retrySchedules[pool] = schedule
 	l.mu.Unlock()
 	return fault.New(fault.RateLimited, "not run: all remaining endpoints are rate-limited or have requested a pause",
-		"retry after the given time, or add endpoints").RetryIn(turn - now)
+		"retry after the given time, or add endpoints").RetryIn(retryAt - now)
 }
 
 // earliestReopening returns when the first blocked endpoint of a pool takes requests again, zero
--- a/entry/ratelimits_test.go
+++ b/entry/ratelimits_test.go
@@ -97,7 +97,7 @@
 		f.t.Fatal(err)
 	}
 	d.configurer.apply(f.t.Context(), (&feed.View{}).Apply(f.delta), f.delta)
-	go d.runThrottle(f.t.Context())
+	go d.runCapacityUpdates(f.t.Context())
 	front := httptest.NewServer(d.routed)
 	f.entries, f.configurers = append(f.entries, front), append(f.configurers, d.configurer)
 	f.t.Cleanup(func() {
--- a/entry/report_handler_test.go
+++ b/entry/report_handler_test.go
@@ -87,7 +87,7 @@
 		if iteration%10 == 0 {
 			f.Outliers.Tick(time.Since(processStart))
 		}
-		ask(f.Server, ctx, chatPath, streamBody)
+		sendPost(f.Server, ctx, chatPath, streamBody)
 		time.Sleep(100 * time.Millisecond)
 	}
 	return f.calls
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -99,7 +99,7 @@
 		}
 	}
 	for addr := range agents {
-		if _, followed := p.cancels[addr]; followed {
+		if _, subscribed := p.cancels[addr]; subscribed {
 			continue
 		}
 		subscription, stop := context.WithCancel(ctx)
--- a/entry/request.go
+++ b/entry/request.go
@@ -82,11 +82,11 @@
 
 // parseHeaders parses and validates the headers of a request.
 func (s *Server) parseHeaders(r *http.Request, id string) (*request, *call.Verdict) {
-	unique := s.ids.next()
+	localID := s.ids.next()
 	q := &request{
 		id:         id,
-		localID:    unique,
-		dispatchID: id + "/" + unique,
+		localID:    localID,
+		dispatchID: id + "/" + localID,
 		directory:  s.directory.current.Load(),
 		method:     r.Method,
 		header:     r.Header,
--- a/routed/attempt.go
+++ b/routed/attempt.go
@@ -44,7 +44,7 @@
 	if f.Kind == fault.Unavailable && !a.rerouted.Load() {
 		return failed(call.Unsent, f)
 	}
-	a.checkProcessEnded()
+	a.checkProcessExit()
 	return a.interrupted(f)
 }
 
@@ -62,15 +62,15 @@
 	return result
 }
 
-// checkProcessEnded finds out whether the endpoint's process ended during the attempt. When a
-// rank of a group ends, streams at the other ranks are interrupted as well, but the endpoints
-// of those keep listening.
-func (a *attempt) checkProcessEnded() {
+// checkProcessExit finds out whether the endpoint's process exited during the attempt. When the
+// process of one rank exits, streams at the other ranks of its group are interrupted as well, but
+// those endpoints keep listening.
+func (a *attempt) checkProcessExit() {
 	s := a.server
 	if a.callerCtx.Err() != nil || a.rerouted.Load() || !s.Client.ConnectionRefused(a.callerCtx, a.target.Addr) {
 		return
 	}
-	s.metrics.processEnded.Inc()
+	s.metrics.processExits.Inc()
 	change := s.Quarantine.RecordCrash(s.clock(), a.request.fingerprint, a.target.RunID())
 	s.Logger.LogAttrs(a.callerCtx, slog.LevelInfo, "an endpoint ended under a request",
 		slog.String("request_id", a.request.id), slog.Any("fingerprint", a.request.fingerprint), slog.String("endpoint", a.target.ID),
@@ -81,7 +81,7 @@
 func (a *attempt) recordCompletion() {
 	s := a.server
 	if cleared := s.Quarantine.RecordCompletion(s.clock(), a.started, a.request.fingerprint, a.target.RunID()); cleared > 0 {
-		s.Logger.LogAttrs(a.callerCtx, slog.LevelInfo, "cleared a request",
+		s.Logger.LogAttrs(a.callerCtx, slog.LevelInfo, "cleared the recorded crashes of a request",
 			slog.String("request_id", a.request.id), slog.Any("fingerprint", a.request.fingerprint), slog.Int("ends", cleared))
 	}
 }
--- a/routed/capacity.go
+++ b/routed/capacity.go
@@ -34,7 +34,8 @@
 type poolGroup struct{ pool, group string }
 
 // groupLimits limits the calls in flight in each lock-step group to the number at which the
-// group meets its promised gap. Entries do not see each other's calls. Each uses the
+// group meets the promised gap: the time between two chunks of a stream that the routes to its
+// pool promise not to exceed. Entries do not see each other's calls. Each uses the
 // endpoints' load reports and the calls it has sent since, and takes its share of the
 // remaining capacity.
 type groupLimits struct {
@@ -116,9 +117,9 @@
 type groupLoad struct {
 	engines, slots, ownCalls int
 	running                  float64
-	// paused is the number of endpoints that have asked for a pause. The other endpoints, and
-	// one probe request for each paused endpoint that may be probed, make up openSlots; the
-	// other endpoints run openRunning calls.
+	// paused is the number of endpoints that have asked for a pause. openSlots is the number of
+	// slots of the other endpoints, plus one for each paused endpoint that may be probed;
+	// openRunning is the number of calls that the other endpoints run.
 	paused, openSlots int
 	openRunning       float64
 	// reopensAt is when the first paused endpoint accepts requests again.
@@ -183,8 +184,9 @@
 }
 
 // groupReportGrace is how long after its first site an entry does not use engines whose groups
-// it has not heard of. Hosts report within a tenth of a second, and after a restart of all
-// machines most groups are not open yet. After that time, an engine without a host is used.
+// no host has reported. Hosts report within a tenth of a second, and after a restart of all
+// machines most groups are not open yet. After that time, engines that no host reports on are
+// used.
 const groupReportGrace = 2 * time.Second
 
 // recentlyStarted reports whether the entry received its first site so recently that some
@@ -222,36 +224,36 @@
 
 // callLimit returns how many calls this entry may have in flight, given the limit for all
 // entries.
-func (p groupLoad) callLimit(limit float64, entries int) int {
-	if p.running > limit {
-		retained := max(limit/p.running, minRetained)
-		return max(int(float64(p.ownCalls)*retained), 1)
+func (l groupLoad) callLimit(limit float64, entries int) int {
+	if l.running > limit {
+		retained := max(limit/l.running, minRetained)
+		return max(int(float64(l.ownCalls)*retained), 1)
 	}
-	free := limit - p.running
-	if p.paused > 0 && p.openSlots > 0 {
-		free = min(free, max(float64(p.openSlots)-p.openRunning, 0))
+	free := limit - l.running
+	if l.paused > 0 && l.openSlots > 0 {
+		free = min(free, max(float64(l.openSlots)-l.openRunning, 0))
 	}
-	return p.ownCalls + int(math.Ceil(free*p.share(entries)))
+	return l.ownCalls + int(math.Ceil(free*l.share(entries)))
 }
 
 // addEndpoint adds an endpoint and its running calls. If the endpoint is paused, opensAt is
 // when it accepts requests again; zero means that it may be probed.
-func (p *groupLoad) addEndpoint(slots int, running float64, paused bool, opensAt time.Duration) {
-	p.engines++
-	p.slots += slots
-	p.running += running
+func (l *groupLoad) addEndpoint(slots int, running float64, paused bool, opensAt time.Duration) {
+	l.engines++
+	l.slots += slots
+	l.running += running
 	switch {
 	case !paused:
-		p.openSlots += slots
-		p.openRunning += running
+		l.openSlots += slots
+		l.openRunning += running
 		return
 	case opensAt == 0:
-		p.openSlots++ // one probe request
+		l.openSlots++ // one probe request
 	}
-	if p.paused == 0 || opensAt < p.reopensAt {
-		p.reopensAt = opensAt
+	if l.paused == 0 || opensAt < l.reopensAt {
+		l.reopensAt = opensAt
 	}
-	p.paused++
+	l.paused++
 }
 
 // poolSizes returns the number of endpoints of each pool.
@@ -282,22 +284,22 @@
 
 // share returns the fraction of the free capacity that this entry may use: its fraction of the
 // calls in flight, but at least an equal share, so that every entry can start calls.
-func (p groupLoad) share(entries int) float64 {
+func (l groupLoad) share(entries int) float64 {
 	equalShare := 1 / float64(max(entries, 1))
-	if p.running <= 0 {
+	if l.running <= 0 {
 		return equalShare
 	}
-	return min(max(float64(p.ownCalls)/p.running, equalShare), 1)
+	return min(max(float64(l.ownCalls)/l.running, equalShare), 1)
 }
 
 // groupLoads sums the load of the endpoints of each group.
 func (s *Server) groupLoads(now time.Duration) map[poolGroup]groupLoad {
 	loads := map[poolGroup]groupLoad{}
 	view := s.Endpoints.Snapshot()
-	reserves := s.RateLimits.Restrictions()
+	restrictions := s.RateLimits.Restrictions()
 	for _, e := range view.All() {
-		reserve, paused := reserves[e.ID]
-		if e.Addr == "" || e.State != endpoint.Serving || e.AnnouncementExpired || reserve.Leaving {
+		restriction, paused := restrictions[e.ID]
+		if e.Addr == "" || e.State != endpoint.Serving || e.AnnouncementExpired || restriction.Leaving {
 			continue
 		}
 		if present, ok := view.ByAddr(e.Addr); ok && present.ID != e.ID {
@@ -306,7 +308,7 @@
 		name := poolGroup{e.Pool, groupOf(s.Groups, e)}
 		load := loads[name]
 		load.ownCalls += s.Loads.InFlight(e.ID)
-		load.addEndpoint(max(e.Slots, 1), s.Loads.Estimate(now, e.ID).Running, paused, reserve.BlockedUntil)
+		load.addEndpoint(max(e.Slots, 1), s.Loads.Estimate(now, e.ID).Running, paused, restriction.BlockedUntil)
 		loads[name] = load
 	}
 	return loads
--- a/routed/choose.go
+++ b/routed/choose.go
@@ -8,8 +8,8 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// maxPermitAttempts is how many endpoints may deny a permit to one attempt before the search
-// falls back to endpoints without a rate limit.
+// maxPermitAttempts is the number of endpoints for which one attempt may be denied a permit
+// before only endpoints without a rate limit are considered.
 const maxPermitAttempts = 3
 
 // pick chooses an endpoint that accepts another request now.
@@ -33,12 +33,13 @@
 	return chosen, nil
 }
 
-// errNoPermit is returned if every candidate endpoint denied a permit.
+// errNoPermit is returned if no permit was granted for any candidate endpoint.
 var errNoPermit = fault.New(fault.RateLimited, "not run: the rate limits of the endpoints are exhausted",
-	"retry after the stated delay")
+	"retry after the given time")
 
-// noEndpointError returns the fault of a request for which no endpoint was found. If endpoints
-// would accept it but for their rate limits, the fault states when one accepts requests again.
+// noEndpointError returns the fault of a request for which no endpoint was found; denied tells
+// whether a permit was denied. If only rate limits or pauses prevent the request, the fault
+// states when an endpoint accepts requests again.
 func (x *exchange) noEndpointError(err error, denied bool) error {
 	if refusal := x.server.RateLimits.Refusal(x.request.pool); refusal != nil {
 		return refusal
--- a/routed/deliver.go
+++ b/routed/deliver.go
@@ -59,7 +59,7 @@
 	return a.deliverBuffered(r)
 }
 
-// feedback returns what a response states about its endpoint's rate limit and state.
+// feedback returns what a response says about the requests that its endpoint accepts.
 func (a *attempt) feedback(r *direct.Response) ratelimit.Feedback {
 	pause, _ := ratelimit.RetryAfter(r.Status, r.Header)
 	names := a.server.config.Headers
@@ -95,7 +95,7 @@
 	if r.Status == http.StatusMisdirectedRequest {
 		s.Reach.Replaced(a.target.ID)
 	}
-	f := fault.Newf(fault.Overloaded, "retry after the stated delay", "the endpoint rejected the request with status %d and did not run it", r.Status)
+	f := fault.Newf(fault.Overloaded, "retry after the given time", "the endpoint rejected the request with status %d and did not run it", r.Status)
 	if refusal := a.poolRefusal(); refusal != nil {
 		f = refusal
 	}
@@ -126,7 +126,7 @@
 	buffered, err := io.ReadAll(io.LimitReader(r.Body, int64(s.config.MaxBufferedBytes)+1))
 	if err != nil {
 		a.recordResult(a.callerCtx.Err() == nil)
-		a.checkProcessEnded()
+		a.checkProcessExit()
 		return failed(call.MayHaveRun, errIncompleteResponse(err))
 	}
 	a.chunks = 1
@@ -171,7 +171,7 @@
 		}
 		if err != nil {
 			a.recordResult(a.callerCtx.Err() == nil)
-			a.checkProcessEnded()
+			a.checkProcessExit()
 			return attemptResult{done: true, abort: true, outcome: call.Unknown.String(), fault: errIncompleteResponse(err)}
 		}
 	}
@@ -223,7 +223,7 @@
 			return a.streamBroken(errIncompleteResponse(err))
 		}
 		if s.clock() >= a.request.deadline+responseGrace {
-			return a.streamBroken(fault.New(fault.DeadlineTooShort, "the deadline passed", "allow more time"))
+			return a.streamBroken(fault.New(fault.DeadlineTooShort, "the deadline passed", "use a longer deadline"))
 		}
 	}
 }
@@ -276,7 +276,7 @@
 func (a *attempt) streamBroken(f *fault.Error) attemptResult {
 	callerLeft := a.callerCtx.Err() != nil
 	a.recordResult(!callerLeft && !a.rerouted.Load())
-	a.checkProcessEnded()
+	a.checkProcessExit()
 	if !a.headWritten {
 		return a.interrupted(f)
 	}
--- a/routed/exchange.go
+++ b/routed/exchange.go
@@ -88,7 +88,7 @@
 		case result.rerouted:
 			decision = x.machine.AttemptRerouted(s.clock(), result.fault)
 		default:
-			decision = x.machine.AttemptFailed(s.clock(), result.progress, result.fault)
+			decision = x.machine.AttemptFailed(s.clock(), result.attemptOutcome, result.fault)
 		}
 		if x.callerCtx.Err() != nil {
 			return x.finishDelivered(attemptResult{done: true, abort: true, outcome: "caller left"})
@@ -147,18 +147,18 @@
 	// done is true if nothing more is sent to the caller; abort then closes its connection.
 	done, abort bool
 	outcome     string
-	// progress and fault describe an attempt without a complete response; decision is set if
+	// attemptOutcome and fault describe an attempt without a complete response; decision is set if
 	// the retry state machine has already been informed.
-	progress call.AttemptOutcome
-	fault    *fault.Error
-	decision call.RetryDecision
+	attemptOutcome call.AttemptOutcome
+	fault          *fault.Error
+	decision       call.RetryDecision
 	// rerouted is set if the attempt was cancelled to retry at another endpoint; the retry has
 	// been withdrawn from the budget.
 	rerouted bool
 }
 
-func failed(p call.AttemptOutcome, f *fault.Error) attemptResult {
-	return attemptResult{progress: p, fault: f}
+func failed(o call.AttemptOutcome, f *fault.Error) attemptResult {
+	return attemptResult{attemptOutcome: o, fault: f}
 }
 
 // attempt sends the request to one endpoint and delivers the response.
@@ -211,7 +211,7 @@
 	now := x.server.clock()
 	if f.Kind == fault.NotFound {
 		// The pool is part of the site, so its endpoints have not been announced yet.
-		f = fault.New(fault.Unavailable, "no endpoint of the pool is known", "retry after the stated delay")
+		f = fault.New(fault.Unavailable, "no endpoint of the pool is known", "retry after the given time")
 	}
 	return x.verdictResult(x.machine.FailureVerdict(now, f))
 }
@@ -241,7 +241,7 @@
 
 // errPausedBeforeSend ends an attempt whose endpoint asked for a pause while the connection
 // was being established.
-var errPausedBeforeSend = fault.New(fault.RateLimited, "not run: the endpoint accepts no requests at the moment", "retry after the stated delay")
+var errPausedBeforeSend = fault.New(fault.RateLimited, "not run: the endpoint accepts no requests at the moment", "retry after the given time")
 
 // checkPause returns errPausedBeforeSend if the endpoint is paused.
 func (x *exchange) checkPause(id string) error {
@@ -295,12 +295,12 @@
 func (x *exchange) logEnd(status int, clean bool) bool {
 	s, q := x.server, x.request
 	took := s.clock() - q.arrived
-	s.metrics.ended(q.pool, x.outcome, took)
+	s.metrics.recordEnded(q.pool, x.outcome, took)
 	if x.outcome == call.Answered.String() && !s.config.AccessLog {
 		return clean
 	}
 	s.Logger.LogAttrs(x.callerCtx, slog.LevelInfo, "ended a request",
-		slog.String("request_id", q.id), slog.Any("fingerprint", q.fingerprint), slog.String("route", q.route.GetName()), slog.Uint64("version", q.version),
+		slog.String("request_id", q.id), slog.Any("fingerprint", q.fingerprint), slog.String("route", q.route.GetName()), slog.Uint64("version", q.siteVersion),
 		slog.String("workspace", q.workspace.GetName()), slog.String("pool", q.pool), slog.String("endpoint", x.target.ID),
 		slog.Int("attempts", len(x.tried)), slog.String("outcome", x.outcome), slog.Int("status", status),
 		slog.Duration("placed", x.admissionTime), slog.Duration("first", x.timeToFirstChunk), slog.Duration("longest_pause", x.longestGap),
--- a/routed/lateness.go
+++ b/routed/lateness.go
@@ -13,7 +13,8 @@
 // classified as late. No other lock is acquired while its lock is held.
 type waitEstimator struct {
 	mu sync.Mutex
-	// lowQuantile is the fraction that all but lowQuantileShare of the requests allow.
+	// lowQuantile is the fraction of the timeout that all but lowQuantileShare of the requests
+	// reach or exceed.
 	lowQuantile float64
 	count       int
 }
@@ -32,30 +33,30 @@
 )
 
 // observe records the fraction of the timeout that a caller allows.
-func (u *waitEstimator) observe(fraction float64) {
+func (e *waitEstimator) observe(fraction float64) {
 	fraction = min(fraction, 1)
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.count++
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.count++
 	switch {
-	case u.count == 1 || u.count <= initialSamples && fraction < u.lowQuantile:
-		u.lowQuantile = fraction
-	case u.count <= initialSamples:
-	case fraction < u.lowQuantile:
-		u.lowQuantile -= estimateStep * (1 - lowQuantileShare)
+	case e.count == 1 || e.count <= initialSamples && fraction < e.lowQuantile:
+		e.lowQuantile = fraction
+	case e.count <= initialSamples:
+	case fraction < e.lowQuantile:
+		e.lowQuantile -= estimateStep * (1 - lowQuantileShare)
 	default:
-		u.lowQuantile = min(u.lowQuantile+estimateStep*lowQuantileShare, 1)
+		e.lowQuantile = min(e.lowQuantile+estimateStep*lowQuantileShare, 1)
 	}
 }
 
 // late reports whether a caller that allows wait, on a route with the given timeout and
 // objective, must be retrying and can no longer be served on time.
-func (u *waitEstimator) late(wait, timeout, objective time.Duration) bool {
+func (e *waitEstimator) late(wait, timeout, objective time.Duration) bool {
 	if objective <= 0 || timeout <= 0 {
 		return false
 	}
-	u.mu.Lock()
-	low := u.lowQuantile
-	u.mu.Unlock()
+	e.mu.Lock()
+	low := e.lowQuantile
+	e.mu.Unlock()
 	return wait < time.Duration(low*float64(timeout))-objective
 }
--- a/routed/metrics.go
+++ b/routed/metrics.go
@@ -15,27 +15,27 @@
 	inFlight atomic.Int64
 	attempts *metrics.Counter
 	resumes  *metrics.Counter
-	// processEnded counts the attempts during which the endpoint's process ended.
-	processEnded *metrics.Counter
+	// processExits counts the attempts during which the endpoint's process exited.
+	processExits *metrics.Counter
 }
 
 func newServerMetrics() *serverMetrics {
 	m := &serverMetrics{
 		attempts:     metrics.GetOrCreateCounter(`lilackeel_routed_attempts_total`),
 		resumes:      metrics.GetOrCreateCounter(`lilackeel_routed_resumes_total`),
-		processEnded: metrics.GetOrCreateCounter(`lilackeel_routed_ended_under_request_total`),
+		processExits: metrics.GetOrCreateCounter(`lilackeel_routed_ended_under_request_total`),
 	}
 	metrics.GetOrCreateGauge(`lilackeel_routed_requests_in_flight`, func() float64 { return float64(m.inFlight.Load()) })
 	return m
 }
 
-// refused counts a request that was rejected before processing.
-func (m *serverMetrics) refused(v *call.Verdict) {
+// recordRefused counts a request that was rejected before processing.
+func (m *serverMetrics) recordRefused(v *call.Verdict) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`lilackeel_routed_refusals_total{kind=%q,status="%d"}`, string(v.Fault.Kind), v.HTTPStatus())).Inc()
 }
 
-// ended counts a request that was processed.
-func (m *serverMetrics) ended(pool, outcome string, took time.Duration) {
+// recordEnded counts a request that was processed.
+func (m *serverMetrics) recordEnded(pool, outcome string, took time.Duration) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`lilackeel_routed_requests_total{pool=%q,outcome=%q}`, pool, outcome)).Inc()
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`lilackeel_routed_request_seconds{pool=%q}`, pool)).Update(took.Seconds())
 }
--- a/routed/paths_test.go
+++ b/routed/paths_test.go
@@ -50,16 +50,16 @@
 // run sends 160 streams per second. Each has 24 chunks and lasts 1.2 s; its chunks are late
 // with the probability given for the zone.
 func (w *pathSimulation) run(from, until time.Duration, lateChance func(zone string) float64) {
-	const parts = 24
+	const chunks = 24
 	w.late, w.sent, w.byZone = 0, 0, map[string]int{}
 	for now := from; now < until; now += time.Second / 160 {
 		for len(w.running) > 0 && now-w.running[0].startedAt >= 1200*time.Millisecond {
-			w.loads.Done(now, &w.running[0].call, load.Result{Tokens: parts})
+			w.loads.Done(now, &w.running[0].call, load.Result{Tokens: chunks})
 			w.running = w.running[1:]
 		}
 		want := pick.Request{Pool: "pool", Zone: "a"}
 		if w.measuresDelays {
-			want.PathDelays = w.paths.delays(now, parts)
+			want.PathDelays = w.paths.delays(now, chunks)
 		}
 		chosen, _, err := w.picker.Pick(now, w.rng, &want)
 		if err != nil {
@@ -69,7 +69,7 @@
 		w.byZone[chosen.Zone]++
 		w.running = append(w.running, runningStream{now, w.loads.Sent(now, chosen.ID, load.Work{PromptTokens: 800, MaxTokens: 96})})
 		late := false
-		for range parts {
+		for range chunks {
 			delay := time.Duration(0)
 			if w.rng.Float64() < lateChance(chosen.Zone) {
 				delay, late = 150*time.Millisecond, true
--- a/routed/pause_test.go
+++ b/routed/pause_test.go
@@ -55,15 +55,15 @@
 func TestAPauseMeanwhileSendsTheRequestElsewhere(t *testing.T) {
 	for _, target := range []string{"/read/x", "/once/x"} {
 		is := is.New(t)
-		asked := 0
-		b := newTestEntry(t, func(http.ResponseWriter, *http.Request) { asked++ }, answerOK)
+		received := 0
+		b := newTestEntry(t, func(http.ResponseWriter, *http.Request) { received++ }, answerOK)
 		b.server.RateLimits = pausedBeforeSend{id: "e1"}
 		for range 20 {
 			code, _, text := post(t, b, target, nil)
 			is.Equal(code, http.StatusOK)
 			is.Equal(text, "done")
 		}
-		is.Equal(asked, 0)
+		is.Equal(received, 0)
 	}
 }
 
--- a/routed/rampup.go
+++ b/routed/rampup.go
@@ -10,15 +10,15 @@
 
 const (
 	// initialSkew is the load of the busiest rank relative to the mean under a group's first
-	// map, which distributes the experts round-robin.
+	// expert map, which distributes the experts round-robin.
 	initialSkew = 3
 	// initialGapShare is the fraction of the maximum gap that is used while a group ramps up.
 	initialGapShare = 0.92
 )
 
 // initialLimit returns how many calls a group may run while it ramps up, based on the engine
-// model. With that many calls, steps meet the promised gap under the first map while every
-// engine prefills at its maximum rate. Zero means that the engine model lacks the data.
+// model. With that many calls, steps meet the promised gap under the first expert map while
+// every engine prefills at its maximum rate. Zero means that the engine model lacks the data.
 func initialLimit(engine *fleetv1.EngineModel, cfg concurrency.Config, engines int) float64 {
 	stride := float64(max(engine.GetStride(), 1))
 	perCall := engine.GetPerRequestMs() * stride * (1 - engine.GetExpertShare() + engine.GetExpertShare()*initialSkew)
@@ -31,14 +31,14 @@
 }
 
 // maxGrowth returns by how many calls this entry may grow in a group until the next update:
-// its share of one new prompt per engine and maximum gap. An engine prefills prompts between
+// its share of one new prompt per engine in each maximum gap. An engine prefills prompts between
 // the decode steps of its streams, and all engines of the group wait for it. A burst that
 // starts at once, as after a restart, makes every running stream late, whereas callers that
 // are late already lose nothing by starting a few tenths of a second later.
-func (p groupLoad) maxGrowth(maxGap time.Duration, entries int) int {
+func (l groupLoad) maxGrowth(maxGap time.Duration, entries int) int {
 	if maxGap <= 0 {
 		return math.MaxInt
 	}
-	prompts := float64(p.engines) * float64(CapacityUpdateInterval) / float64(maxGap)
-	return int(math.Ceil(prompts * p.share(entries)))
+	prompts := float64(l.engines) * float64(CapacityUpdateInterval) / float64(maxGap)
+	return int(math.Ceil(prompts * l.share(entries)))
 }
--- a/routed/request.go
+++ b/routed/request.go
@@ -20,9 +20,9 @@
 
 // request is a parsed request.
 type request struct {
-	id      string
-	version uint64
-	arrived time.Duration
+	id          string
+	siteVersion uint64
+	arrived     time.Duration
 	// deadline is when the caller must have the complete response.
 	deadline  time.Duration
 	route     *fleetv1.Route
@@ -44,7 +44,7 @@
 func (s *Server) parse(w http.ResponseWriter, r *http.Request) (*request, *call.Verdict) {
 	table := s.table.Load()
 	q := &request{
-		id: s.requestID(r), arrived: s.clock(), version: table.Version(),
+		id: s.requestID(r), arrived: s.clock(), siteVersion: table.Version(),
 		method: r.Method, host: r.Host, header: r.Header, target: target(r),
 	}
 	if mixedFraming(r) {
@@ -57,7 +57,7 @@
 		if table = s.awaitSite(r); !table.Published() {
 			return q, call.Refuse(errNoSite)
 		}
-		q.version = table.Version()
+		q.siteVersion = table.Version()
 	}
 	if v := s.checkHeadSize(r, table); v != nil {
 		return q, v
--- a/routed/server.go
+++ b/routed/server.go
@@ -29,10 +29,12 @@
 // Admitter controls admission. An error is a fault and means that the request has not run.
 // After success, release must be called once.
 type Admitter interface {
-	// AdmitTo waits for capacity in a pool until ctx is done.
+	// AdmitOnTime waits for capacity in a pool until ctx is done. It is for requests that can
+	// still be served within the objective of their route.
 	AdmitOnTime(ctx context.Context, pool string, r workspace.Request) (release func(), err error)
-	// AdmitLate waits up to maxWait for capacity that no other request waits for, or for
-	// capacity in a group that responds late.
+	// AdmitLate waits up to maxWait for capacity that no on-time request needs, or for capacity
+	// in a group that responds late. It is for requests that are already late or that
+	// AdmitOnTime has refused.
 	AdmitLate(ctx context.Context, pool string, r workspace.Request, maxWait time.Duration) (release func(), err error)
 }
 
@@ -42,15 +44,15 @@
 	Pick(now time.Duration, rng *rand.Rand, r *pick.Request) (endpoint.Endpoint, pick.Explain, error)
 }
 
-// RateLimits tracks the rate limits and pauses that endpoints state.
+// RateLimits tracks the rate limits that endpoints advertise and the pauses that they ask for.
 type RateLimits interface {
-	// RecordAnswer records what a response states about its endpoint's rate limit and state.
+	// RecordFeedback records what a response says about the requests that its endpoint accepts.
 	RecordFeedback(e *endpoint.Endpoint, f ratelimit.Feedback)
 	// Admit reports whether another request may be sent to an endpoint now, and counts it;
-	// again is true for a retry. It may ask a host for a permit.
-	Admit(ctx context.Context, e *endpoint.Endpoint, again bool) bool
-	// Limited returns the endpoints that state a rate limit; Blocked returns those to which
-	// nothing may be sent now.
+	// retry is true for any attempt after the first. It may request a permit from a host.
+	Admit(ctx context.Context, e *endpoint.Endpoint, retry bool) bool
+	// LimitedEndpoints returns the endpoints that advertise a rate limit; Blocked returns those
+	// to which nothing may be sent now.
 	LimitedEndpoints() []string
 	Blocked() []string
 	// InPause reports whether an endpoint has asked for a pause that has not ended yet.
@@ -114,7 +116,7 @@
 	metrics         *serverMetrics
 	// groupLimits limits the calls in flight in each group.
 	groupLimits *groupLimits
-	// usualWait estimates how long callers allow in their first attempt.
+	// firstAttemptWait estimates how long callers wait in their first attempt.
 	firstAttemptWait waitEstimator
 	// firstChunkTimes estimates the time to the first chunk.
 	firstChunkTimes firstChunkTimes
@@ -198,9 +200,9 @@
 		w.Header().Set(call.HeaderRequestID, q.id)
 	}
 	err := answer.WriteVerdict(w, q.id, v, s.config.RetryAfterFormat)
-	s.metrics.refused(v)
+	s.metrics.recordRefused(v)
 	s.Logger.LogAttrs(r.Context(), slog.LevelInfo, "refused a request",
-		slog.String("request_id", q.id), slog.String("route", q.route.GetName()), slog.Uint64("version", q.version),
+		slog.String("request_id", q.id), slog.String("route", q.route.GetName()), slog.Uint64("version", q.siteVersion),
 		slog.Int("status", v.HTTPStatus()), slog.String("kind", string(v.Fault.Kind)),
 		slog.String("reason", v.Fault.Message), slog.Duration("retry_after", v.Fault.RetryAfter),
 		slog.Duration("took", s.clock()-q.arrived), slog.Duration("up", s.clock()), slog.Any("write_error", err))
@@ -218,7 +220,7 @@
 // errNoSite rejects every request until a site is published. Until then a key, host or path
 // cannot be judged invalid.
 var errNoSite = fault.New(fault.Unavailable, "this entry has no accepted configuration yet",
-	"retry after the stated delay; if the error persists, check that the control replicas have a quorum").RetryIn(time.Second)
+	"retry after the given time; if the error persists, check that the control replicas have a quorum").RetryIn(time.Second)
 
 // errStopping rejects requests that arrive after a stopping entry has ceased to accept them.
 // Other entries accept them at once.
