--- a/control/expertmap/driver.go
+++ b/control/expertmap/driver.go
@@ -254,11 +254,11 @@
 	if !pending || !known || d.cfg.BranchSize == 0 || stored.GetBaseEpoch() == 0 {
 		return nil
 	}
-	next, err := mapwire.DecodeStored(stored.GetMap())
+	next, err := mapwire.DecodeStoredMap(stored.GetMap())
 	if err != nil {
 		return nil // the ranks read the record themselves and report the error
 	}
-	base, err := mapwire.DecodeStored(stored.GetBaseMap())
+	base, err := mapwire.DecodeStoredMap(stored.GetBaseMap())
 	if err != nil {
 		return nil
 	}
@@ -306,7 +306,7 @@
 	if stored.GetState() != fleetv1.MapState_MAP_STATE_COMMITTED {
 		encoded = stored.GetBaseMap()
 	}
-	latest, err := mapwire.DecodeStored(encoded)
+	latest, err := mapwire.DecodeStoredMap(encoded)
 	return latest.Map, err
 }
 
--- a/control/expertmap/following.go
+++ b/control/expertmap/following.go
@@ -36,11 +36,11 @@
 	lastObservation time.Duration
 	undecided       bool
 	// shiftInterval estimates how long demand stays the same.
-	shiftInterval balance.Spell
+	shiftInterval balance.DemandLifetime
 	// stalls estimates the cost of switches apart from their copies.
-	stalls balance.Stalls
+	stalls balance.StallEstimator
 	// pace estimates the duration of a forward pass. maxStep is the highest step counted so far.
-	pace    balance.Pace
+	pace    balance.StepTimeEstimator
 	maxStep uint64
 }
 
@@ -60,14 +60,14 @@
 	g.follower.Observe(g.totals.tokens)
 	g.totals = newTotals(g.shape)
 	if g.follower.Jumped() {
-		g.shiftInterval.Jumped(now)
+		g.shiftInterval.RecordJump(now)
 	}
 }
 
 // Switched implements Proposer.
 func (f *FollowingProposer) Switched(now time.Duration, name string, overrun time.Duration) {
 	if g := f.group(name); g != nil {
-		g.stalls.Switched(now, overrun)
+		g.stalls.RecordSwitch(now, overrun)
 	}
 }
 
@@ -78,13 +78,13 @@
 		return group.Map{}, false
 	}
 	g.undecided = false
-	g.pace.Counted(now, g.maxStep, g.follower.Relative(current))
-	g.follower.SetPace(g.pace.Unit(), f.maxGap(name))
-	g.follower.SetHold(g.shiftInterval.Left(now).Seconds())
+	g.pace.Observe(now, g.maxStep, g.follower.RelativeStepTime(current))
+	g.follower.SetStepTime(g.pace.UnitTime(), f.maxGap(name))
+	g.follower.SetLifetime(g.shiftInterval.Remaining(now).Seconds())
 	// A held step delays only the streams that are on time. If all are already late with the
 	// map in force, a switch that may be held costs nothing.
-	onTimeShare := 1 - balance.Late(g.passTime(current), f.maxGap(name))
-	g.follower.SetStall(g.stalls.Expected(now).Seconds() * onTimeShare)
+	onTimeShare := 1 - balance.LateShare(g.passTime(current), f.maxGap(name))
+	g.follower.SetStall(g.stalls.ExpectedCost(now).Seconds() * onTimeShare)
 	decision := g.follower.Decide(current)
 	if !decision.Switch {
 		return group.Map{}, false
@@ -105,7 +105,7 @@
 
 // passTime returns the expected duration of a forward pass with a map; zero if it is not known.
 func (g *followerState) passTime(m group.Map) time.Duration {
-	return time.Duration(g.follower.Relative(m) * float64(g.pace.Unit()))
+	return time.Duration(g.follower.RelativeStepTime(m) * float64(g.pace.UnitTime()))
 }
 
 // group returns the follower of a group and creates it on first use. It returns nil for a group
--- a/control/formations.go
+++ b/control/formations.go
@@ -117,10 +117,10 @@
 		copySeconds = engine.GetExpertBytes() / engine.GetLinkRate()
 	}
 	return balance.FollowConfig{
-		Shape: shape, Reach: balance.Reach{Spare: max(int(engine.GetSpare()), 1), Copies: followMaxCopies},
-		Fixed: fixedTimeRatio(engine), CopySeconds: copySeconds, CopySlow: copySlowdown,
-		OrderSeconds: followOrderTime.Seconds(), StallSeconds: followStallTime.Seconds(),
-		MoveSeconds: copyPrice.Seconds() * engine.GetExpertBytes() / gigabyte, Smoothing: followSmoothing, Jump: followJumpThreshold,
+		Shape: shape, Limits: balance.MoveLimits{PerLayer: max(int(engine.GetSpare()), 1), Total: followMaxCopies},
+		FixedRatio: fixedTimeRatio(engine), CopySeconds: copySeconds, CopySlowdown: copySlowdown,
+		CoordinationSeconds: followOrderTime.Seconds(), StallSeconds: followStallTime.Seconds(),
+		MoveSeconds: copyPrice.Seconds() * engine.GetExpertBytes() / gigabyte, Smoothing: followSmoothing, JumpThreshold: followJumpThreshold,
 	}
 }
 
--- a/link/option.go
+++ b/link/option.go
@@ -62,8 +62,8 @@
 		grpc.Creds(creds),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: serverPingInterval, Timeout: keepaliveTimeout}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minClientPingInterval, PermitWithoutStream: true}),
-		grpc.ChainUnaryInterceptor(telemetry.UnaryServer, unaryServer),
-		grpc.ChainStreamInterceptor(telemetry.StreamServer, streamServer),
+		grpc.ChainUnaryInterceptor(telemetry.UnaryServerInterceptor, unaryServer),
+		grpc.ChainStreamInterceptor(telemetry.StreamServerInterceptor, streamServer),
 	}, nil
 }
 
@@ -96,7 +96,7 @@
 			MinConnectTimeout: connectTimeout,
 		}),
 		grpc.WithStatsHandler(sentRecorder{}),
-		grpc.WithChainUnaryInterceptor(unaryClient, telemetry.UnaryClient),
-		grpc.WithChainStreamInterceptor(streamClient, telemetry.StreamClient),
+		grpc.WithChainUnaryInterceptor(unaryClient, telemetry.UnaryClientInterceptor),
+		grpc.WithChainStreamInterceptor(streamClient, telemetry.StreamClientInterceptor),
 	}, nil
 }
--- a/measure/balancing/policy.go
+++ b/measure/balancing/policy.go
@@ -89,7 +89,7 @@
 	return b.lastDecision.Map, b.lastDecision.Switch
 }
 
-func (b *netGain) switched(from group.Map) { b.balancer.Switched(from, b.lastDecision) }
+func (b *netGain) switched(from group.Map) { b.balancer.RecordSwitch(from, b.lastDecision) }
 
 // scheduled switches to given maps at given times.
 type scheduled struct {
--- a/measure/balancing/stall.go
+++ b/measure/balancing/stall.go
@@ -199,7 +199,7 @@
 	case mapswitch.ToCoordinator:
 		s.execute(s.coordinator.Step(s.now, m))
 	case mapswitch.ToControl:
-		s.send([]mapswitch.Message{mapswitch.Answer(m, s.record, true)})
+		s.send([]mapswitch.Message{mapswitch.AnswerRead(m, s.record, true)})
 	case mapswitch.ToEngine:
 		m.Kind = mapswitch.KindLoaded
 		s.send(s.ranks[m.Rank].Step(s.now, m))
