--- a/replica/replacement_test.go
+++ b/replica/replacement_test.go
@@ -88,7 +88,7 @@
 // A replica loses its disk after its settings were changed to name only replicas
 // other than the leader. It must be added again nevertheless; otherwise the next
 // loss would leave one disk fewer than the first.
-func TestABlankDiskWhoseSettingsDoNotNameTheLeader(t *testing.T) {
+func TestBlankDiskRejoinsWithoutLeaderInSettings(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.LostDisk}, Step: "settings that do not name the leader", Together: true,
 		Guard: "a follower forwards the join message of a blank disk to the leader"}.Log(t)
 	is := is.New(t)
--- a/replica/server/server_test.go
+++ b/replica/server/server_test.go
@@ -203,7 +203,7 @@
 
 // A replica whose data directory was wiped, and that needs two megabytes of state
 // in several chunks, rejoins as a learner and is promoted without an operator.
-func TestWipedFolderRejoins(t *testing.T) {
+func TestWipedDataDirectoryRejoins(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk}, Step: "data directory wiped while its replica is down",
 		Guard: "the membership entry for a blank disk, its promotion, and the snapshot in chunks, each alone"}.Log(t)
 	is := is.New(t)
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -306,7 +306,7 @@
 	}
 }
 
-func TestOpenLocksFolderAndRaisesIncarnation(t *testing.T) {
+func TestOpenLocksDirectoryAndIncrementsIncarnation(t *testing.T) {
 	is := is.New(t)
 	options := Options{Dir: filepath.Join(t.TempDir(), "replica"), NewIdentity: func() uint64 { return 7 }}
 	first, state, err := Open(options)
