--- a/wal/doc.go
+++ b/wal/doc.go
@@ -1,10 +1,10 @@
-// Package wal persists the state of one replica in one data folder: a label that
-// identifies the disk, a write-ahead log of checksummed records in segment
+// Package wal persists the state of one replica in one data directory: a label
+// that identifies the disk, a write-ahead log of checksummed records in segment
 // files, and snapshot files.
 //
 // # Files
 //
-//	LOCK                    locked with flock while a process uses the folder
+//	LOCK                    locked with flock while a process uses the directory
 //	label                   identity and incarnation of the disk
 //	0000000000000001.wal    segments, named by their sequence number (hexadecimal)
 //	00000000000000c8.snap   snapshots, named by their log index (hexadecimal)
--- a/wal/errors.go
+++ b/wal/errors.go
@@ -13,7 +13,7 @@
 
 // remedyCorrupt is the same for all corruption: this copy of the state can no
 // longer count towards a quorum, but the other replicas hold the state.
-const remedyCorrupt = "set the data folder aside and start with an empty one: the replica rejoins as a learner and is promoted once caught up"
+const remedyCorrupt = "set the data directory aside and start with an empty one: the replica rejoins as a learner and is promoted once caught up"
 
 // corruptError returns the error for a corrupt file.
 func corruptError(file string, offset int, reason string) *fault.Error {
@@ -24,5 +24,5 @@
 func ioError(operation string, cause error) *fault.Error {
 	return fault.Newf(fault.Internal,
 		"free space on the disk or replace it, then restart the replica; no unsynced write was acknowledged",
-		"data folder: %s failed", operation).WithCause(cause)
+		"data directory: %s failed", operation).WithCause(cause)
 }
--- a/wal/frame.go
+++ b/wal/frame.go
@@ -28,7 +28,7 @@
 //	checksum of the payload 4 bytes, CRC-32C that continues the payload
 //	                        checksum of the previous frame
 //
-// The separate header checksum distinguishes a flipped length from a torn
+// The separate header checksum distinguishes a corrupt length from a torn
 // payload. The chained payload checksum detects frames that were lost or moved
 // in the middle of a segment. The sync count distinguishes a torn frame from a
 // corrupt one: a frame that is followed by one written after a later sync had
--- a/wal/fs.go
+++ b/wal/fs.go
@@ -13,7 +13,7 @@
 // FS is the part of a file system that the log uses. Tests implement it to
 // inject faults.
 type FS interface {
-	// MkdirAll creates a folder and its parents.
+	// MkdirAll creates a directory and its parents.
 	MkdirAll(path string) error
 	// Lock acquires the exclusive lock at path, which is held until the closer is
 	// closed.
@@ -24,13 +24,13 @@
 	Append(path string, size int64) (File, error)
 	// ReadFile returns the content of a file; fs.ErrNotExist if there is none.
 	ReadFile(path string) ([]byte, error)
-	// List returns the names in a folder, sorted.
+	// List returns the names in a directory, sorted.
 	List(path string) ([]string, error)
 	// Rename moves the file at from to to, replacing any file there.
 	Rename(from, to string) error
 	// Remove deletes a file.
 	Remove(path string) error
-	// SyncDir makes the creations, renames and removals in a folder durable.
+	// SyncDir makes the creations, renames and removals in a directory durable.
 	SyncDir(path string) error
 }
 
@@ -46,12 +46,12 @@
 type OS struct{}
 
 const (
-	folderMode = 0o750
-	fileMode   = 0o640
+	dirMode  = 0o750
+	fileMode = 0o640
 )
 
 // MkdirAll implements FS.
-func (OS) MkdirAll(path string) error { return os.MkdirAll(path, folderMode) }
+func (OS) MkdirAll(path string) error { return os.MkdirAll(path, dirMode) }
 
 // Lock implements FS with flock, which the kernel releases however the process
 // ends.
@@ -63,8 +63,8 @@
 	if err := unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		file.Close()
 		return nil, fault.Newf(fault.Conflict,
-			"stop the other process or give this one its own data folder",
-			"the data folder %s is in use by another process", filepath.Dir(path)).WithCause(err)
+			"stop the other process or give this one its own data directory",
+			"the data directory %s is in use by another process", filepath.Dir(path)).WithCause(err)
 	}
 	return file, nil
 }
--- a/wal/load.go
+++ b/wal/load.go
@@ -40,7 +40,7 @@
 func (l *Log) listFiles() (sequences, snapshots []uint64, err error) {
 	names, err := l.options.FS.List(l.options.Dir)
 	if err != nil {
-		return nil, nil, ioError("listing the folder", err)
+		return nil, nil, ioError("listing the directory", err)
 	}
 	for _, name := range names {
 		switch {
--- a/wal/memfs_test.go
+++ b/wal/memfs_test.go
@@ -129,7 +129,7 @@
 }
 
 func (m *memFS) SyncDir(string) error {
-	if err := m.injectFault("sync folder"); err != nil {
+	if err := m.injectFault("sync directory"); err != nil {
 		return err
 	}
 	m.durable = maps.Clone(m.names)
--- a/wal/segment.go
+++ b/wal/segment.go
@@ -37,7 +37,7 @@
 		return l.fail("renaming a segment", err)
 	}
 	if err := l.options.FS.SyncDir(l.options.Dir); err != nil {
-		return l.fail("syncing the folder", err)
+		return l.fail("syncing the directory", err)
 	}
 	return nil
 }
@@ -109,7 +109,7 @@
 		// Syncing after each removal keeps the order of removals across a crash:
 		// there must be no gap in the remaining segments.
 		if err := l.options.FS.SyncDir(l.options.Dir); err != nil {
-			return l.fail("syncing the folder", err)
+			return l.fail("syncing the directory", err)
 		}
 	}
 }
--- a/wal/snapshot.go
+++ b/wal/snapshot.go
@@ -99,8 +99,8 @@
 }
 
 // replaceFile atomically replaces a file that holds one frame: it writes and syncs
-// a temporary file, renames it and syncs the folder. A crash leaves either the old
-// or the new file.
+// a temporary file, renames it and syncs the directory. A crash leaves either the
+// old or the new file.
 func (l *Log) replaceFile(name string, kind recordKind, message proto.Message) (size int, err error) {
 	data, _, err := appendFrame(nil, 0, 0, kind, message)
 	if err != nil {
@@ -170,9 +170,9 @@
 	return nil
 }
 
-// loadLabel raises the incarnation of the label and writes it durably.
+// loadLabel increments the incarnation of the label and writes it durably.
 //
-// A folder without a log gets a new identity even if it has a label: either
+// A directory without a log gets a new identity even if it has a label: either
 // nothing was ever acknowledged under the old identity, or the log was lost and
 // the disk must not count as intact.
 func (l *Log) loadLabel(isNew bool) (*pb.DiskLabel, error) {
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -22,7 +22,7 @@
 
 // Options are the settings of a Log.
 type Options struct {
-	// Dir is the data folder; it is created if it does not exist.
+	// Dir is the data directory; it is created if it does not exist.
 	Dir string
 	// FS is the file system; OS if nil.
 	FS FS
@@ -73,13 +73,13 @@
 // segment is one file of the log.
 type segment struct {
 	sequence uint64
-	// last is the index of the last entry in or before the file.
+	// lastIndex is the index of the last entry in or before the file.
 	lastIndex uint64
 	size      int64
 }
 
-// Open locks the data folder, reads the stored state and raises the incarnation
-// of the label. The label is durable when Open returns.
+// Open locks the data directory, reads the stored state and increments the
+// incarnation of the label. The label is durable when Open returns.
 func Open(options Options) (*Log, State, error) {
 	if options.FS == nil {
 		options.FS = OS{}
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// Close closes the files and releases the lock on the folder. It does not sync.
-// Calls of WriteSnapshot and RemoveObsolete must have returned before.
+// Close closes the files and releases the lock on the directory. It does not
+// sync. Calls of WriteSnapshot and RemoveObsolete must have returned before.
 func (l *Log) Close() error {
 	_ = l.fail("using a closed log", io.ErrClosedPipe)
 	err := l.file.Close()
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -119,7 +119,7 @@
 	return target, target, nil
 }
 
-// Injects a failure into each single write, sync, rename, create and remove
+// A failure is injected into each single write, sync, rename, create and remove
 // operation. The log must report the failure, refuse all further writes, and
 // contain all acknowledged data after a crash.
 func TestFailureOfEachFileOperation(t *testing.T) {
@@ -187,8 +187,8 @@
 	return target.hardState.GetCommit() <= partial.last() && stateDiff(state, partial) == ""
 }
 
-// Flips one bit in each byte of each file. Open must fail and name the file and
-// the offset.
+// One bit is flipped in each byte of each file. Open must fail and name the file
+// and the offset.
 func TestOpenDetectsFlippedBits(t *testing.T) {
 	m := newMemFS(1)
 	l, _, err := openMem(m)
@@ -220,7 +220,7 @@
 // An unacknowledged tail is truncated wherever it is torn, also if the file was
 // extended but its last sectors were never written.
 func TestOpenTruncatesTornTail(t *testing.T) {
-	for _, grown := range []bool{false, true} {
+	for _, extended := range []bool{false, true} {
 		m := newMemFS(1)
 		l, _, err := openMem(m)
 		if err != nil {
@@ -243,7 +243,7 @@
 		whole := m.names[name].data
 		for cut := synced; cut < len(whole); cut++ {
 			torn := slices.Clone(whole[:cut])
-			if grown {
+			if extended {
 				if cut%sectorSize != 0 {
 					continue
 				}
@@ -254,7 +254,7 @@
 			trial.names[name] = &memFile{fs: trial, data: torn, synced: len(torn)}
 			l, state, err := openMem(trial)
 			if err != nil || len(state.Entries) != 1 {
-				t.Fatalf("cut at %d, grown %v: %d entries, %v", cut, grown, len(state.Entries), err)
+				t.Fatalf("cut at %d, extended %v: %d entries, %v", cut, extended, len(state.Entries), err)
 			}
 			if err := l.Save(Batch{Entries: []*pb.Entry{{Index: 2, Term: 2}}, Sync: true}); err != nil {
 				t.Fatal(err)
