--- a/replica/admission.go
+++ b/replica/admission.go
@@ -21,9 +21,9 @@
 }
 
 // recordLostDisk records that a member no longer has the disk that the membership
-// names, so that its agreement is not waited for. When all replicas restart and one
-// of three disks is lost, the others are admitted within a round trip instead of
-// after AdmissionWait.
+// names, so that admission does not wait for its agreement. When all replicas
+// restart and one of three disks is lost, the others are admitted within a round
+// trip instead of after AdmissionWait.
 func (n *Node) recordLostDisk(m *pb.Message) {
 	member := FindMember(n.members.current(), m.GetFrom())
 	if n.admission.admitted || member == nil || member.GetDisk() == m.GetDisk() {
@@ -80,8 +80,8 @@
 }
 
 // learnerWithoutLeader reports whether this replica is a learner that has not heard
-// from a leader for a while. The entry that added it may have been overwritten, so
-// it must send join again.
+// from a leader for admissionTimeouts election timeouts. The entry that added it may
+// have been overwritten, so it must send join again.
 func (n *Node) learnerWithoutLeader() bool {
 	return !isVoter(n.self()) && n.now-n.lastLeaderContact >= admissionTimeouts*n.cfg.ElectionTimeout
 }
@@ -152,7 +152,7 @@
 
 // handleRefusal fences this replica if the refusal is final.
 func (n *Node) handleRefusal(m *pb.Message) {
-	const remedy = "set the data folder aside and start with an empty one: the replica rejoins as a learner and is promoted once caught up"
+	const remedy = "set the data directory aside and start with an empty one: the replica rejoins as a learner and is promoted once caught up"
 	id, label := n.cfg.ID, n.cfg.Disk
 	switch m.GetRefusal() {
 	case pb.Refusal_REFUSAL_SUPERSEDED:
--- a/replica/config.go
+++ b/replica/config.go
@@ -100,7 +100,7 @@
 	case c.ID == 0:
 		return fault.New(fault.Invalid, "the replica id is zero", "give each control replica its own id from 1 on")
 	case c.Disk.GetIdentity() == 0 || c.Disk.GetIncarnation() == 0:
-		return fault.New(fault.Invalid, "the disk label is empty", "open the data folder first")
+		return fault.New(fault.Invalid, "the disk label is empty", "open the data directory first")
 	case c.Rand == nil:
 		return fault.New(fault.Invalid, "no random source", "set Config.Rand")
 	case c.HeartbeatInterval*2 > c.ElectionTimeout:
--- a/replica/disk_test.go
+++ b/replica/disk_test.go
@@ -242,8 +242,8 @@
 }
 
 // When all replicas are restarted there is no leader to wait for, so they must
-// elect one well before an election timeout has passed. That timeout applies to
-// leaders that were heard from.
+// elect one well before an election timeout has passed. That timeout applies
+// only to a leader that a replica has heard from.
 func TestFullRestartElectsLeaderSoon(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "time without a leader after a restart of all",
 		Guard: "Node.minElectionWait: no election timeout before a leader was heard from"}.Log(t)
--- a/replica/join.go
+++ b/replica/join.go
@@ -75,8 +75,8 @@
 
 // forwardJoin forwards the join message of a blank disk to the leader. The settings
 // of that replica may name followers only, and then nothing else informs the
-// leader: the disk would stay out permanently, and the loss of two more of five
-// disks would leave no quorum. With forwarding, the disk is a voter again within 20
+// leader: the disk would never be added, and the loss of two more of five disks
+// would leave no quorum. With forwarding, the disk is a voter again within 20
 // election timeouts on the simulated network.
 //
 // A join message that names a cluster comes from a replica that knows the members,
--- a/replica/read.go
+++ b/replica/read.go
@@ -106,8 +106,8 @@
 
 // answerConfirmedReads answers the reads whose round a quorum has answered.
 func (n *Node) answerConfirmedReads() {
-	proved := n.confirmedRound()
-	for len(n.reads.waiting) > 0 && n.reads.waiting[0].round <= proved {
+	confirmed := n.confirmedRound()
+	for len(n.reads.waiting) > 0 && n.reads.waiting[0].round <= confirmed {
 		read := n.reads.waiting[0]
 		n.reads.waiting = n.reads.waiting[1:]
 		n.answerRead(read)
--- a/replica/replacement.go
+++ b/replica/replacement.go
@@ -58,9 +58,10 @@
 	return nil
 }
 
-// replaceUnresponsiveVoter replaces a voter that has been unresponsive for a longer
-// time by a standby learner that has caught up. If the voter returns, its disk is
-// no longer a member and it must join with a blank one.
+// replaceUnresponsiveVoter replaces a voter that has been unresponsive for
+// standbyTakeoverFactor times RepairAfter by a standby learner that has caught up.
+// If the voter returns, its disk is no longer a member and it must join with a
+// blank one.
 func (n *Node) replaceUnresponsiveVoter() {
 	if n.cfg.Voters == 0 {
 		return
--- a/replica/replacement_test.go
+++ b/replica/replacement_test.go
@@ -86,8 +86,8 @@
 }
 
 // A replica loses its disk after its settings were changed to name only replicas
-// other than the leader. It must be added again nevertheless; otherwise the next
-// loss would leave one disk fewer than the first.
+// other than the leader. It must be added again nevertheless; otherwise the cluster
+// would survive one further loss fewer.
 func TestBlankDiskRejoinsWithoutLeaderInSettings(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.LostDisk}, Step: "settings that do not name the leader", Together: true,
 		Guard: "a follower forwards the join message of a blank disk to the leader"}.Log(t)
--- a/replica/replicate.go
+++ b/replica/replicate.go
@@ -55,7 +55,7 @@
 // those of a leader; if they do, the replica stops rather than lose one.
 func (n *Node) truncate(index uint64) bool {
 	if index <= n.log.committed {
-		n.fence(fault.Newf(fault.Internal, "keep the data folders of all control replicas and report the defect",
+		n.fence(fault.Newf(fault.Internal, "keep the data directories of all control replicas and report the defect",
 			"replica %d: a leader of term %d would overwrite committed entry %d", n.cfg.ID, n.term, index))
 		return false
 	}
--- a/replica/server/propose.go
+++ b/replica/server/propose.go
@@ -12,7 +12,7 @@
 type proposal struct {
 	data    []byte
 	term    uint64
-	claimed atomic.Bool // by the loop, or by a caller that stopped waiting before
+	claimed atomic.Bool // by the loop to propose it, or by a caller that stopped waiting first
 	done    chan outcome
 }
 
@@ -64,7 +64,7 @@
 // outcomeUnknown returns the error for a proposal that may or may not be committed.
 func outcomeUnknown(reason string) error {
 	return fault.New(fault.Unknown, reason+"; the command may or may not have been committed",
-		"look up the outcome by the command's id before sending it again")
+		"look up the outcome by the command's id before retrying")
 }
 
 // Propose commits a command and returns the result of applying it on this replica.
--- a/replica/server/server.go
+++ b/replica/server/server.go
@@ -296,7 +296,7 @@
 
 // stoppedError returns the error for requests to a stopped replica.
 func (s *Server) stoppedError() error {
-	err := fault.New(fault.Unavailable, "this control replica has stopped; nothing was done", "ask another control replica")
+	err := fault.New(fault.Unavailable, "this control replica has stopped; nothing was done", "send the request to another control replica")
 	if failure := s.Err(); failure != nil {
 		return err.WithCause(failure)
 	}
--- a/replica/server/server_test.go
+++ b/replica/server/server_test.go
@@ -76,9 +76,9 @@
 	grpc     map[uint64]*grpc.Server
 	// discardCommands makes the state machines store nothing.
 	discardCommands bool
-	// repeated counts the proposals that were repeated because their outcome was
+	// retried counts the proposals that were retried because their outcome was
 	// unknown. Each may be in the log twice.
-	repeated int
+	retried int
 }
 
 func newCluster(t testing.TB, size int, cfg Config) *cluster {
@@ -147,7 +147,7 @@
 				return id
 			}
 			if fault.Is(err, fault.Unknown) {
-				c.repeated++
+				c.retried++
 			}
 		}
 		select {
@@ -227,7 +227,7 @@
 	for i := range 4 {
 		is.True(once[i] == fmt.Sprint(i, big))
 	}
-	is.True(slices.Index(all, "meanwhile")-len(once) <= c.repeated) // no command that was proposed once was applied twice
+	is.True(slices.Index(all, "meanwhile")-len(once) <= c.retried) // no command that was proposed once was applied twice
 }
 
 // A fourth replica joins with an empty data directory, becomes a voter and leads.
--- a/replica/server/snapshot_test.go
+++ b/replica/server/snapshot_test.go
@@ -87,10 +87,10 @@
 
 const hubSnapshotEvery = 5
 
-// openReplica opens a replica of the hub in a folder and returns its state machine.
-func (h *hub) openReplica(t *testing.T, id uint64, folder string, files wal.FS, peers int) *commandList {
+// openReplica opens a replica of the hub in a directory and returns its state machine.
+func (h *hub) openReplica(t *testing.T, id uint64, dir string, files wal.FS, peers int) *commandList {
 	machine := &commandList{}
-	cfg := Config{ID: id, DataDir: folder, Peers: map[uint64]string{}, FS: files, SnapshotEvery: hubSnapshotEvery, TrailingEntries: 1,
+	cfg := Config{ID: id, DataDir: dir, Peers: map[uint64]string{}, FS: files, SnapshotEvery: hubSnapshotEvery, TrailingEntries: 1,
 		Transport: port{h, id}, Logger: slog.New(slog.DiscardHandler)}
 	for peer := range peers {
 		cfg.Peers[uint64(peer+1)] = "hub"
@@ -112,11 +112,11 @@
 func TestCommitsContinueWhileSnapshotIsWritten(t *testing.T) {
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill}, Step: "snapshot written but not yet durable",
 		Guard: "truncation waits for the snapshot file"}.Log(t)
-	folder := t.TempDir()
+	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h, files := newHub(), newGatedFS()
-		machine := h.openReplica(t, 1, folder, files, 1)
+		machine := h.openReplica(t, 1, dir, files, 1)
 		c := &cluster{t: t, replicas: h.replicas}
 		replica := h.replicas[1]
 		files.armed.Store(true)
@@ -126,10 +126,10 @@
 		<-files.reached
 		is.Equal(replica.Status().First, uint64(1))
 
-		crashed := newHub() // runs on a copy of the folder at this point
-		crashedFolder := t.TempDir()
-		is.NoErr(os.CopyFS(crashedFolder, os.DirFS(folder)))
-		copied := crashed.openReplica(t, 1, crashedFolder, wal.OS{}, 1)
+		crashed := newHub() // runs on a copy of the directory at this point
+		crashedDir := t.TempDir()
+		is.NoErr(os.CopyFS(crashedDir, os.DirFS(dir)))
+		copied := crashed.openReplica(t, 1, crashedDir, wal.OS{}, 1)
 		(&cluster{t: t, replicas: crashed.replicas}).read(crashed.replicas[1])
 		is.Equal(copied.all(), machine.all())
 		crashed.close()
@@ -141,7 +141,7 @@
 		<-files.reached
 		files.release <- struct{}{}
 		synctest.Wait()
-		_, err := os.Stat(folder + "/0000000000000001.wal")
+		_, err := os.Stat(dir + "/0000000000000001.wal")
 		is.True(errors.Is(err, os.ErrNotExist)) // the next snapshot covers all of it
 		for i := range hubSnapshotEvery {
 			c.propose(fmt.Sprint("last ", i))
@@ -160,7 +160,7 @@
 		}
 		close(files.release)
 		<-closed
-		again := h.openReplica(t, 1, folder, wal.OS{}, 1)
+		again := h.openReplica(t, 1, dir, wal.OS{}, 1)
 		c.read(h.replicas[1])
 		is.Equal(again.all(), machine.all())
 		h.close()
@@ -170,14 +170,14 @@
 // A snapshot received from the leader is kept when the replica finishes writing an
 // older one of its own.
 func TestNewerSnapshotFromLeaderIsKept(t *testing.T) {
-	folders := []string{"", t.TempDir(), t.TempDir(), t.TempDir()}
+	dirs := []string{"", t.TempDir(), t.TempDir(), t.TempDir()}
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHub()
 		files, machines := make([]*gatedFS, 4), make([]*commandList, 4)
 		for id := uint64(1); id <= 3; id++ {
 			files[id] = newGatedFS()
-			machines[id] = h.openReplica(t, id, folders[id], files[id], 3)
+			machines[id] = h.openReplica(t, id, dirs[id], files[id], 3)
 		}
 		defer h.close()
 		c := &cluster{t: t, replicas: h.replicas}
@@ -210,7 +210,7 @@
 		is.Equal(after.Snapshot, before.Snapshot)
 
 		h.replicas[behind].Close()
-		again := h.openReplica(t, behind, folders[behind], wal.OS{}, 3)
+		again := h.openReplica(t, behind, dirs[behind], wal.OS{}, 3)
 		c.read(h.replicas[behind])
 		is.Equal(slices.Compact(again.all()), slices.Compact(machines[leader].all()))
 	})
@@ -222,11 +222,11 @@
 	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.FullDisk}, Step: "every file operation of a running replica, then a restart", Together: true,
 		Guard: "stopping at a failure of the log"}.Log(t)
 	for failAt, failed := int64(1), true; failed; failAt++ {
-		folder := t.TempDir()
+		dir := t.TempDir()
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			h, files := newHub(), newGatedFS()
-			h.openReplica(t, 1, folder, files, 1)
+			h.openReplica(t, 1, dir, files, 1)
 			replica := h.replicas[1]
 			files.calls.Store(0)
 			files.failAt.Store(failAt)
@@ -247,7 +247,7 @@
 			failed = files.calls.Load() >= failAt
 			is.Equal(replica.Err() != nil, failed)
 			h.close()
-			machine := h.openReplica(t, 1, folder, wal.OS{}, 1)
+			machine := h.openReplica(t, 1, dir, wal.OS{}, 1)
 			(&cluster{t: t, replicas: h.replicas}).read(h.replicas[1])
 			for _, command := range acknowledged {
 				is.True(slices.Contains(machine.all(), command))
