--- a/link/keystore.go
+++ b/link/keystore.go
@@ -57,7 +57,7 @@
 
 // current returns the keys and reloads them first if a file has changed. If the
 // files cannot be used, for instance because they are being replaced, the previous
-// keys remain in use and the next handshake tries again.
+// keys remain in use and the next handshake retries.
 func (s *keyStore) current() keys {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -156,8 +156,8 @@
 	first.write(t, clientFiles)
 	first.write(t, oldClient)
 	address, _ := serve(t, configFor(serverFiles), &peer{check: func(context.Context) error { return nil }})
-	call := func(folder string) error {
-		_, client := dial(t, configFor(folder), address)
+	call := func(dir string) error {
+		_, client := dial(t, configFor(dir), address)
 		_, err := client.Check(t.Context(), &health.HealthCheckRequest{})
 		return err
 	}
@@ -208,11 +208,11 @@
 	key         *ecdsa.PrivateKey
 }
 
-func configFor(folder string) Config {
+func configFor(dir string) Config {
 	return Config{
-		Cert: filepath.Join(folder, "cert.pem"),
-		Key:  filepath.Join(folder, "key.pem"),
-		CA:   filepath.Join(folder, "ca.pem"),
+		Cert: filepath.Join(dir, "cert.pem"),
+		Key:  filepath.Join(dir, "key.pem"),
+		CA:   filepath.Join(dir, "ca.pem"),
 	}
 }
 
@@ -240,8 +240,8 @@
 }
 
 // write stores a new certificate for 127.0.0.1, its key and the certificate of the
-// authority in folder.
-func (a authority) write(t *testing.T, folder string) {
+// authority in dir.
+func (a authority) write(t *testing.T, dir string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -268,7 +268,7 @@
 		"key.pem":  {Type: "EC PRIVATE KEY", Bytes: keyDER},
 		"ca.pem":   {Type: "CERTIFICATE", Bytes: a.certificate.Raw},
 	} {
-		if err := os.WriteFile(filepath.Join(folder, name), pem.EncodeToMemory(block), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, name), pem.EncodeToMemory(block), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/link/replicas/cursor.go
+++ b/link/replicas/cursor.go
@@ -56,7 +56,7 @@
 // Advance moves on from the replica at index from, whose call has failed with err, to the
 // leader that the fault names or else to the next replica. It does nothing if the cursor
 // has moved on already. The leader need not be a known replica: the settings may name only
-// some of the replicas, and the others are learned only from the leader.
+// some of the replicas, and the others are learnt only from the leader.
 func (c *Cursor) Advance(from int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/link/replicas/finder.go
+++ b/link/replicas/finder.go
@@ -30,8 +30,8 @@
 func (f *Finder) SetAddrs(addrs []string) { f.cursor.Set(addrs) }
 
 // Call calls the replica that gave the last final answer, then the leader that it
-// names or else the others in turn, until one gives a final answer. It makes one
-// round over the replicas.
+// names or else the others in turn, until one gives a final answer. It makes at most
+// one call more than there are known replicas.
 func (f *Finder) Call(ctx context.Context, call func(context.Context, controlv1.ControlClient) error) error {
 	return f.CallUntil(ctx, call, isFinal)
 }
--- a/link/status.go
+++ b/link/status.go
@@ -146,11 +146,11 @@
 		return fault.New(fault.Invalid, "the peer does not implement this call", "upgrade the peer to this version")
 	case sent:
 		return fault.New(fault.Unknown, "the call failed after it was sent; it may have run",
-			"read the resulting state before repeating the call")
+			"read the resulting state before retrying the call")
 	case code == codes.DeadlineExceeded:
-		return fault.New(fault.DeadlineTooShort, "the deadline passed before the call was sent", "allow more time")
+		return fault.New(fault.DeadlineTooShort, "the deadline passed before the call was sent", "use a longer deadline")
 	case code == codes.Unavailable, code == codes.Canceled:
-		return fault.New(fault.Unavailable, "the call was not sent to the peer", "try another peer, or this one again later")
+		return fault.New(fault.Unavailable, "the call was not sent to the peer", "retry with another peer, or with this one later")
 	}
 	return fault.New(fault.Internal, "the call failed before it was sent", "report the defect with the log of the daemon")
 }
