--- a/feed/follower_test.go
+++ b/feed/follower_test.go
@@ -12,7 +12,7 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// quorum is the actual history: accepted[r] is when revision r+1 was accepted.
+// quorum records the actual history: accepted[r] is when revision r+1 was accepted.
 type quorum struct {
 	accepted []time.Time
 }
--- a/feed/view.go
+++ b/feed/view.go
@@ -78,7 +78,8 @@
 }
 
 // applyDigests returns the index of key digests after the delta. A digest that has
-// moved to another workspace remains assigned to that workspace.
+// moved to another workspace stays assigned to it when the former workspace is
+// changed or removed.
 func (v *View) applyDigests(delta *fleetv1.Delta) Table[*fleetv1.Workspace] {
 	builder := v.byDigest.edit()
 	removeDigests := func(name string) {
--- a/feed/watch.go
+++ b/feed/watch.go
@@ -89,7 +89,7 @@
 // connectTimeout bounds the time to connect to a source. It allows for several round trips
 // between regions. A source that is down or frozen is left after this time rather than after
 // FirstPongTimeout: with two of five control hosts down, a daemon that switched from one of
-// them to the other received a change 4 s late, and 2 to 2.5 s are allowed.
+// them to the other received a change after a delay of 4 s; 2 to 2.5 s are allowed.
 const connectTimeout = 500 * time.Millisecond
 
 // waitReady waits until a connection is ready for calls, for at most
