--- a/entry/permits.go
+++ b/entry/permits.go
@@ -63,7 +63,7 @@
 	if !ok {
 		return
 	}
-	limit := ratelimit.Limit{Rate: rate, SentAt: f.Sent, ReceivedAt: time.Since(processStart)}
+	limit := ratelimit.Limit{Rate: rate, SentAt: f.SentAt, ReceivedAt: time.Since(processStart)}
 	if p.recordLimit(e.ID, limit) {
 		go p.publishLimit(ratelimit.EndpointLimit{Endpoint: e.RunID(), Limit: limit})
 	}
--- a/entry/publish.go
+++ b/entry/publish.go
@@ -36,11 +36,11 @@
 // and of quarantined requests.
 func registerQuarantineGauges(crashes *quarantine.Tracker) {
 	metrics.GetOrCreateGauge(`lilackeel_entry_quarantine_requests{state="known"}`, func() float64 {
-		known, _ := crashes.Len(time.Since(processStart))
+		known, _ := crashes.Counts(time.Since(processStart))
 		return float64(known)
 	})
 	metrics.GetOrCreateGauge(`lilackeel_entry_quarantine_requests{state="held"}`, func() float64 {
-		_, held := crashes.Len(time.Since(processStart))
+		_, held := crashes.Counts(time.Since(processStart))
 		return float64(held)
 	})
 }
--- a/entry/ratelimits.go
+++ b/entry/ratelimits.go
@@ -117,7 +117,7 @@
 	case f.Pause > 0:
 		l.recordPushback(id, f.Pause)
 	case !f.Rejected:
-		l.table.RecordAccepted(id, f.Sent)
+		l.table.RecordAccepted(id, f.SentAt)
 	}
 }
 
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -172,7 +172,7 @@
 }
 
 // Len returns the number of tracked requests and the number of held ones.
-func (t *Tracker) Len(now time.Duration) (requests, held int) {
+func (t *Tracker) Counts(now time.Duration) (requests, held int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.requests {
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -108,14 +108,14 @@
 		tracker.RecordCrash(time.Duration(i), fp(strconv.Itoa(i)), "rack")
 		tracker.RecordCrash(time.Duration(i), bad, "x"+strconv.Itoa(i))
 	}
-	requests, _ := tracker.Len(time.Second)
+	requests, _ := tracker.Counts(time.Second)
 	is.Equal(requests, maxRequests)
 	is.True(tracker.HoldRemaining(time.Second, bad) > 0) // the request with the most crashes is not evicted
 	is.True(len(tracker.requests[bad].crashes) <= maxRuns)
 	is.True(len(tracker.suspects) <= maxRequests*maxRuns)
 	is.True(len(tracker.registry.stored) <= maxReports && len(tracker.registry.sequences) <= maxReports)
 	tracker.EvictStale(3 * maxHold)
-	requests, _ = tracker.Len(3 * maxHold)
+	requests, _ = tracker.Counts(3 * maxHold)
 	is.Equal(requests, 0)
 	is.Equal(len(tracker.suspects), 0)
 	is.Equal(len(tracker.registry.stored)+len(tracker.registry.sequences), 0)
--- a/routed/deliver.go
+++ b/routed/deliver.go
@@ -64,7 +64,7 @@
 	pause, _ := ratelimit.RetryAfter(r.Status, r.Header)
 	names := a.server.config.Headers
 	return ratelimit.Feedback{
-		Sent: a.started, Rate: r.Header.Get(names.RateLimit), Pause: pause,
+		SentAt: a.started, Rate: r.Header.Get(names.RateLimit), Pause: pause,
 		Leaving: names.Leaving != "" && r.Header.Get(names.Leaving) != "", Rejected: impliesNotRun(r.Status),
 	}
 }
--- a/routed/quarantine_test.go
+++ b/routed/quarantine_test.go
@@ -109,7 +109,7 @@
 	is.Equal(m.send("/read/x", presentAtCrash, 1).StatusCode, http.StatusBadGateway)
 	is.Equal(m.crashCount(), 2)
 	is.Equal(m.send("/read/x", presentAtCrash, 2).StatusCode, http.StatusOK)
-	requests, held := m.server.Quarantine.Len(m.server.clock())
+	requests, held := m.server.Quarantine.Counts(m.server.clock())
 	is.Equal(requests, 1)
 	is.Equal(held, 0)
 	// Two further crashes are the first two endpoints again.
