--- a/quarantine/codec.go
+++ b/quarantine/codec.go
@@ -7,7 +7,7 @@
 	"github.com/lilackeel/lilackeel/call"
 )
 
-// ToProto encodes reports, with their times as ages relative to now.
+// ToProto encodes reports, converting their times to ages at now.
 func ToProto(now time.Duration, reports []CrashReport) []*agentv1.CrashReport {
 	messages := make([]*agentv1.CrashReport, 0, len(reports))
 	for _, report := range reports {
@@ -18,8 +18,8 @@
 	return messages
 }
 
-// FromProto decodes reports, with their ages relative to the reader's own now. Malformed reports
-// are skipped.
+// FromProto decodes reports, converting their ages to times on the local clock. Malformed reports
+// are omitted.
 func FromProto(now time.Duration, messages []*agentv1.CrashReport) []CrashReport {
 	reports := make([]CrashReport, 0, len(messages))
 	for _, m := range messages {
@@ -40,7 +40,7 @@
 	r.Add(FromProto(now, messages)...)
 }
 
-// Read is Since with the reports encoded for a remote reader.
+// Read is like Since, with the reports encoded for a remote reader.
 func (r *Registry) Read(now time.Duration, position uint64) ([]*agentv1.CrashReport, uint64) {
 	reports, next := r.Since(position)
 	return ToProto(now, reports), next
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -8,7 +8,7 @@
 //   - a request that completes on any endpoint is cleared of all its crashes so far;
 //   - a crash is attributed to the suspect with the most crashes, once that one has enough of them;
 //   - where processes also crash for other reasons, more crashes are required before a hold;
-//   - a request that completes at times is still held if far more processes crash while running it
+//   - a request that sometimes completes is still held if far more processes crash while running it
 //     than its share of the requests in flight explains, so that a request that crashes only some of
 //     its runs is held as well.
 //
--- a/quarantine/evict.go
+++ b/quarantine/evict.go
@@ -27,7 +27,7 @@
 }
 
 // evictIfFull evicts a request if there is no room for one more: the one with the fewest crashes
-// and, among these, the one whose last crash is the oldest. The lock is held.
+// and, among these, the one whose last crash is the oldest. The caller must hold the lock.
 func (t *Tracker) evictIfFull() {
 	if len(t.requests) < maxRequests {
 		return
@@ -50,7 +50,7 @@
 	return a.lastCrash() < b.lastCrash()
 }
 
-// remove deletes a request. The lock is held.
+// remove deletes a request. The caller must hold the lock.
 func (t *Tracker) remove(f call.Fingerprint) {
 	for run := range t.requests[f].crashes {
 		t.removeRun(f, run)
@@ -61,7 +61,8 @@
 	t.trackedCount.Store(int64(len(t.requests)))
 }
 
-// removeRun deletes the crash of a run from a request; a run of zero means none. The lock is held.
+// removeRun deletes the crash of a run from a request; a run of zero means none. The caller must
+// hold the lock.
 func (t *Tracker) removeRun(f call.Fingerprint, run uint64) {
 	if run == 0 {
 		return
--- a/quarantine/exposure.go
+++ b/quarantine/exposure.go
@@ -67,7 +67,7 @@
 }
 
 // exposureShare returns a request's share of the time in flight of all attempts of this entry since
-// the request's first crash. The lock is held.
+// the request's first crash. The caller must hold the lock.
 func (t *Tracker) exposureShare(now time.Duration, r *record) float64 {
 	prior := priorAttempts * t.exposure.mean(now)
 	total := t.exposure.total(now) - r.priorExposure
@@ -79,7 +79,7 @@
 
 // exceedsChance reports whether processes crash far more often while running a request than its
 // share of the requests in flight explains. This finds requests that also complete, because they
-// crash a process at random or under some condition only. The lock is held.
+// crash a process at random or under some condition only. The caller must hold the lock.
 func (t *Tracker) exceedsChance(now time.Duration, r *record, crashes int) bool {
 	if crashes < minRecurringCrashes || float64(crashes) < minCrashRatio*float64(r.exposure.starts) {
 		return false
@@ -99,7 +99,7 @@
 }
 
 // suspectCountsSince returns, for each run that has crashed since a time, the number of requests
-// that it was running. The lock is held.
+// that it was running. The caller must hold the lock.
 func (t *Tracker) suspectCountsSince(since time.Duration) []int {
 	var counts []int
 	for run, suspectsOfRun := range t.suspects {
@@ -110,7 +110,7 @@
 	return counts
 }
 
-// crashTime returns when a run crashed. The lock is held.
+// crashTime returns when a run crashed. The caller must hold the lock.
 func (t *Tracker) crashTime(run uint64) time.Duration {
 	for f := range t.suspects[run] {
 		return t.requests[f].crashes[run]
--- a/quarantine/rate.go
+++ b/quarantine/rate.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// requiredCrashes returns the number of crashes before a request is held: so many that at this rate
-// a harmless request hardly ever meets as many.
+// requiredCrashes returns the number of crashes before a request is held: high enough that a
+// harmless request is very unlikely to reach it at this rate.
 func (r *crashRate) requiredCrashes(now time.Duration) int {
 	decay := math.Exp(-float64(max(now-r.updatedAt, 0)) / float64(rateDecayTime))
 	probability := r.crashes * decay / (r.runs*decay + priorRuns)
--- a/quarantine/refusal.go
+++ b/quarantine/refusal.go
@@ -14,5 +14,5 @@
 		return nil
 	}
 	return fault.New(fault.Quarantined, "the request is quarantined: endpoint processes crashed while running it",
-		"change the request, or send it again after the time given").RetryIn(hold)
+		"change the request, or retry after the given time").RetryIn(hold)
 }
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -114,7 +114,8 @@
 }
 
 // refuteCrash clears the suspects of a run that has responded to a request sent after its reported
-// crash: the process had not crashed but only refused connections for a moment. The lock is held.
+// crash: the process had not crashed but only refused connections for a moment. The caller must
+// hold the lock.
 func (t *Tracker) refuteCrash(now, sent time.Duration, run uint64) {
 	for f := range t.suspects[run] {
 		if at := t.requests[f].crashes[run]; at < sent {
@@ -125,7 +126,7 @@
 }
 
 // clear clears a request of one crash and reports whether it had not been cleared of it before. The
-// lock is held.
+// caller must hold the lock.
 func (t *Tracker) clear(now time.Duration, f call.Fingerprint, run uint64, at time.Duration) bool {
 	if t.requests[f].clearedRuns[run] {
 		return false
@@ -171,7 +172,7 @@
 	return reports
 }
 
-// Len returns the number of tracked requests and the number of held ones.
+// Counts returns the number of tracked requests and the number of held ones.
 func (t *Tracker) Counts(now time.Duration) (requests, held int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -183,7 +184,7 @@
 	return len(t.requests), held
 }
 
-// merge merges one report. The lock is held.
+// merge merges one report. The caller must hold the lock.
 func (t *Tracker) merge(now time.Duration, report CrashReport) {
 	r := t.requests[report.Request]
 	if r == nil {
@@ -212,7 +213,7 @@
 }
 
 // updateRecurringHolds reevaluates the requests with several crashes, since a further crash that
-// hits only other requests counts in their favour. The lock is held.
+// hits only other requests counts in their favour. The caller must hold the lock.
 func (t *Tracker) updateRecurringHolds(now time.Duration) {
 	for f := range t.recurring {
 		t.updateHold(now, f)
@@ -220,7 +221,7 @@
 }
 
 // attribute updates whether a request is a confirmed cause. If it is or was one, the other suspects
-// of its crashes are reevaluated. The lock is held.
+// of its crashes are reevaluated. The caller must hold the lock.
 func (t *Tracker) attribute(now time.Duration, f call.Fingerprint) {
 	r, wasConfirmed := t.requests[f], t.confirmedCauses[f] != nil
 	if r.uncleared() >= minCrashes {
@@ -240,7 +241,7 @@
 	}
 }
 
-// updateHold reevaluates whether a request is held. The lock is held.
+// updateHold reevaluates whether a request is held. The caller must hold the lock.
 func (t *Tracker) updateHold(now time.Duration, f call.Fingerprint) {
 	r := t.requests[f]
 	uncleared, total, last := 0, 0, time.Duration(0)
@@ -268,7 +269,7 @@
 }
 
 // attributedToOther reports whether the crash of a run is attributed to another request: a
-// confirmed cause with more uncleared crashes than this one. The lock is held.
+// confirmed cause with more uncleared crashes than this one. The caller must hold the lock.
 func (t *Tracker) attributedToOther(run uint64, f call.Fingerprint, r *record) bool {
 	own := r.uncleared()
 	for other, otherRecord := range t.confirmedCauses {
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -16,7 +16,7 @@
 func newTrackerWithHistory(now time.Duration) *Tracker {
 	tracker := NewTracker()
 	for range 1000 {
-		tracker.RecordCompletion(now, now, fp("good"), "runs on")
+		tracker.RecordCompletion(now, now, fp("good"), "healthy run")
 	}
 	return tracker
 }
@@ -86,8 +86,8 @@
 	for i := range 300 {
 		run++
 		tracker.RecordCrash(time.Second, fp("r"+strconv.Itoa(i)), "e"+strconv.Itoa(run))
-		tracker.RecordCompletion(time.Second, time.Second, fp("s"+strconv.Itoa(i)), "runs on")
-		tracker.RecordCompletion(time.Second, time.Second, fp("t"+strconv.Itoa(i)), "runs on")
+		tracker.RecordCompletion(time.Second, time.Second, fp("s"+strconv.Itoa(i)), "healthy run")
+		tracker.RecordCompletion(time.Second, time.Second, fp("t"+strconv.Itoa(i)), "healthy run")
 	}
 	unlucky := fp("unlucky")
 	for i := range 3 {
