--- a/ratelimit/arbiter.go
+++ b/ratelimit/arbiter.go
@@ -9,7 +9,7 @@
 	// choiceRetention is how long a host remembers its rank in the order of preference of a sender
 	// that has asked it for a permit.
 	choiceRetention = 10 * time.Second
-	// endpointRetention is how long an endpoint is kept after it was last heard of, and
+	// endpointRetention is how long an endpoint is kept after its limit was last received, and
 	// maxEndpoints bounds the number of endpoints.
 	endpointRetention = 10 * time.Minute
 	maxEndpoints      = 4096
@@ -43,7 +43,7 @@
 	limit  Limit
 	bucket Bucket
 	// lastAsked is when a permit was last requested, by the arbiter's rank in the sender's order of
-	// preference; lastSeen is when the endpoint was last heard of.
+	// preference; lastSeen is when the endpoint's limit was last received.
 	lastAsked [MaxPermitHosts]time.Duration
 	lastSeen  time.Duration
 	// revision is the arbiter's revision at the last change of the limit.
@@ -72,8 +72,8 @@
 	return changed
 }
 
-// learn is Learn and also returns the endpoint, nil if it has never advertised a limit. The lock is
-// held.
+// learn is like Learn and also returns the endpoint, nil if it has never advertised a limit. The
+// caller must hold the lock.
 func (a *Arbiter) learn(now time.Duration, l EndpointLimit) (e *limitedEndpoint, changed bool) {
 	e = a.endpoints[l.Endpoint]
 	switch {
@@ -151,7 +151,7 @@
 	return changed, next
 }
 
-// evictStale evicts the endpoints not heard of for endpointRetention. The lock is held.
+// evictStale evicts the endpoints not seen for endpointRetention. The caller must hold the lock.
 func (a *Arbiter) evictStale(now time.Duration) {
 	for name, e := range a.endpoints {
 		if now-e.lastSeen > endpointRetention {
@@ -160,8 +160,8 @@
 	}
 }
 
-// evictIfFull evicts the least recently heard of endpoint if there is no room for one more. The
-// lock is held.
+// evictIfFull evicts the least recently seen endpoint if there is no room for one more. The
+// caller must hold the lock.
 func (a *Arbiter) evictIfFull(now time.Duration) {
 	if len(a.endpoints) < maxEndpoints {
 		return
--- a/ratelimit/codec.go
+++ b/ratelimit/codec.go
@@ -6,7 +6,7 @@
 	agentv1 "github.com/lilackeel/lilackeel/api/agent/v1"
 )
 
-// ToProto encodes a limit, with its times as ages relative to now.
+// ToProto encodes a limit, converting its times to ages at now.
 func ToProto(now time.Duration, l EndpointLimit) *agentv1.RateLimit {
 	message := &agentv1.RateLimit{
 		Endpoint: l.Endpoint, SentAgeMs: max(now-l.Limit.SentAt, 0).Milliseconds(), AgeMs: max(now-l.Limit.ReceivedAt, 0).Milliseconds(),
@@ -17,7 +17,7 @@
 	return message
 }
 
-// FromProto decodes a limit, with its ages relative to the reader's own now. ok is false if it is
+// FromProto decodes a limit, converting its ages to times on the local clock. ok is false if it is
 // malformed.
 func FromProto(now time.Duration, m *agentv1.RateLimit) (l EndpointLimit, ok bool) {
 	if m.GetEndpoint() == "" || m.GetAgeMs() < 0 || m.GetSentAgeMs() < m.GetAgeMs() || !(m.GetRate() >= 0) {
--- a/ratelimit/limit.go
+++ b/ratelimit/limit.go
@@ -26,7 +26,7 @@
 
 // Feedback is what a response says about the requests that its endpoint accepts.
 type Feedback struct {
-	// Sent is when the request was sent.
+	// SentAt is when the request was sent.
 	SentAt time.Duration
 	// Rate is the advertised limit as it stands in the response, unparsed; empty for none.
 	Rate string
--- a/ratelimit/table.go
+++ b/ratelimit/table.go
@@ -81,7 +81,8 @@
 	return change, true
 }
 
-// getOrCreate returns the record of an endpoint and creates it on first use. The lock is held.
+// getOrCreate returns the record of an endpoint and creates it on first use. The caller must hold
+// the lock.
 func (t *Table) getOrCreate(id string) *record {
 	r := t.endpoints[id]
 	if r == nil {
