--- a/gate/admit.go
+++ b/gate/admit.go
@@ -65,7 +65,7 @@
 	if verdict, seen := g.claims.repeat(id); seen {
 		return verdict
 	}
-	if g.claims.mayHaveForgotten(ticket) {
+	if g.claims.mayHaveEvicted(ticket) {
 		return Verdict{Decision: Unknown}
 	}
 	e, refusal := g.check(now, d)
@@ -116,12 +116,13 @@
 // ownFresh reports whether a quorum has confirmed recently enough to the agent
 // itself that the configuration in force is the latest.
 func (g *Gate) ownFresh(now time.Duration) bool {
-	return g.fresh && now-g.confirmed <= g.limits.Freshness
+	return g.hasConfirmation && now-g.confirmedAt <= g.limits.Freshness
 }
 
 // entryFresh reports whether the sender's knowledge of the configuration is
-// fresh. Its ticket must be one that this incarnation can have issued; an old
-// ticket is refused since the drift between the two clocks grows with its age.
+// fresh. The sender's ticket, AgentTimeNs, must be one that this incarnation can
+// have issued; an old ticket is refused since the drift between the two clocks
+// grows with its age.
 func (g *Gate) entryFresh(now time.Duration, f *agentv1.Freshness) bool {
 	if f == nil || f.GetRevision() < g.revision {
 		return false
--- a/gate/claim.go
+++ b/gate/claim.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// mayHaveForgotten reports whether a claim with this ticket may have been
+// mayHaveEvicted reports whether a claim with this ticket may have been
 // started and then evicted.
-func (c *claims) mayHaveForgotten(ticket time.Duration) bool {
+func (c *claims) mayHaveEvicted(ticket time.Duration) bool {
 	return c.horizon > 0 && ticket <= c.horizon
 }
 
@@ -152,7 +152,7 @@
 	if !hasTicket {
 		return c.horizon == 0
 	}
-	return ticket <= now && !c.mayHaveForgotten(ticket)
+	return ticket <= now && !c.mayHaveEvicted(ticket)
 }
 
 func (k *claim) response() *agentv1.RevokeResponse {
--- a/gate/claimid.go
+++ b/gate/claimid.go
@@ -11,9 +11,9 @@
 
 // ClaimID returns a claim id made of a unique text and the ticket that the
 // holder of the claim had obtained beforehand. Such an id binds the claim to its
-// ticket, so that the agent can tell even long after whether it still knows that
-// the claim has not run. For an id of another form it can tell only until it has
-// evicted the first started claim.
+// ticket, so that the agent can tell even much later whether a claim that it does
+// not remember has certainly never started. For an id of another form it can tell
+// only until it evicts a started claim for the first time.
 func ClaimID(unique string, ticketNs int64) string {
 	return unique + ticketSeparator + strconv.FormatInt(ticketNs, 36)
 }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -68,10 +68,11 @@
 
 	// revision is the configuration revision in force.
 	revision uint64
-	// confirmed is the latest time at which a quorum confirmed that no later
-	// revision had been accepted; fresh is false before the first confirmation.
-	confirmed time.Duration
-	fresh     bool
+	// confirmedAt is the latest time at which a quorum confirmed that no later
+	// revision had been accepted; hasConfirmation is false before the first
+	// confirmation.
+	confirmedAt     time.Duration
+	hasConfirmation bool
 	// stopping is true once Stop has been called.
 	stopping bool
 	// rates enforces the rate limits that endpoints advertise.
@@ -102,9 +103,9 @@
 // Revision returns the configuration revision in force.
 func (g *Gate) Revision() uint64 { return g.revision }
 
-// Configure puts the accepted states of the endpoints at a revision into force.
-// Dispatches to endpoints without a state are refused. A revision lower than the
-// current one is ignored.
+// Configure applies the endpoint states of a configuration revision. Dispatches to
+// endpoints without a state are refused. A revision lower than the current one is
+// ignored.
 func (g *Gate) Configure(revision uint64, states map[string]fleetv1.EndpointState) {
 	if revision < g.revision {
 		return
@@ -122,11 +123,11 @@
 	if revision > g.revision || revision == 0 {
 		return
 	}
-	if g.fresh && at <= g.confirmed {
+	if g.hasConfirmation && at <= g.confirmedAt {
 		return
 	}
-	g.fresh = true
-	g.confirmed = at
+	g.hasConfirmation = true
+	g.confirmedAt = at
 }
 
 // Stop makes the gate refuse all further dispatches. Calls in flight go on.
--- a/gate/order.go
+++ b/gate/order.go
@@ -43,10 +43,10 @@
 	}
 	if !g.fence.known {
 		return fault.New(fault.NoQuorum, "the agent has not yet learnt the highest fencing token from a quorum",
-			"send the order again once control replicas are reachable from the agent").RetryIn(retryAfterStale)
+			"retry the order once control replicas are reachable from the agent").RetryIn(retryAfterStale)
 	}
 	if o.GetFence() < g.fence.highest {
-		return fault.Newf(fault.Fenced, "only the current control leader may send orders; read its state again",
+		return fault.Newf(fault.Fenced, "only the current control leader may send orders; read the control state again",
 			"the order's fencing token %d is lower than %d", o.GetFence(), g.fence.highest)
 	}
 	g.RaiseFence(o.GetFence())
--- a/gate/rate.go
+++ b/gate/rate.go
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// withoutLimit is the limit of a sender that knows of none. It supersedes no other limit.
+// withoutLimit returns the limit of a sender that knows of none. It supersedes no other limit.
 func withoutLimit(endpoint string) ratelimit.EndpointLimit {
 	return ratelimit.EndpointLimit{Endpoint: endpoint, Limit: ratelimit.Limit{Rate: ratelimit.Unlimited}}
 }
--- a/gate/refusal.go
+++ b/gate/refusal.go
@@ -13,7 +13,7 @@
 }
 
 func errStopping() *fault.Error {
-	return fault.New(fault.Leaving, "the agent is stopping", "try again: other hosts accept the call")
+	return fault.New(fault.Leaving, "the agent is stopping", "retry: other hosts accept the call")
 }
 
 func errNoEndpoint(id string) *fault.Error {
@@ -31,22 +31,22 @@
 }
 
 func errStale(bound time.Duration) *fault.Error {
-	return fault.Newf(fault.Stale, "try again after the time given; if the error persists, check that a majority of control replicas is running",
+	return fault.Newf(fault.Stale, "retry after the given time; if the error persists, check that a majority of control replicas is running",
 		"neither the agent nor the sender has heard from a quorum within %v", bound).RetryIn(retryAfterStale)
 }
 
 func errEndpointFull(id string) *fault.Error {
-	return fault.Newf(fault.Overloaded, "choose another endpoint or try again later",
+	return fault.Newf(fault.Overloaded, "choose another endpoint or retry later",
 		"endpoint %q has no free slot and its queue is full", id).RetryIn(retryAfterOverloaded)
 }
 
 func errRateLimited(id string, p ratelimit.Permit) *fault.Error {
-	return fault.Newf(fault.RateLimited, "choose another endpoint or try again after the time given",
+	return fault.Newf(fault.RateLimited, "choose another endpoint or retry after the given time",
 		"endpoint %q accepts at most %v requests per second", id, p.Limit).RetryIn(p.Wait)
 }
 
 func errPaused(id string, wait time.Duration) *fault.Error {
-	return fault.Newf(fault.RateLimited, "choose another endpoint or try again after the time given",
+	return fault.Newf(fault.RateLimited, "choose another endpoint or retry after the given time",
 		"endpoint %q has asked for a pause", id).RetryIn(wait)
 }
 
@@ -56,7 +56,7 @@
 
 func errTicketOutsideWindow(window time.Duration) *fault.Error {
 	return fault.Newf(fault.Stale, "claim again with a newer ticket",
-		"the claim's ticket is not from the last %v of this agent", window)
+		"the claim's ticket was not issued by this agent within the last %v", window)
 }
 
 func errTicketMismatch() *fault.Error {
