--- a/endpoint/pick/direct_test.go
+++ b/endpoint/pick/direct_test.go
@@ -15,9 +15,9 @@
 	"github.com/lilackeel/lilackeel/endpoint/prefix"
 )
 
-// blindPool simulates a pool of engines and entries that do not know each other's calls: each
+// poolSimulation simulates a pool of engines and entries that do not know each other's calls: each
 // knows only its own calls and the engines' reports.
-type blindPool struct {
+type poolSimulation struct {
 	entries, engines, slots int
 	// rate is in calls per second, callTime is the duration of a call, and reportInterval the
 	// time between two reports.
@@ -53,22 +53,22 @@
 
 // simulate runs the simulation and returns the mean share of engines with more calls than slots,
 // and the calls at the busiest engine divided by the mean.
-func (b blindPool) simulate(t *testing.T, cfg Config, seed uint64) (overCapacity, busiest float64) {
+func (p poolSimulation) simulate(t *testing.T, cfg Config, seed uint64) (overCapacity, busiest float64) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 9))
 	table := endpoint.NewTable()
 	var all []endpoint.Endpoint
 	running := map[string]int{}
-	for number := range b.engines {
+	for number := range p.engines {
 		id := fmt.Sprintf("engine-%03d", number)
-		all = append(all, endpoint.Endpoint{ID: id, Pool: "pool", Kind: endpoint.Engine, State: endpoint.Serving, Slots: b.slots, Addr: id, Zone: fmt.Sprint(number % 5), Revision: 1})
+		all = append(all, endpoint.Endpoint{ID: id, Pool: "pool", Kind: endpoint.Engine, State: endpoint.Serving, Slots: p.slots, Addr: id, Zone: fmt.Sprint(number % 5), Revision: 1})
 		running[id] = 0
 	}
 	table.Apply(all, nil)
-	loads := make([]*load.Tracker, b.entries)
-	pickers := make([]*Picker, b.entries)
+	loads := make([]*load.Tracker, p.entries)
+	pickers := make([]*Picker, p.entries)
 	for n := range loads {
-		loads[n] = load.New(load.Config{Peers: b.entries}, table)
+		loads[n] = load.New(load.Config{Peers: p.entries}, table)
 		pickers[n] = New(cfg, table, loads[n], prefix.New(prefix.Config{}), outlier.New(outlier.Config{}))
 	}
 	inFlight := &callHeap{}
@@ -81,47 +81,47 @@
 			running[done.engine]--
 			loads[done.entry].Done(now, &done.call, load.Result{Tokens: 15})
 		}
-		if now%b.reportInterval == 0 {
-			b.report(now, loads, running)
+		if now%p.reportInterval == 0 {
+			p.report(now, loads, running)
 		}
-		for calls += b.rate * tick.Seconds(); calls >= 1; calls-- {
-			entry := rng.IntN(b.entries)
-			r := &Request{Pool: "pool", Workspace: b.workspace(rng), Zone: fmt.Sprint(entry % 5), PromptTokens: 850, MaxTokens: 90}
+		for calls += p.rate * tick.Seconds(); calls >= 1; calls-- {
+			entry := rng.IntN(p.entries)
+			r := &Request{Pool: "pool", Workspace: p.workspace(rng), Zone: fmt.Sprint(entry % 5), PromptTokens: 850, MaxTokens: 90}
 			chosen, _, err := pickers[entry].Pick(now, rng, r)
 			if err != nil {
 				continue
 			}
 			call := loads[entry].Sent(now, chosen.ID, load.Work{PromptTokens: 850, MaxTokens: 90})
 			running[chosen.ID]++
-			heap.Push(inFlight, inFlightCall{at: now + b.callTime, engine: chosen.ID, entry: entry, call: call})
+			heap.Push(inFlight, inFlightCall{at: now + p.callTime, engine: chosen.ID, entry: entry, call: call})
 		}
 		if now > 3*time.Second && now%(100*time.Millisecond) == 0 {
 			samples++
 			most := 0
 			for _, n := range running {
 				most = max(most, n)
-				if n > b.slots {
-					overCapacity += 1 / float64(b.engines)
+				if n > p.slots {
+					overCapacity += 1 / float64(p.engines)
 				}
 			}
-			busiest += float64(most*b.engines) / float64(max(inFlight.Len(), 1))
+			busiest += float64(most*p.engines) / float64(max(inFlight.Len(), 1))
 		}
 	}
 	return overCapacity / float64(samples), busiest / float64(samples)
 }
 
 // report sends the load of every engine to every entry.
-func (b blindPool) report(now time.Duration, loads []*load.Tracker, running map[string]int) {
+func (p poolSimulation) report(now time.Duration, loads []*load.Tracker, running map[string]int) {
 	for _, tracker := range loads {
 		for id, n := range running {
-			tracker.Report(now, id, load.Report{Running: min(n, b.slots), Waiting: max(n-b.slots, 0)})
+			tracker.Report(now, id, load.Report{Running: min(n, p.slots), Waiting: max(n-p.slots, 0)})
 		}
 	}
 }
 
-func (b blindPool) workspace(rng *rand.Rand) string {
-	if draw := rng.Float64(); draw < 3*b.largeShare {
-		return fmt.Sprint("large-", int(draw/b.largeShare))
+func (p poolSimulation) workspace(rng *rand.Rand) string {
+	if draw := rng.Float64(); draw < 3*p.largeShare {
+		return fmt.Sprint("large-", int(draw/p.largeShare))
 	}
 	return fmt.Sprint("small-", rng.IntN(37))
 }
@@ -133,7 +133,7 @@
 // wait until another call has ended.
 func TestCallsAreSpreadOverEngines(t *testing.T) {
 	is := is.New(t)
-	for _, pool := range []blindPool{
+	for _, pool := range []poolSimulation{
 		{entries: 36, engines: 192, slots: 6, rate: 470, callTime: 1200 * time.Millisecond, reportInterval: 225 * time.Millisecond, largeShare: 0.12, minGain: 1.2},
 		{entries: 5, engines: 16, slots: 12, rate: 80, callTime: 1200 * time.Millisecond, reportInterval: 100 * time.Millisecond, largeShare: 0.2, minGain: 0.1},
 	} {
