--- a/sharing/sharing.go
+++ b/sharing/sharing.go
@@ -56,7 +56,7 @@
 	return &agentv1.PermitResponse{Limit: ratelimit.ToProto(now, limit), Granted: permit.Granted, WaitMs: permit.Wait.Milliseconds()}
 }
 
-// Reader is the position of one reader of the host's reports in the shared data.
+// Reader tracks how far one reader of the host's reports has read the shared data.
 type Reader struct {
 	host                        *Host
 	crashes, limits, suspicions uint64
