--- a/agent/claim_test.go
+++ b/agent/claim_test.go
@@ -27,7 +27,7 @@
 	return &agentv1.DispatchRequest{
 		RequestId: claim, Attempt: 1, Endpoint: "service", Method: http.MethodPost, Path: "/swaps",
 		ClaimId: claim, ClaimTicketNs: s.daemon.lockedGate.ticket(),
-		Headers: []*controlv1.Header{{Name: standin.HeaderKey, Value: claim}},
+		Headers: []*controlv1.Header{{Name: standin.HeaderIdempotencyKey, Value: claim}},
 	}
 }
 
@@ -35,8 +35,8 @@
 // dispatch and a revocation must get the recorded answer.
 func TestClaimedCallRunsOnceAndIsRecorded(t *testing.T) {
 	proof.Cell{
-		Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Lost, proof.Doubled}, Step: "the entry leaves while its claimed call runs, and another asks again",
-		Guard: "dispatcher.callContext, and the end being recorded before it is sent, each alone", Together: true,
+		Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.LostMessages, proof.DuplicatedMessages}, Step: "the entry leaves while its claimed call runs, and another asks again",
+		Guard: "dispatcher.callContext, and the end being recorded before it is sent, each alone", Combined: true,
 	}.Log(t)
 	is := is.New(t)
 	service := standin.NewService(0)
@@ -106,12 +106,12 @@
 // run, when copies and revocations of it arrive concurrently at its agent and at the agent's successor.
 func TestConcurrentDuplicatesAndRevocations(t *testing.T) {
 	proof.Cell{
-		Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Doubled, proof.Crossed, proof.Restart}, Step: "copies and a revocation race at an agent and at its successor",
-		Guard: "the incarnation checks, claims.repeat and the closing on revocation, each alone", Together: true,
+		Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.DuplicatedMessages, proof.ReorderedMessages, proof.Restart}, Step: "copies and a revocation race at an agent and at its successor",
+		Guard: "the incarnation checks, claims.repeat and the closing on revocation, each alone", Combined: true,
 	}.Log(t)
 	proof.Cell{
-		Promise: proof.NotRun, Faults: []proof.Fault{proof.Doubled, proof.Crossed, proof.Restart}, Step: "copies and a revocation race at an agent and at its successor",
-		Guard: "the incarnation checks, claims.repeat and the closing on revocation, each alone", Together: true,
+		Promise: proof.NotRun, Faults: []proof.Fault{proof.DuplicatedMessages, proof.ReorderedMessages, proof.Restart}, Step: "copies and a revocation race at an agent and at its successor",
+		Guard: "the incarnation checks, claims.repeat and the closing on revocation, each alone", Combined: true,
 	}.Log(t)
 	is := is.New(t)
 	const claims, copies = 40, 3
@@ -170,7 +170,7 @@
 // after running it, even if the call carries an idempotency key.
 func TestTransportDoesNotRepeatClaims(t *testing.T) {
 	proof.Cell{
-		Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Lost}, Step: "the endpoint closes the connection after running a claimed call",
+		Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.LostMessages}, Step: "the endpoint closes the connection after running a claimed call",
 		Guard: "endpointClient.singleUse and nonReplayableBody, both together",
 	}.Log(t)
 	is := is.New(t)
--- a/agent/daemon_test.go
+++ b/agent/daemon_test.go
@@ -37,7 +37,7 @@
 // be truncated, and against a complete answer that is reported as broken.
 func TestTruncatedAnswerIsNeverComplete(t *testing.T) {
 	proof.Cell{
-		Promise: proof.OwnAnswer, Faults: []proof.Fault{proof.Lost}, Step: "the endpoint's connection is cut in its answer, in seven ways",
+		Promise: proof.ResponseIntegrity, Faults: []proof.Fault{proof.LostMessages}, Step: "the endpoint's connection is cut in its answer, in seven ways",
 		Guard: "answer.judge, endsTerminal and the read error in answer.copyTo, each alone",
 	}.Log(t)
 	is := is.New(t)
@@ -57,7 +57,7 @@
 		got := s.dispatch(completion(stream, "8"))
 		is.True(got.broken == nil)
 		is.Equal(got.end.GetLength(), uint64(len(got.body)))
-		engine.SetFaults(standin.Faults{CutAfter: len(got.body) - 1})
+		engine.SetFaults(standin.Faults{AbortAfterBytes: len(got.body) - 1})
 		cut := s.dispatch(completion(stream, "8"))
 		is.True(cut.end == nil && cut.broken.GetMayHaveRun())
 		is.Equal(len(cut.body), len(got.body)-1)
@@ -79,14 +79,14 @@
 // engine that no longer knows it, or that counts as resumed by an engine that cannot resume.
 func TestInterruptedStreamResumes(t *testing.T) {
 	proof.Cell{
-		Promise: proof.OwnAnswer, Faults: []proof.Fault{proof.Lost}, Step: "a stream cut at the engine is resumed through the agent",
+		Promise: proof.ResponseIntegrity, Faults: []proof.Fault{proof.LostMessages}, Step: "a stream cut at the engine is resumed through the agent",
 		Guard: "answer.resumedAt, the 404 of a forgotten stream, and streamIDs, each alone",
 	}.Log(t)
 	is := is.New(t)
 	engine := standin.NewEngine(standin.EngineConfig{Slots: 4})
 	s := newFixture(t, map[string]http.Handler{"engine": engine, "engine-other": standin.NewEngine(standin.EngineConfig{}),
 		"engine-plain": rawResponse("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")})
-	engine.SetFaults(standin.Faults{CutAfter: 150})
+	engine.SetFaults(standin.Faults{AbortAfterBytes: 150})
 	cut := s.dispatch(completion(true, "8"))
 	is.True(cut.broken != nil)
 	engine.SetFaults(standin.Faults{})
@@ -112,8 +112,8 @@
 // agent ready or is not announced.
 func TestPlannedStopCompletesOpenStreams(t *testing.T) {
 	proof.Cell{
-		Promise: proof.PlannedStop, Faults: []proof.Fault{proof.Restart, proof.StalledRank}, Step: "an agent with 200 streams open at an engine that stands still",
-		Guard: "lockedGate.stop and the wait for work in flight, each alone", Together: true,
+		Promise: proof.GracefulShutdown, Faults: []proof.Fault{proof.Restart, proof.StalledRank}, Step: "an agent with 200 streams open at an engine that stands still",
+		Guard: "lockedGate.stop and the wait for work in flight, each alone", Combined: true,
 	}.Log(t)
 	is := is.New(t)
 	const open = 200
--- a/agent/pushback_test.go
+++ b/agent/pushback_test.go
@@ -55,7 +55,7 @@
 	})
 	// Both endpoints have asked for a pause that covers this time.
 	known, rest := began.Add(pauseGrace), retryAfterPause-pauseGrace
-	for name, got := range map[string]int{"engine": engine.MostArrivals(known, rest), "service": service.MostArrivals(known, rest)} {
+	for name, got := range map[string]int{"engine": engine.MaxArrivals(known, rest), "service": service.MaxArrivals(known, rest)} {
 		t.Logf("the %s got %d", name, got)
 		is.New(t).True(got <= maxRequestsInPause)
 	}
--- a/agent/ranks/ranks_test.go
+++ b/agent/ranks/ranks_test.go
@@ -113,7 +113,7 @@
 // steps, and then promises one of those steps, accepts the late request of a replaced coordinator, or
 // grants steps beyond its own promise.
 func TestRestartedAgentKeepsPromises(t *testing.T) {
-	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Restart, proof.Late}, Step: "switch of maps promised", Together: true,
+	proof.Cell{Promise: proof.OneMapPerStep, Faults: []proof.Fault{proof.Restart, proof.DelayedMessages}, Step: "switch of maps promised", Combined: true,
 		Guard: "the granted steps that an engine reports; the token of the record's writer"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -138,7 +138,7 @@
 // must not count as loaded, and a late request of that run must not void steps granted to the current
 // one.
 func TestRestartedEngineReloadsMap(t *testing.T) {
-	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Restart, proof.Late}, Step: "weights loading", Together: true,
+	proof.Cell{Promise: proof.OneMapPerStep, Faults: []proof.Fault{proof.Restart, proof.DelayedMessages}, Step: "weights loading", Combined: true,
 		Guard: "the comparison of the engine's run when an order ends; the granted steps kept over it"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/agent/ratelimit_test.go
+++ b/agent/ratelimit_test.go
@@ -42,8 +42,8 @@
 	entries.Wait()
 	known := since.Add(time.Second)
 	for name, c := range map[string]struct{ got, allowed int }{
-		"engine":  {engine.MostArrivals(known, window), 11},
-		"service": {service.MostArrivals(known, window), 8},
+		"engine":  {engine.MaxArrivals(known, window), 11},
+		"service": {service.MaxArrivals(known, window), 8},
 	} {
 		t.Logf("the %s got %d in %v, allowed %d", name, c.got, window, c.allowed)
 		is.New(t).True(c.got <= c.allowed)
--- a/call/at_most_once_test.go
+++ b/call/at_most_once_test.go
@@ -158,10 +158,10 @@
 // answer must be the caller's own and complete.
 func TestAtMostOnce(t *testing.T) {
 	const simulations, keys = 400, 12
-	for _, promise := range []proof.Promise{proof.AtMostOnce, proof.NotRun, proof.OwnAnswer} {
+	for _, promise := range []proof.Promise{proof.AtMostOnce, proof.NotRun, proof.ResponseIntegrity} {
 		proof.Cell{
-			Promise: promise, Step: "every step of a claimed call", Together: true,
-			Faults: []proof.Fault{proof.Kill, proof.Restart, proof.CutOneWay, proof.CutBothWays, proof.Freeze, proof.Late, proof.Doubled, proof.Crossed, proof.Lost},
+			Promise: promise, Step: "every step of a claimed call", Combined: true,
+			Faults: []proof.Fault{proof.Kill, proof.Restart, proof.OneWayPartition, proof.FullPartition, proof.Freeze, proof.DelayedMessages, proof.DuplicatedMessages, proof.ReorderedMessages, proof.LostMessages},
 			Guard:  "each alone: grant before dispatch, match of request and incarnation, revocation after a cut, unknown when the agent cannot tell, end check",
 		}.Log(t)
 	}
--- a/call/repeatable_test.go
+++ b/call/repeatable_test.go
@@ -100,8 +100,8 @@
 func TestOwnWholeStream(t *testing.T) {
 	is := is.New(t)
 	proof.Cell{
-		Promise: proof.OwnAnswer, Step: "every part of a streamed answer", Together: true,
-		Faults: []proof.Fault{proof.CutBothWays, proof.Late, proof.Doubled, proof.Crossed, proof.Lost},
+		Promise: proof.ResponseIntegrity, Step: "every part of a streamed answer", Combined: true,
+		Faults: []proof.Fault{proof.FullPartition, proof.DelayedMessages, proof.DuplicatedMessages, proof.ReorderedMessages, proof.LostMessages},
 		Guard:  "each alone: offsets in assembly.take, end check, stream id check in assembly.open, resume instead of a new attempt",
 	}.Log(t)
 	complete, resumed := 0, 0
--- a/cmd/standin-caller/main.go
+++ b/cmd/standin-caller/main.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return second, err
 	}
-	if first.Whole && string(first.Body) != string(second.Body) {
+	if first.Complete && string(first.Body) != string(second.Body) {
 		return second, fmt.Errorf("the repeat was answered %q, the first call %q", second.Body, first.Body)
 	}
 	return first, nil
@@ -108,7 +108,7 @@
 	switch {
 	case err != nil:
 		t.failed = append(t.failed, err.Error())
-	case !result.Whole:
+	case !result.Complete:
 		t.failed = append(t.failed, fmt.Sprintf("status %d, outcome %s: %.200s", result.Status, result.Outcome, result.Body))
 	default:
 		t.whole++
--- a/contract/claim_test.go
+++ b/contract/claim_test.go
@@ -27,7 +27,7 @@
 // settlements. A second claim id is granted a key only after the first was settled as
 // not run, a used id is never granted again, and a final outcome does not change.
 func TestClaimKeyHasAtMostOneHolder(t *testing.T) {
-	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Restart, proof.Late, proof.Doubled, proof.Crossed, proof.ManyChanges}, Step: "claims and settlements of one key", Together: true,
+	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Restart, proof.DelayedMessages, proof.DuplicatedMessages, proof.ReorderedMessages, proof.RestartAfterManyChanges}, Step: "claims and settlements of one key", Combined: true,
 		Guard: "each alone: one holder of a key, used claim ids, both of them in the snapshot"}.Log(t)
 	for seed := range uint64(50) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -78,9 +78,9 @@
 // TestClaimRequiresCurrentAgent checks that no claim is granted for an endpoint that
 // would not admit the call, and that a key already used for another request is refused.
 func TestClaimRequiresCurrentAgent(t *testing.T) {
-	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Late, proof.Restart}, Step: "claim that names a superseded incarnation of its agent", Together: true,
+	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.DelayedMessages, proof.Restart}, Step: "claim that names a superseded incarnation of its agent", Combined: true,
 		Guard: "the check of the incarnation in newClaim"}.Log(t)
-	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Late}, Step: "claim by an entry that does not yet know that the endpoint is leaving",
+	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.DelayedMessages}, Step: "claim by an entry that does not yet know that the endpoint is leaving",
 		Guard: "the check of the endpoint's state in newClaim"}.Log(t)
 	is := is.New(t)
 	h := newHarness(1)
--- a/contract/endpoint_test.go
+++ b/contract/endpoint_test.go
@@ -17,7 +17,7 @@
 // stopped accepts no work until they set it serving, whatever agents announce, replicas
 // restore or other operators request meanwhile.
 func TestLeavingEndpointStaysLeaving(t *testing.T) {
-	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Kill, proof.Restart, proof.Late, proof.Crossed, proof.RacingOps, proof.ResentIntents}, Step: "announcements, expiries, restored replicas and other operators after the leave", Together: true,
+	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Kill, proof.Restart, proof.DelayedMessages, proof.ReorderedMessages, proof.ConcurrentOperators, proof.ResentIntents}, Step: "announcements, expiries, restored replicas and other operators after the leave", Combined: true,
 		Guard: "each alone: the wanted state takes precedence over the announced one, is in the snapshot, base revisions are compared, a repeated confirm keeps its answer"}.Log(t)
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -77,7 +77,7 @@
 // before the removal of a workspace cannot recreate it, even when the tombstone has been
 // evicted.
 func TestStaleIntentCannotRecreateRemovedObject(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.RacingOps, proof.Restart}, Step: "intent based on a revision before a removal", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.ConcurrentOperators, proof.Restart}, Step: "intent based on a revision before a removal", Combined: true,
 		Guard: "tombstones of removed objects, and tombstones in the snapshot, each alone"}.Log(t)
 	is := is.New(t)
 	h := newHarness(1)
@@ -101,7 +101,7 @@
 // agents cannot hold one endpoint, and that an announcement without changes creates no
 // revision.
 func TestSupersededAgentsAreFenced(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Late, proof.Restart}, Step: "messages of a superseded incarnation of an agent", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.DelayedMessages, proof.Restart}, Step: "messages of a superseded incarnation of an agent", Combined: true,
 		Guard: "the list of superseded incarnations"}.Log(t)
 	is := is.New(t)
 	h := newHarness(1)
@@ -140,7 +140,7 @@
 // TestFirstMapDecisionIsFinal checks that the first decision of a switch is final and that
 // a coordinator with an old fencing token cannot decide.
 func TestFirstMapDecisionIsFinal(t *testing.T) {
-	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Restart, proof.Late, proof.Doubled}, Step: "begin and decision of a switch in the log", Together: true,
+	proof.Cell{Promise: proof.OneMapPerStep, Faults: []proof.Fault{proof.Restart, proof.DelayedMessages, proof.DuplicatedMessages}, Step: "begin and decision of a switch in the log", Combined: true,
 		Guard: "each alone: the fencing token, the first decision is final, maps in the snapshot"}.Log(t)
 	is := is.New(t)
 	h := newHarness(1)
--- a/contract/harness_test.go
+++ b/contract/harness_test.go
@@ -223,15 +223,15 @@
 // read; that a command increases the revision by at most one; and that a confirmed intent
 // keeps the revision that it created.
 func TestReplicasAgree(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.ManyChanges}, Step: "replica that starts from a snapshot after hundreds of commands", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Restart, proof.RestartAfterManyChanges}, Step: "replica that starts from a snapshot after hundreds of commands", Combined: true,
 		Guard: "wanted states of endpoints in the snapshot"}.Log(t)
-	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Restart, proof.ManyChanges}, Step: "record of an expert map in a replica that starts from a snapshot", Together: true,
+	proof.Cell{Promise: proof.OneMapPerStep, Faults: []proof.Fault{proof.Restart, proof.RestartAfterManyChanges}, Step: "record of an expert map in a replica that starts from a snapshot", Combined: true,
 		Guard: "maps and their fencing tokens in the snapshot, each alone"}.Log(t)
-	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Restart, proof.ManyChanges}, Step: "claims in a replica that starts from a snapshot", Together: true,
+	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Restart, proof.RestartAfterManyChanges}, Step: "claims in a replica that starts from a snapshot", Combined: true,
 		Guard: "claims in the snapshot"}.Log(t)
-	proof.Cell{Promise: proof.OwnAnswer, Faults: []proof.Fault{proof.Restart, proof.ManyChanges}, Step: "recorded answers in a replica that starts from a snapshot", Together: true,
+	proof.Cell{Promise: proof.ResponseIntegrity, Faults: []proof.Fault{proof.Restart, proof.RestartAfterManyChanges}, Step: "recorded answers in a replica that starts from a snapshot", Combined: true,
 		Guard: "answers in the snapshot"}.Log(t)
-	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Restart, proof.ManyChanges}, Step: "leaving endpoints in a replica that starts from a snapshot", Together: true,
+	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Restart, proof.RestartAfterManyChanges}, Step: "leaving endpoints in a replica that starts from a snapshot", Combined: true,
 		Guard: "wanted states of endpoints in the snapshot"}.Log(t)
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
--- a/contract/intent_test.go
+++ b/contract/intent_test.go
@@ -58,7 +58,7 @@
 // revisions, with lost responses, resent requests and replicas restored from snapshots, and
 // checks that the resulting history is linearizable.
 func TestConcurrentIntentsAreLinearizable(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.Lost, proof.RacingOps, proof.ResentIntents}, Step: "plan and confirm under equal revisions", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Restart, proof.LostMessages, proof.ConcurrentOperators, proof.ResentIntents}, Step: "plan and confirm under equal revisions", Combined: true,
 		Guard: "each alone: base revisions compared, a repeated confirm keeps its answer, intents in the snapshot"}.Log(t)
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -150,7 +150,7 @@
 // confirmed, its operator and its change, that resent requests get their first result, and
 // that an id cannot be reused for a different intent.
 func TestConflictNamesConfirmedIntent(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.RacingOps}, Step: "confirm of a plan after a change of what it touches", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Restart, proof.ConcurrentOperators}, Step: "confirm of a plan after a change of what it touches", Combined: true,
 		Guard: "each alone: base revisions, revisions of what a plan touches, intents in the snapshot"}.Log(t)
 	is := is.New(t)
 	h := newHarness(1)
--- a/contract/site_test.go
+++ b/contract/site_test.go
@@ -136,7 +136,7 @@
 // incarnation change nothing. A start with an earlier time, from a clock that was set back,
 // is accepted once the lease of the current incarnation has expired.
 func TestSelfAnnouncedEndpointRestart(t *testing.T) {
-	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Restart, proof.Late, proof.ClockStep}, Step: "announcements of two incarnations of one id", Together: true,
+	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Restart, proof.DelayedMessages, proof.ClockStep}, Step: "announcements of two incarnations of one id", Combined: true,
 		Guard: "acceptNewerStart: an earlier incarnation is refused while a later one renews its lease"}.Log(t)
 	is := is.New(t)
 	s := NewState()
--- a/contract/snapshot_test.go
+++ b/contract/snapshot_test.go
@@ -78,7 +78,7 @@
 // TestDeltaUnavailableBeyondChangeRing checks that there is no delta for a revision that is no
 // longer in the change ring, is in the future, or predates a restart from a snapshot.
 func TestDeltaUnavailableBeyondChangeRing(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.ManyChanges}, Step: "watcher that is further behind than the change ring reaches", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Restart, proof.RestartAfterManyChanges}, Step: "watcher that is further behind than the change ring reaches", Combined: true,
 		Guard: "the size of the change ring"}.Log(t)
 	is := is.New(t)
 	h := newHarness(1)
--- a/control/daemon_test.go
+++ b/control/daemon_test.go
@@ -71,7 +71,7 @@
 // The leader sends orders to load a confirmed model. An order whose response was lost is read
 // back instead of repeated, and the intent is done once the daemons have applied its revision.
 func TestLeaderCarriesOutIntent(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Lost}, Step: "answer to an order of an engine",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.LostMessages}, Step: "answer to an order of an engine",
 		Guard: "reading back after an order was cut short"}.Log(t)
 	is := is.New(t)
 	control := startCluster(t, 1)[0]
@@ -234,7 +234,7 @@
 // All three replicas answer alike, followers forward calls to the leader, a subscribed daemon
 // receives each revision, and a graceful shutdown of the leader loses nothing.
 func TestClusterDecidesAndPublishes(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.ResentIntents}, Step: "planned stop of the leader, then a confirm sent again", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Restart, proof.ResentIntents}, Step: "planned stop of the leader, then a confirm sent again", Combined: true,
 		Guard: "a confirm sent again keeps its answer"}.Log(t)
 	is := is.New(t)
 	replicas := startCluster(t, 3)
--- a/control/expertmap/driver_test.go
+++ b/control/expertmap/driver_test.go
@@ -199,7 +199,7 @@
 // noticing and the processes of ranks restart. Every step runs with the same map on all ranks,
 // and the group continues once the faults end.
 func TestEveryStepRunsWithOneMap(t *testing.T) {
-	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Restart, proof.Late, proof.Lost}, Step: "every step of a switch, driven over the replicated state", Together: true,
+	proof.Cell{Promise: proof.OneMapPerStep, Faults: []proof.Fault{proof.Restart, proof.DelayedMessages, proof.LostMessages}, Step: "every step of a switch, driven over the replicated state", Combined: true,
 		Guard: "each alone: the promise, the fencing token of the record, adoption, the step of the base map"}.Log(t)
 	for _, branch := range []int{0, 3} {
 		for seed := uint64(1); seed <= 8; seed++ {
--- a/control/expertmap/rescue_test.go
+++ b/control/expertmap/rescue_test.go
@@ -70,7 +70,7 @@
 // The host of one rank freezes while its engine holds a step. The leader releases the step
 // after reading the engine's status and then the record.
 func TestLeaderReleasesStepOfUnresponsiveHost(t *testing.T) {
-	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Freeze}, Step: "host frozen while its engine holds a step, driven over the replicated state",
+	proof.Cell{Promise: proof.OneMapPerStep, Faults: []proof.Fault{proof.Freeze}, Step: "host frozen while its engine holds a step, driven over the replicated state",
 		Guard: "Driver.rescue; the record is read after the status"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/control/forward_test.go
+++ b/control/forward_test.go
@@ -30,7 +30,7 @@
 // A call waits for the end of an election, is retried if its outcome is unknown and it carries
 // an ID, and never reports that it was not decided if it may have been.
 func TestCallsRetryAcrossLeaderChange(t *testing.T) {
-	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.Lost}, Step: "decision whose leader is lost under way",
+	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.LostMessages}, Step: "decision whose leader is lost under way",
 		Guard: "an earlier open outcome outweighs a later refusal; calls without an id are tried once; each alone"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/control/leadership_test.go
+++ b/control/leadership_test.go
@@ -97,7 +97,7 @@
 // expire an agent whose announcements waited in the socket buffers, and must expire a failed
 // agent after it has listened for the rest of a lease.
 func TestPausedLeaderExpiresNoLiveAgent(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Freeze}, Step: "leader paused for longer than a lease",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Freeze}, Step: "leader paused for longer than a lease",
 		Guard: "the time of a pause is not counted against leases"}.Log(t)
 	is := is.New(t)
 	const lease = 5 * time.Second
@@ -123,7 +123,7 @@
 
 // The age of a slow quorum read counts from when the read was requested.
 func TestReplicaDoesNotOverstateItsFreshness(t *testing.T) {
-	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Late}, Step: "reading through a quorum that takes long",
+	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.DelayedMessages}, Step: "reading through a quorum that takes long",
 		Guard: "the time of a reading is taken before it is asked for"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/control/reconcile/reconciler_test.go
+++ b/control/reconcile/reconciler_test.go
@@ -43,7 +43,7 @@
 // after a read-back, no old order takes effect after a read-back has counted, and no more
 // endpoints load concurrently than allowed.
 func TestReconcilerReadsBackBeforeRetry(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.Freeze, proof.Late, proof.Lost}, Step: "orders to engines", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Kill, proof.Freeze, proof.DelayedMessages, proof.LostMessages}, Step: "orders to engines", Combined: true,
 		Guard: "each alone: reading back after a cut and at a new leader, a reading counts only after a younger token"}.Log(t)
 	for seed := uint64(1); seed <= 60; seed++ {
 		runTrial(t, seed)
--- a/direct/direct_test.go
+++ b/direct/direct_test.go
@@ -172,7 +172,7 @@
 
 // Guards against delivering the response to another request; the actual response follows it.
 func TestResponseToAnotherRequestIsSkipped(t *testing.T) {
-	proof.Cell{Promise: proof.OwnAnswer, Faults: []proof.Fault{proof.Crossed}, Step: "answer of another request on a kept connection",
+	proof.Cell{Promise: proof.ResponseIntegrity, Faults: []proof.Fault{proof.ReorderedMessages}, Step: "answer of another request on a kept connection",
 		Guard: "the name of the request in the answer"}.Log(t)
 	is := is.New(t)
 	s := newScriptedServer(t, func(c net.Conn, r *bufio.Reader) {
--- a/e2e/cut_test.go
+++ b/e2e/cut_test.go
@@ -49,7 +49,7 @@
 // accept is ever in force, no claim is granted, and an agent that has heard of
 // the next leader refuses orders with the token of the old one.
 func TestCutOffLeaderDecidesNothing(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutBothWays, proof.Late}, Step: "intent, claim and order of a cut-off leader", Together: true, Real: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.FullPartition, proof.DelayedMessages}, Step: "intent, claim and order of a cut-off leader", Combined: true, SeparateProcesses: true,
 		Guard: "the agent's refusal of lower fencing tokens"}.Log(t)
 	is := is.New(t)
 	s := allocate(t, replicas)
@@ -127,9 +127,9 @@
 // replicas in silence, first the entries alone and then all together. The
 // endpoint gets no new work; once nobody's knowledge is fresh, calls are not run.
 func TestCutFromControlClosesGate(t *testing.T) {
-	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.CutBothWays}, Step: "entries, then agents and entries, cut off from control over a leave", Together: true, Real: true,
+	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.FullPartition}, Step: "entries, then agents and entries, cut off from control over a leave", Combined: true, SeparateProcesses: true,
 		Guard: "the gate's refusals for endpoints that do not serve, and on knowledge that is too old, each alone"}.Log(t)
-	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.CutBothWays}, Step: "agents and entries cut off from control", Together: true, Real: true,
+	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.FullPartition}, Step: "agents and entries cut off from control", Combined: true, SeparateProcesses: true,
 		Guard: "the gate's refusal on knowledge that is too old"}.Log(t)
 	is := is.New(t)
 	s := allocate(t, replicas)
@@ -214,8 +214,8 @@
 func TestCutDuringClaimedCalls(t *testing.T) {
 	const calls, rounds = 6, 8
 	const step = 5 * time.Millisecond
-	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.CutBothWays, proof.CutOneWay, proof.Late, proof.Crossed},
-		Step: "0 to 35 ms after the calls are sent", Together: true, Real: true,
+	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.FullPartition, proof.OneWayPartition, proof.DelayedMessages, proof.ReorderedMessages},
+		Step: "0 to 35 ms after the calls are sent", Combined: true, SeparateProcesses: true,
 		Guard: "a key is granted to one claim (package contract)"}.Log(t)
 	s := allocate(t, replicas)
 	var links []*forwarder
--- a/e2e/fault_test.go
+++ b/e2e/fault_test.go
@@ -41,7 +41,7 @@
 
 func stopUnderStreams(t *testing.T, signal syscall.Signal) {
 	const streams, tokens = 200, 150
-	proof.Cell{Promise: proof.PlannedStop, Faults: append([]proof.Fault{proof.Restart}, faultsOf[signal]...), Step: "streams open", Together: true, Real: true,
+	proof.Cell{Promise: proof.GracefulShutdown, Faults: append([]proof.Fault{proof.Restart}, faultsOf[signal]...), Step: "streams open", Combined: true, SeparateProcesses: true,
 		Guard: "the wait of agent and of entry for calls in flight, each alone"}.Log(t)
 	is := is.New(t)
 	s := newSite(t)
@@ -76,7 +76,7 @@
 	wg.Wait()
 	whole := 0
 	for i, result := range results {
-		if result.Whole {
+		if result.Complete {
 			whole++
 		} else {
 			t.Logf("stream %d: status %d, outcome %q, %d bytes", i, result.Status, result.Outcome, len(result.Body))
@@ -88,7 +88,7 @@
 // Accepted intents survive kill -9 of each control replica in turn, and the
 // revision never goes back.
 func TestKilledReplicasKeepConfiguration(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "between intents", Real: true}.Log(t)
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "between intents", SeparateProcesses: true}.Log(t)
 	is := is.New(t)
 	s := newSite(t)
 	var last uint64
@@ -133,10 +133,10 @@
 // repair a second replica is lost: the accepted configuration is still there
 // and new intents are accepted.
 func TestSecondLossAfterRepair(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk, proof.SecondLoss}, Step: "after the repair", Together: true, Real: true}.Log(t)
-	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.LostDisk, proof.SecondLoss}, Step: "call repeated after the repair", Together: true, Real: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.LostDisk, proof.SecondLoss}, Step: "after the repair", Combined: true, SeparateProcesses: true}.Log(t)
+	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.LostDisk, proof.SecondLoss}, Step: "call repeated after the repair", Combined: true, SeparateProcesses: true,
 		Guard: "a key is granted to one claim (package contract)"}.Log(t)
-	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.LostDisk, proof.SecondLoss}, Step: "endpoint set leaving before the loss", Together: true, Real: true,
+	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.LostDisk, proof.SecondLoss}, Step: "endpoint set leaving before the loss", Combined: true, SeparateProcesses: true,
 		Guard: "the wanted state outweighs the announced one (package contract)"}.Log(t)
 	is := is.New(t)
 	s := newSite(t)
@@ -230,7 +230,7 @@
 // An entry freezes at some moment of a call that is not idempotent; the caller
 // repeats it through the other entry; the frozen one wakes up late.
 func TestFrozenEntryRunsOnce(t *testing.T) {
-	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Freeze}, Step: "0 to 8 ms after the call is sent", Real: true,
+	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Freeze}, Step: "0 to 8 ms after the call is sent", SeparateProcesses: true,
 		Guard: "a key is granted to one claim (package contract)"}.Log(t)
 	s := newSite(t)
 	c := s.caller()
@@ -254,7 +254,7 @@
 // An agent is killed while calls that are not idempotent run, and restarted;
 // the callers repeat them through the other entry.
 func TestKilledAgentRunsOnce(t *testing.T) {
-	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "0 to 8 ms after the call is sent", Real: true}.Log(t)
+	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "0 to 8 ms after the call is sent", SeparateProcesses: true}.Log(t)
 	s := newSite(t)
 	c := s.caller()
 	for i := range 8 {
@@ -280,7 +280,7 @@
 // nothing pass.
 func TestLateEntryReachesNoLeavingEndpoint(t *testing.T) {
 	const requests = 60
-	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Freeze}, Step: "entry frozen over the accepted leave", Real: true,
+	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Freeze}, Step: "entry frozen over the accepted leave", SeparateProcesses: true,
 		Guard: "the gate's refusal for leaving endpoints (failed 2 of 3 runs without it)"}.Log(t)
 	is := is.New(t)
 	s := newSite(t)
@@ -311,7 +311,7 @@
 // accepted leave, requests are refused as not run, at once and with a time to
 // come back; when the replicas are back, requests are answered.
 func TestLostQuorumRefusesAtOnce(t *testing.T) {
-	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.Kill}, Step: "two of three control replicas", Together: true, Real: true}.Log(t)
+	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.Kill}, Step: "two of three control replicas", Combined: true, SeparateProcesses: true}.Log(t)
 	s := newSite(t)
 	c := s.caller()
 	s.controls[0].kill()
@@ -336,7 +336,7 @@
 // paused together. They wake up with every lease overdue by their own clock,
 // but the agents were there all the time: no endpoint may leave the table.
 func TestFrozenControlExpiresNoLease(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Freeze}, Step: "all control replicas, longer than a lease", Together: true, Real: true}.Log(t)
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Freeze}, Step: "all control replicas, longer than a lease", Combined: true, SeparateProcesses: true}.Log(t)
 	is := is.New(t)
 	s := newSite(t)
 	for _, p := range s.controls {
--- a/e2e/group_test.go
+++ b/e2e/group_test.go
@@ -305,7 +305,7 @@
 	g.standin.run(t)
 	eventually(t, "the engines step again", func() error {
 		if steps := g.ran(t); len(steps.Records) == 0 {
-			return fmt.Errorf("held %d times", steps.Held)
+			return fmt.Errorf("held %d times", steps.Blocked)
 		}
 		return nil
 	})
@@ -324,18 +324,18 @@
 // that were granted.
 func TestOneMapInEveryStep(t *testing.T) {
 	for _, cell := range []proof.Cell{
-		{Faults: []proof.Fault{proof.StalledRank, proof.Kill}, Step: "switch of maps prepared, leader killed", Together: true,
+		{Faults: []proof.Fault{proof.StalledRank, proof.Kill}, Step: "switch of maps prepared, leader killed", Combined: true,
 			Guard: "each granted step counted as the rank's position"},
-		{Faults: []proof.Fault{proof.Freeze, proof.Kill}, Step: "switch of maps promised, leader cut off and killed", Together: true,
+		{Faults: []proof.Fault{proof.Freeze, proof.Kill}, Step: "switch of maps promised, leader cut off and killed", Combined: true,
 			Guard: "no grant from the promised step on while undecided"},
-		{Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "switch of maps prepared, all agents killed", Together: true,
+		{Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "switch of maps prepared, all agents killed", Combined: true,
 			Guard: "the granted steps that an engine reports to a new process of its agent"},
 		{Faults: []proof.Fault{proof.Freeze}, Step: "switch of maps prepared, an agent frozen before it promises",
 			Guard: "the decision waits for the promise of every rank"},
 		{Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "all engines killed",
 			Guard: "a group begins beyond all granted steps; a new machine for a new run of an engine"},
 	} {
-		cell.Promise, cell.Real = proof.OneMap, true
+		cell.Promise, cell.SeparateProcesses = proof.OneMapPerStep, true
 		cell.Log(t)
 	}
 	g := newGroupSite(t)
--- a/e2e/pair_test.go
+++ b/e2e/pair_test.go
@@ -53,7 +53,7 @@
 // the next leader takes over.
 func TestEntryAndLeaderKilledTogether(t *testing.T) {
 	const rounds, calls = 3, 6
-	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "entry and leader, 0 to 16 ms after the calls are sent", Together: true, Real: true,
+	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "entry and leader, 0 to 16 ms after the calls are sent", Combined: true, SeparateProcesses: true,
 		Guard: "a key is granted to one claim (package contract)"}.Log(t)
 	s := allocate(t, replicas)
 	s.serviceTime = 20 * time.Millisecond
@@ -81,7 +81,7 @@
 // before in its sockets.
 func TestFrozenAgentAndKilledLeader(t *testing.T) {
 	const rounds, calls = 2, 6
-	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Kill, proof.Freeze}, Step: "agent and leader, 0 to 8 ms after the calls are sent", Together: true, Real: true,
+	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Kill, proof.Freeze}, Step: "agent and leader, 0 to 8 ms after the calls are sent", Combined: true, SeparateProcesses: true,
 		Guard: "a key is granted to one claim (package contract)"}.Log(t)
 	s := allocate(t, replicas)
 	s.serviceTime = 20 * time.Millisecond
@@ -116,7 +116,7 @@
 // the other is told, and what won is in force at the replica that comes back.
 func TestLostDiskAndRacingOperators(t *testing.T) {
 	t.Parallel() // it mostly waits
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk, proof.RacingOps}, Step: "two confirmations while a disk is lost", Together: true, Real: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.LostDisk, proof.ConcurrentOperators}, Step: "two confirmations while a disk is lost", Combined: true, SeparateProcesses: true,
 		Guard: "a plan is refused if what it touches has changed since"}.Log(t)
 	is := is.New(t)
 	s := newSite(t)
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -21,14 +21,14 @@
 	for i := range 4 {
 		result, err := c.Chat(context.Background(), i, fmt.Sprintf("draft %d", i), 8)
 		is.NoErr(err)
-		is.True(result.Whole)
+		is.True(result.Complete)
 		is.Equal(result.Outcome, "answered")
 	}
 	for i := range 4 {
 		body, key := fmt.Sprintf("swap-%d.", i), caller.NewKey()
 		first, err := c.Call(context.Background(), i, http.MethodPost, swapsPath, []byte(body), key)
 		is.NoErr(err)
-		is.True(first.Whole)
+		is.True(first.Complete)
 		second, err := c.Call(context.Background(), i+1, http.MethodPost, swapsPath, []byte(body), key)
 		is.NoErr(err)
 		is.Equal(string(second.Body), string(first.Body)) // the repeat gets the recorded answer
--- a/e2e/pause_test.go
+++ b/e2e/pause_test.go
@@ -21,7 +21,7 @@
 // The agents were there all the time: none of their endpoints may leave.
 func TestPausedSingleReplicaExpiresNoLease(t *testing.T) {
 	t.Parallel() // it mostly waits
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Freeze}, Step: "the only control replica, longer than a lease", Real: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Freeze}, Step: "the only control replica, longer than a lease", SeparateProcesses: true,
 		Guard: "the time of a pause is not counted against leases"}.Log(t)
 	is := is.New(t)
 	s := allocate(t, 1)
@@ -42,7 +42,7 @@
 // those wait that watch them. Nothing has gone: no endpoint leaves the table.
 func TestPausedLeaderAndEndpointsStayInTable(t *testing.T) {
 	t.Parallel() // it mostly waits
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Freeze}, Step: "the leader and one host's endpoints, longer than a lease", Together: true, Real: true}.Log(t)
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Freeze}, Step: "the leader and one host's endpoints, longer than a lease", Combined: true, SeparateProcesses: true}.Log(t)
 	is := is.New(t)
 	s := newSite(t)
 	before := s.configuration(t).GetRevision()
--- a/e2e/site_test.go
+++ b/e2e/site_test.go
@@ -223,11 +223,11 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			defer cancel()
 			result, err := c.Chat(ctx, i, "hello", 2)
-			if err != nil || !result.Whole {
+			if err != nil || !result.Complete {
 				return fmt.Errorf("chat: %v, status %d: %s", err, result.Status, result.Body)
 			}
 			result, err = c.Call(ctx, i, http.MethodGet, swapsPath, nil, "")
-			if err != nil || !result.Whole {
+			if err != nil || !result.Complete {
 				return fmt.Errorf("list: %v, status %d: %s", err, result.Status, result.Body)
 			}
 			return nil
--- a/e2e/soak_ledger_test.go
+++ b/e2e/soak_ledger_test.go
@@ -85,14 +85,14 @@
 
 // wrong says what is wrong with the answer to a chat.
 func (c *seenChat) wrong() string {
-	if c.result.Whole && !strings.Contains(string(c.result.Body), c.prompt) {
+	if c.result.Complete && !strings.Contains(string(c.result.Body), c.prompt) {
 		return fmt.Sprintf("%q got the answer of another: %.300s", c.prompt, c.result.Body)
 	}
 	return ""
 }
 
 // cut reports whether an answer had begun and did not come to its end.
-func (c *seenChat) cut() bool { return c.result.Status == 200 && !c.result.Whole }
+func (c *seenChat) cut() bool { return c.result.Status == 200 && !c.result.Complete }
 
 // settling is how long after a fault its consequences are not laid at a planned stop's door:
 // a quorum, leases and connections need that long.
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -129,7 +129,7 @@
 	}
 	whole := 0
 	for i := range s.chats {
-		if s.chats[i].result.Whole {
+		if s.chats[i].result.Complete {
 			whole++
 		}
 	}
@@ -345,7 +345,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		result, err := c.Call(ctx, rng.IntN(hosts), http.MethodPost, swapsPath, []byte(body), key)
 		cancel()
-		seen.answered = result.Whole && strings.Contains(string(result.Body), body)
+		seen.answered = result.Complete && strings.Contains(string(result.Body), body)
 		seen.refused = seen.refused && err == nil && result.Outcome == outcomeNotRun
 		pauseAfter(err, result.Status)
 		if seen.answered || err == nil && result.Outcome == outcomeNotRun && seen.refused {
@@ -416,7 +416,7 @@
 	is := is.New(t)
 	begun := time.Now()
 	end := begun.Add(time.Second)
-	whole := caller.Result{Status: 200, Whole: true, Body: []byte("data: own")}
+	whole := caller.Result{Status: 200, Complete: true, Body: []byte("data: own")}
 	for name, c := range map[string]struct {
 		ledger *ledger
 		runs   map[string]int
--- a/endpoint/table_test.go
+++ b/endpoint/table_test.go
@@ -12,7 +12,7 @@
 // endpoint: it must not be listed as serving, and a delayed or duplicated older
 // record must not restore it.
 func TestLateMessageBringsNothingBack(t *testing.T) {
-	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Late, proof.Doubled}, Step: "older record of an endpoint at an entry",
+	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.DelayedMessages, proof.DuplicatedMessages}, Step: "older record of an endpoint at an entry",
 		Guard: "the comparison of revisions, and the state in the lists, each alone"}.Log(t)
 	is := is.New(t)
 	key := Key{Pool: "p", Model: "m"}
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -185,17 +185,17 @@
 	want := send(t.Context(), f, "POST", "/v1/chat/completions", chat(12, true))
 	is.NoErr(want.err)
 	is.Equal(want.outcome(), "answered")
-	f.Engine.SetFaults(standin.Faults{CutAfter: len(want.body) * 2 / 3})
+	f.Engine.SetFaults(standin.Faults{AbortAfterBytes: len(want.body) * 2 / 3})
 	got := send(t.Context(), f, "POST", "/v1/chat/completions", chat(12, true))
 	is.NoErr(got.err)
 	is.Equal(len(got.body), len(want.body))
 	is.True(strings.HasSuffix(got.body, "data: [DONE]\n\n"))
 	is.Equal(got.outcome(), "answered")
-	f.Engine.SetFaults(standin.Faults{CutAfter: 200})
+	f.Engine.SetFaults(standin.Faults{AbortAfterBytes: 200})
 	got = send(t.Context(), f, "POST", "/v1/chat/completions", chat(200, true))
 	is.True(got.err != nil) // the connection is aborted
 	is.True(!strings.Contains(got.body, "[DONE]"))
-	f.Engine.SetFaults(standin.Faults{CutAfter: 50})
+	f.Engine.SetFaults(standin.Faults{AbortAfterBytes: 50})
 	got = send(t.Context(), f, "POST", "/v1/chat/completions", chat(12, false))
 	is.NoErr(got.err)
 	is.Equal(got.status, 502)
@@ -226,7 +226,7 @@
 func TestPlannedStop(t *testing.T) {
 	is := is.New(t)
 	proof.Cell{
-		Promise: proof.PlannedStop, Faults: []proof.Fault{proof.Restart}, Step: "entry with 300 streams open",
+		Promise: proof.GracefulShutdown, Faults: []proof.Fault{proof.Restart}, Step: "entry with 300 streams open",
 		Guard: "http.Server.Shutdown in entry.Daemon.stop",
 	}.Log(t)
 	const streams, tokens = 300, 40
--- a/entry/flow_test.go
+++ b/entry/flow_test.go
@@ -181,7 +181,7 @@
 // is resumed at its offset, and the caller gets the complete answer.
 func TestStalledStream(t *testing.T) {
 	proof.Cell{
-		Promise: proof.OwnAnswer, Faults: []proof.Fault{proof.Freeze, proof.StalledRank}, Step: "agent frozen, or its engine at a standstill, in the middle of a stream",
+		Promise: proof.ResponseIntegrity, Faults: []proof.Fault{proof.Freeze, proof.StalledRank}, Step: "agent frozen, or its engine at a standstill, in the middle of a stream",
 		Guard: "the silence timer of entry.attempt, and the offset of the resumed dispatch",
 	}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
--- a/entry/leaving_test.go
+++ b/entry/leaving_test.go
@@ -21,7 +21,7 @@
 	time.Sleep(500 * time.Millisecond) // all entries have received such an answer
 	announcedAt := time.Now()
 	time.Sleep(2 * time.Second)
-	return f.services[service].MostArrivals(announcedAt, time.Minute)
+	return f.services[service].MaxArrivals(announcedAt, time.Minute)
 }
 
 // Guards against first attempts at an endpoint that has announced its shutdown in its answers, when
--- a/entry/pushback_test.go
+++ b/entry/pushback_test.go
@@ -46,7 +46,7 @@
 	time.Sleep(pauseGrace) // all entries have been rejected
 	knownAt := time.Now()
 	time.Sleep(requestedPause - 2*pauseGrace)
-	return s.MostArrivals(knownAt, requestedPause)
+	return s.MaxArrivals(knownAt, requestedPause)
 }
 
 // Guards against first attempts at an endpoint that has rejected a request and requested a pause.
@@ -163,7 +163,7 @@
 		previous = retryAfter
 	}
 	for _, s := range f.services {
-		is.True(s.MostArrivals(startedAt.Add(pauseGrace), requestedPause) <= maxRequestsInPause)
+		is.True(s.MaxArrivals(startedAt.Add(pauseGrace), requestedPause) <= maxRequestsInPause)
 		s.SetFaults(standin.Faults{})
 	}
 	time.Sleep(requestedPause - 400*time.Millisecond - time.Since(startedAt))
--- a/entry/ratelimit_lifecycle_test.go
+++ b/entry/ratelimit_lifecycle_test.go
@@ -19,7 +19,7 @@
 func (f *routedFleet) awaitArrivals(service, more int) {
 	f.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if f.services[service].MostArrivals(time.Now().Add(-time.Second), time.Second) > more {
+		if f.services[service].MaxArrivals(time.Now().Add(-time.Second), time.Second) > more {
 			return
 		}
 	}
@@ -43,7 +43,7 @@
 	f.stopHosts(2)
 	f.startEntry(20) // it learns the limit from the remaining hosts
 	time.Sleep(window)
-	got := limited.MostArrivals(knownAt, window)
+	got := limited.MaxArrivals(knownAt, window)
 	t.Logf("%d requests in %v under a limit of 1 per second; two of four hosts were stopped and one entry was started meanwhile", got, window)
 	is.True(got <= allowed(1, window))
 	f.restartHosts(2)
--- a/entry/ratelimits_test.go
+++ b/entry/ratelimits_test.go
@@ -164,9 +164,9 @@
 	time.Sleep(1500 * time.Millisecond) // all entries know the limit
 	knownAt := time.Now()
 	time.Sleep(window + time.Second)
-	got := f.services[0].MostArrivals(knownAt, window)
+	got := f.services[0].MaxArrivals(knownAt, window)
 	t.Logf("the limited endpoint got %d requests in %v, the others %d and %d; %d answered, %d refused, %d others", got, window,
-		f.services[1].MostArrivals(knownAt, window), f.services[2].MostArrivals(knownAt, window), f.served.Load(), f.refused.Load(), f.other.Load())
+		f.services[1].MaxArrivals(knownAt, window), f.services[2].MaxArrivals(knownAt, window), f.served.Load(), f.refused.Load(), f.other.Load())
 	is.True(got <= allowed(1, window))
 	is.True(got >= 1)                                   // the limit is used
 	is.Equal(f.refused.Load()+f.other.Load(), int64(0)) // the rest goes elsewhere
--- a/entry/suspects_test.go
+++ b/entry/suspects_test.go
@@ -34,7 +34,7 @@
 		f.sendGet(f.entries[2].URL)
 	}
 	t.Logf("40 requests of the third entry in %v: %d failed", time.Since(since), f.other.Load())
-	is.Equal(f.services[0].MostArrivals(since, time.Second), 0)
+	is.Equal(f.services[0].MaxArrivals(since, time.Second), 0)
 	f.services[0].SetFaults(standin.Faults{})
 	f.awaitArrivals(0, 5)
 }
--- a/feed/connect_test.go
+++ b/feed/connect_test.go
@@ -16,7 +16,7 @@
 // nothing, as a frozen one does, and to one that refuses connections. Without connectTimeout
 // the client would wait for DefaultFirstPongTimeout.
 func TestWatchFailsFastOnUnresponsiveSource(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Freeze, proof.Kill}, Step: "switching to a source that is unresponsive as well", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Freeze, proof.Kill}, Step: "switching to a source that is unresponsive as well", Combined: true,
 		Guard: "waitReady: a source has half a second to accept a connection"}.Log(t)
 	is := is.New(t)
 	frozen, err := net.Listen("tcp", "127.0.0.1:0")
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -129,7 +129,7 @@
 // after more changes than the journals retain. When the relay stops, it switches to
 // the control replica.
 func TestRelayForwardsChanges(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart}, Step: "planned stop of the relay that a daemon watches",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Restart}, Step: "planned stop of the relay that a daemon watches",
 		Guard: "the relay ends the watches of its daemons"}.Log(t)
 	is := is.New(t)
 	source := newFakeSource(1)
@@ -202,7 +202,7 @@
 // A client leaves a source that accepts its watch but sends nothing. It does not
 // apply the lower revision of a source that it watches later.
 func TestClientLeavesFrozenSource(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Freeze}, Step: "source that accepts a watch but sends nothing",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Freeze}, Step: "source that accepts a watch but sends nothing",
 		Guard: "the pong timeout and the limit of staleness together"}.Log(t)
 	is := is.New(t)
 	frozen := startServer(t, frozenFeed{})
@@ -242,7 +242,7 @@
 // A client leaves a source that is partitioned from its quorum as soon as the pongs
 // show that, and not only after FirstPongTimeout.
 func TestClientLeavesPartitionedSource(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutBothWays}, Step: "switching to a source that is cut off from the quorum",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.FullPartition}, Step: "switching to a source that is cut off from the quorum",
 		Guard: "the deadline of the source is updated at each pong"}.Log(t)
 	is := is.New(t)
 	partitioned := startServer(t, NewServer(&partitionedSource{fakeSource: newFakeSource(1), confirmed: time.Now()}))
--- a/feed/follower_test.go
+++ b/feed/follower_test.go
@@ -84,9 +84,9 @@
 // partitioned, and restarts, a daemon never goes back to a lower revision and never
 // overstates its freshness.
 func TestFollowerNeverRegressesOrOverstatesFreshness(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.CutOneWay, proof.CutBothWays, proof.Late, proof.Doubled, proof.Crossed, proof.Lost}, Step: "the configuration that a daemon applies", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Restart, proof.OneWayPartition, proof.FullPartition, proof.DelayedMessages, proof.DuplicatedMessages, proof.ReorderedMessages, proof.LostMessages}, Step: "the configuration that a daemon applies", Combined: true,
 		Guard: "each alone: older snapshots and deltas are rejected, nothing is applied before it is confirmed after the start"}.Log(t)
-	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Restart, proof.CutOneWay, proof.CutBothWays, proof.Late, proof.Doubled, proof.Crossed, proof.Lost}, Step: "the freshness that a daemon states for its configuration", Together: true,
+	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.Restart, proof.OneWayPartition, proof.FullPartition, proof.DelayedMessages, proof.DuplicatedMessages, proof.ReorderedMessages, proof.LostMessages}, Step: "the freshness that a daemon states for its configuration", Combined: true,
 		Guard: "each alone: freshness is measured from the ping, unmatched pongs are rejected, a confirmation of a revision that is not applied does not count"}.Log(t)
 	for seed := uint64(1); seed <= 200; seed++ {
 		if !simulateFollower(t, seed) {
@@ -170,7 +170,7 @@
 // A source that is frozen or has lost the quorum is left, a healthy one is kept,
 // and one whose first pong follows a large snapshot is given more time.
 func TestFollowerLeavesUnresponsiveAndStaleSources(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Freeze, proof.CutBothWays}, Step: "source that is frozen, or cut off from the quorum",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Freeze, proof.FullPartition}, Step: "source that is frozen, or cut off from the quorum",
 		Guard: "the pong timeout and the limit of staleness, each alone"}.Log(t)
 	is := is.New(t)
 	start := time.Now()
@@ -230,7 +230,7 @@
 // than the limit, whatever it answers in the meantime: a daemon that stays longer
 // uses a configuration that the others may have replaced.
 func TestFollowerMeasuresStalenessFromLastConfirmation(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutBothWays}, Step: "how long a daemon stays with a source cut off from the quorum",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.FullPartition}, Step: "how long a daemon stays with a source cut off from the quorum",
 		Guard: "the limit is measured from the confirmation"}.Log(t)
 	const tick = 50 * time.Millisecond
 	for seed := uint64(1); seed <= 100; seed++ {
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -46,8 +46,8 @@
 // stale as well, implausible, or behind the agent's own.
 func TestAdmissionNeedsFreshKnowledge(t *testing.T) {
 	proof.Cell{
-		Promise: proof.Leaving, Faults: []proof.Fault{proof.CutBothWays, proof.Late}, Step: "admission while the agent, and then the entry too, is cut off",
-		Guard: "Gate.ownFresh and Gate.entryFresh, each check alone", Together: true,
+		Promise: proof.Leaving, Faults: []proof.Fault{proof.FullPartition, proof.DelayedMessages}, Step: "admission while the agent, and then the entry too, is cut off",
+		Guard: "Gate.ownFresh and Gate.entryFresh, each check alone", Combined: true,
 	}.Log(t)
 	is := is.New(t)
 	g := newServingGate()
@@ -78,11 +78,11 @@
 // against returning to an older configuration or confirmation.
 func TestLeavingEndpointIsRefused(t *testing.T) {
 	proof.Cell{
-		Promise: proof.Leaving, Faults: []proof.Fault{proof.Late, proof.Crossed}, Step: "admission by an entry that has not heard of the leave",
+		Promise: proof.Leaving, Faults: []proof.Fault{proof.DelayedMessages, proof.ReorderedMessages}, Step: "admission by an entry that has not heard of the leave",
 		Guard: "gated.leaving",
 	}.Log(t)
 	proof.Cell{
-		Promise: proof.Configuration, Faults: []proof.Fault{proof.Late, proof.Crossed}, Step: "an older configuration reaches the gate",
+		Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.DelayedMessages, proof.ReorderedMessages}, Step: "an older configuration reaches the gate",
 		Guard: "the comparison of revisions in Gate.Configure",
 	}.Log(t)
 	is := is.New(t)
--- a/gate/history_test.go
+++ b/gate/history_test.go
@@ -147,12 +147,12 @@
 // duplicated and reordered messages.
 func TestClaimStartsAtMostOnce(t *testing.T) {
 	proof.Cell{
-		Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Late, proof.Doubled, proof.Crossed, proof.Restart}, Step: "dispatch, end and revocation of a claim at the gate, in any order",
-		Guard: "claims.repeat, checkTicket, floor, horizon, closing on refusal and on revocation, each alone", Together: true,
+		Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.DelayedMessages, proof.DuplicatedMessages, proof.ReorderedMessages, proof.Restart}, Step: "dispatch, end and revocation of a claim at the gate, in any order",
+		Guard: "claims.repeat, checkTicket, floor, horizon, closing on refusal and on revocation, each alone", Combined: true,
 	}.Log(t)
 	proof.Cell{
-		Promise: proof.NotRun, Faults: []proof.Fault{proof.Late, proof.Doubled, proof.Crossed, proof.Restart}, Step: "dispatch, end and revocation of a claim at the gate, in any order",
-		Guard: "claims.repeat, checkTicket, floor, horizon, closing on refusal and on revocation, each alone", Together: true,
+		Promise: proof.NotRun, Faults: []proof.Fault{proof.DelayedMessages, proof.DuplicatedMessages, proof.ReorderedMessages, proof.Restart}, Step: "dispatch, end and revocation of a claim at the gate, in any order",
+		Guard: "claims.repeat, checkTicket, floor, horizon, closing on refusal and on revocation, each alone", Combined: true,
 	}.Log(t)
 	counts := make(map[string]int)
 	for seed := range uint64(histories) {
--- a/group/mapswitch/explore_test.go
+++ b/group/mapswitch/explore_test.go
@@ -303,7 +303,7 @@
 // doubled, lost and crossed, processes and ranks restarted, the coordinator
 // replaced while the old one goes on.
 func TestEveryInterleaving(t *testing.T) {
-	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Kill, proof.Restart, proof.Freeze, proof.StalledRank, proof.Late, proof.Doubled, proof.Crossed, proof.Lost, proof.ClockStep}, Step: "every step of a switch, in every order", Together: true,
+	proof.Cell{Promise: proof.OneMapPerStep, Faults: []proof.Fault{proof.Kill, proof.Restart, proof.Freeze, proof.StalledRank, proof.DelayedMessages, proof.DuplicatedMessages, proof.ReorderedMessages, proof.LostMessages, proof.ClockStep}, Step: "every step of a switch, in every order", Combined: true,
 		Guard: "each alone: the promise, a pending switch found after a restart, both uses of the fencing token, incarnation of a read, revisions only grow"}.Log(t)
 	for _, b := range []bounds{
 		{ranks: 2, coordinators: 1, crashes: 1, steps: 3, switches: 1, raises: -1, states: 10_000},
--- a/group/mapswitch/restart_test.go
+++ b/group/mapswitch/restart_test.go
@@ -11,7 +11,7 @@
 // TestRestartedRankRefusesOldToken lets a request of a replaced coordinator
 // reach a rank that restarted after it had promised a lower step to the new one.
 func TestRestartedRankRefusesOldToken(t *testing.T) {
-	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Restart, proof.Late}, Step: "promise asked for by a replaced coordinator", Together: true,
+	proof.Cell{Promise: proof.OneMapPerStep, Faults: []proof.Fault{proof.Restart, proof.DelayedMessages}, Step: "promise asked for by a replaced coordinator", Combined: true,
 		Guard: "both uses of the fencing token at a rank, each alone"}.Log(t)
 	is := is.New(t)
 	w := newWorld(2)
--- a/group/mapswitch/sim_test.go
+++ b/group/mapswitch/sim_test.go
@@ -170,7 +170,7 @@
 // TestLargeGroupsUnderFaults runs groups of 16 and 64 ranks by seed through
 // restarts, stalls, cuts and replaced coordinators, then heals the network.
 func TestLargeGroupsUnderFaults(t *testing.T) {
-	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Kill, proof.Restart, proof.StalledRank, proof.CutOneWay, proof.CutBothWays, proof.Late, proof.Doubled, proof.Crossed, proof.Lost}, Step: "every step of switches of 4, 16 and 64 ranks", Together: true,
+	proof.Cell{Promise: proof.OneMapPerStep, Faults: []proof.Fault{proof.Kill, proof.Restart, proof.StalledRank, proof.OneWayPartition, proof.FullPartition, proof.DelayedMessages, proof.DuplicatedMessages, proof.ReorderedMessages, proof.LostMessages}, Step: "every step of switches of 4, 16 and 64 ranks", Combined: true,
 		Guard: "each alone: the promise, the check that a map is loaded, revisions only grow"}.Log(t)
 	for _, size := range []struct{ ranks, seeds int }{{4, 60}, {16, 30}, {64, 8}} {
 		t.Run(fmt.Sprint(size.ranks, "ranks"), func(t *testing.T) {
--- a/group/mapswitch/sole_test.go
+++ b/group/mapswitch/sole_test.go
@@ -29,7 +29,7 @@
 // TestOnlyTheFirstCoordinatorIsSole tells ranks that nobody else has asked for a step only as long
 // as that is so: not after an adoption of the first switch, and not in a later term.
 func TestOnlyTheFirstCoordinatorIsSole(t *testing.T) {
-	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Restart}, Step: "a host starts again, and the coordinator is another one than before",
+	proof.Cell{Promise: proof.OneMapPerStep, Faults: []proof.Fault{proof.Restart}, Step: "a host starts again, and the coordinator is another one than before",
 		Guard: "Coordinator.sole: only who began the first switch of a formation is"}.Log(t)
 	is := is.New(t)
 	var record Record
--- a/link/dial_test.go
+++ b/link/dial_test.go
@@ -17,7 +17,7 @@
 // TestDialRetriesWhenPeerComesUp dials a peer that does not receive the first packets,
 // as a host that is still down.
 func TestDialRetriesWhenPeerComesUp(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.Lost}, Step: "connecting to a host that is still down",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Kill, proof.LostMessages}, Step: "connecting to a host that is still down",
 		Guard: "dialWithRetry: an attempt that times out is retried"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/link/keepalive_test.go
+++ b/link/keepalive_test.go
@@ -82,7 +82,7 @@
 }
 
 func TestSilentPartitionIsDetectedOnBothSides(t *testing.T) {
-	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.CutBothWays}, Step: "silent network partition while a call runs",
+	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.FullPartition}, Step: "silent network partition while a call runs",
 		Guard: "the flag that a call was sent"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/proof/page/page.go
+++ b/proof/page/page.go
@@ -215,7 +215,7 @@
 	pairs := map[proof.Promise]map[[2]proof.Fault]bool{}
 	for _, test := range tests {
 		for _, cell := range test.Cells {
-			if cell.Together && cellState(test, cell) == proved {
+			if cell.Combined && cellState(test, cell) == proved {
 				addPairs(pairs, cell)
 			}
 		}
@@ -272,10 +272,10 @@
 		names[i] = string(fault)
 	}
 	text := strings.Join(names, ", ")
-	if cell.Together {
+	if cell.Combined {
 		text += " (together)"
 	}
-	if cell.Real {
+	if cell.SeparateProcesses {
 		text += " (real processes)"
 	}
 	return text
--- a/proof/proof.go
+++ b/proof/proof.go
@@ -16,57 +16,57 @@
 
 // The promises that must always hold.
 const (
-	OneMap        Promise = "one expert map per step"
-	OwnAnswer     Promise = "own whole answer"
-	NotRun        Promise = "not run is true"
-	AtMostOnce    Promise = "non-idempotent at most once"
-	Leaving       Promise = "leaving gets no new work"
-	PlannedStop   Promise = "planned stop cuts nothing"
-	Configuration Promise = "accepted configuration holds"
+	OneMapPerStep        Promise = "one expert map per step"
+	ResponseIntegrity    Promise = "own whole answer"
+	NotRun               Promise = "not run is true"
+	AtMostOnce           Promise = "non-idempotent at most once"
+	Leaving              Promise = "leaving gets no new work"
+	GracefulShutdown     Promise = "planned stop cuts nothing"
+	DurableConfiguration Promise = "accepted configuration holds"
 )
 
 // Promises lists the rows in the order of the page.
-var Promises = []Promise{OneMap, OwnAnswer, NotRun, AtMostOnce, Leaving, PlannedStop, Configuration}
+var Promises = []Promise{OneMapPerStep, ResponseIntegrity, NotRun, AtMostOnce, Leaving, GracefulShutdown, DurableConfiguration}
 
 // Fault is one column of the matrix.
 type Fault string
 
 // The faults that a test may bring about.
 const (
-	None          Fault = "none"
-	Kill          Fault = "kill"
-	Restart       Fault = "restart"
-	LostDisk      Fault = "lost disk"
-	OldDisk       Fault = "old disk put back"
-	FullDisk      Fault = "full disk"
-	CutOneWay     Fault = "cut one way"
-	CutBothWays   Fault = "cut both ways"
-	Freeze        Fault = "freeze, late wake-up"
-	StalledRank   Fault = "stalled rank"
-	Late          Fault = "late messages"
-	Doubled       Fault = "doubled messages"
-	Crossed       Fault = "crossed messages"
-	Lost          Fault = "lost messages"
-	ClockStep     Fault = "clock step"
-	RacingOps     Fault = "racing operators"
-	ResentIntents Fault = "resent intents"
-	SecondLoss    Fault = "second loss after repair"
-	ManyChanges   Fault = "restart after hundreds of changes"
+	None                    Fault = "none"
+	Kill                    Fault = "kill"
+	Restart                 Fault = "restart"
+	LostDisk                Fault = "lost disk"
+	StaleDisk               Fault = "old disk put back"
+	FullDisk                Fault = "full disk"
+	OneWayPartition         Fault = "cut one way"
+	FullPartition           Fault = "cut both ways"
+	Freeze                  Fault = "freeze, late wake-up"
+	StalledRank             Fault = "stalled rank"
+	DelayedMessages         Fault = "late messages"
+	DuplicatedMessages      Fault = "doubled messages"
+	ReorderedMessages       Fault = "crossed messages"
+	LostMessages            Fault = "lost messages"
+	ClockStep               Fault = "clock step"
+	ConcurrentOperators     Fault = "racing operators"
+	ResentIntents           Fault = "resent intents"
+	SecondLoss              Fault = "second loss after repair"
+	RestartAfterManyChanges Fault = "restart after hundreds of changes"
 )
 
 // Faults lists the columns in the order of the page.
 var Faults = []Fault{
-	Kill, Restart, LostDisk, OldDisk, FullDisk, CutOneWay, CutBothWays, Freeze,
-	StalledRank, Late, Doubled, Crossed, Lost, ClockStep, RacingOps,
-	ResentIntents, SecondLoss, ManyChanges,
+	Kill, Restart, LostDisk, StaleDisk, FullDisk, OneWayPartition, FullPartition, Freeze,
+	StalledRank, DelayedMessages, DuplicatedMessages, ReorderedMessages, LostMessages, ClockStep, ConcurrentOperators,
+	ResentIntents, SecondLoss, RestartAfterManyChanges,
 }
 
 // notApplicable gives the reason why a fault cannot touch a promise, for the few
 // cells where that is so. A fault that merely has not been tried is not here.
 var notApplicable = map[Promise]map[Fault]string{
-	OneMap: {
-		RacingOps:     "operators state policies; maps begin and are decided by the coordinator's entries alone",
-		ResentIntents: "an intent carries no map; maps begin and are decided by the coordinator's entries alone",
+	OneMapPerStep: {
+		ConcurrentOperators: "operators state policies; maps begin and are decided by the coordinator's entries alone",
+		ResentIntents:       "an intent carries no map; maps begin and are decided by the coordinator's entries alone",
 	},
 	AtMostOnce: {
 		StalledRank: "calls that may not be repeated go to plain services, which are no ranks of a group",
@@ -93,9 +93,9 @@
 	// that was not tried, and then the cell does not count as proved.
 	Guard string `json:"guard"`
 	// Together is true when the faults come in combination.
-	Together bool `json:"together"`
+	Combined bool `json:"together"`
 	// Real is true when the test drives separate processes.
-	Real bool `json:"real"`
+	SeparateProcesses bool `json:"real"`
 }
 
 // Log writes the cell to the test's log.
--- a/rankhost/controller_test.go
+++ b/rankhost/controller_test.go
@@ -14,7 +14,7 @@
 // a reply or seconds later, hosts are frozen, partitioned and restarted, and coordinators are
 // replaced. No step may begin with two maps. Afterwards the group must continue and switch again.
 func TestAllRanksUseOneMapPerStep(t *testing.T) {
-	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Restart, proof.Freeze, proof.CutBothWays, proof.Late, proof.Lost}, Step: "orders that engines carry out late or without a reply", Together: true,
+	proof.Cell{Promise: proof.OneMapPerStep, Faults: []proof.Fault{proof.Restart, proof.Freeze, proof.FullPartition, proof.DelayedMessages, proof.LostMessages}, Step: "orders that engines carry out late or without a reply", Combined: true,
 		Guard: "a promise is given only once its step is held"}.Log(t)
 	for _, ranks := range []int{2, 3, 5} {
 		for seed := range uint64(40) {
@@ -42,7 +42,7 @@
 // has little work, so its steps stand still while coordinators replace each other, and orders are
 // carried out long after newer ones.
 func TestLateReleaseDoesNotLiftLaterHold(t *testing.T) {
-	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Restart, proof.Freeze, proof.CutBothWays, proof.Late, proof.Lost}, Step: "a late release during a later promise of the same step", Together: true,
+	proof.Cell{Promise: proof.OneMapPerStep, Faults: []proof.Fault{proof.Restart, proof.Freeze, proof.FullPartition, proof.DelayedMessages, proof.LostMessages}, Step: "a late release during a later promise of the same step", Combined: true,
 		Guard: "reservation.reserve: a step is requested of an engine for one switch only"}.Log(t)
 	seeds := []uint64{487, 1288, 1517, 1699} // seeds that once began a step with two maps
 	for seed := range uint64(300) {
@@ -63,7 +63,7 @@
 // TestRescueOrdersOnlyDecidedSwitch checks: a host holds a step that was released too early again
 // within milliseconds.
 func TestConcurrentRescueIsSafe(t *testing.T) {
-	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Restart, proof.Freeze, proof.CutBothWays, proof.Late, proof.Lost}, Step: "rescue orders on behalf of an unreachable host", Together: true}.Log(t)
+	proof.Cell{Promise: proof.OneMapPerStep, Faults: []proof.Fault{proof.Restart, proof.Freeze, proof.FullPartition, proof.DelayedMessages, proof.LostMessages}, Step: "rescue orders on behalf of an unreachable host", Combined: true}.Log(t)
 	rescues := 0
 	for seed := range uint64(480) {
 		sim := newSimulation(t, seed, 2+int(seed%2))
@@ -76,7 +76,7 @@
 
 // The host of one rank is lost permanently while its engine holds a step.
 func TestGroupContinuesAfterHostLossDuringHold(t *testing.T) {
-	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Kill}, Step: "host permanently lost while its engine holds a step",
+	proof.Cell{Promise: proof.OneMapPerStep, Faults: []proof.Fault{proof.Kill}, Step: "host permanently lost while its engine holds a step",
 		Guard: "Rescue"}.Log(t)
 	is := is.New(t)
 	for seed := range uint64(20) {
--- a/replica/disk_test.go
+++ b/replica/disk_test.go
@@ -14,7 +14,7 @@
 // An entry is committed on two of three disks, and one of the two is wiped. The
 // blank disk must not help the third to elect a leader that lacks the entry.
 func TestWipedDiskDoesNotVote(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk, proof.CutBothWays}, Step: "election after a disk that stored a commit was wiped", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.LostDisk, proof.FullPartition}, Step: "election after a disk that stored a commit was wiped", Combined: true,
 		Guard: "three checks of a disk's identity together: of the message's addressee, of the replica's own membership entry, of the sender of a response"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
@@ -35,7 +35,7 @@
 // A disk that has lost stored state is refused by a witness that knows the later
 // state, and its replica must start over with a blank disk.
 func TestOldDiskIsRefused(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.OldDisk}, Step: "start on a disk that lost entries, votes or starts",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.StaleDisk}, Step: "start on a disk that lost entries, votes or starts",
 		Guard: "the check of a registering disk by its witnesses"}.Log(t)
 	type fixture struct {
 		*sim
@@ -118,7 +118,7 @@
 // A copy of a leader's disk that is started while the original is running
 // supersedes it. The original commits nothing any more and is fenced.
 func TestCopySupersedesOriginal(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.OldDisk}, Step: "copy of a leader's disk started while the original runs",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.StaleDisk}, Step: "copy of a leader's disk started while the original runs",
 		Guard: "the refusal of an earlier incarnation"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
@@ -165,7 +165,7 @@
 // A second disk is lost as soon as the first is replaced. The learner that replaced
 // the first gets a vote only once it has caught up, so no entry is lost.
 func TestSecondLossRightAfterRepair(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk, proof.SecondLoss}, Step: "second disk lost when the first is replaced", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.LostDisk, proof.SecondLoss}, Step: "second disk lost when the first is replaced", Combined: true,
 		Guard: "promotion only of a learner that has caught up; a blank disk joins as a learner; each alone"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
@@ -192,7 +192,7 @@
 // Reads arrive so often that their heartbeat rounds postpone all regular
 // heartbeats. A replica that replaced a lost disk is promoted nevertheless.
 func TestReadsDoNotDelayPromotion(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk}, Step: "reads at every moment of the repair",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.LostDisk}, Step: "reads at every moment of the repair",
 		Guard: "promotion at every tick of the leader"}.Log(t)
 	s, leader := startCluster(t, 3)
 	repaired := s.others(leader)[0]
@@ -206,7 +206,7 @@
 // The cluster recovers from a restart of all hosts, and from the restart of one
 // while another is down.
 func TestFullRestartAndRestartWithOneDown(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "restart of all, and of one while another is down", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "restart of all, and of one while another is down", Combined: true,
 		Guard: "admission by a quorum when not all answer"}.Log(t)
 	s, leader := startCluster(t, 3)
 	all := append(s.others(leader), leader)
@@ -245,7 +245,7 @@
 // elect one well before an election timeout has passed. That timeout applies to
 // leaders that were heard from.
 func TestAllStartedAgainElectSoon(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "time without a leader after a restart of all",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "time without a leader after a restart of all",
 		Guard: "Node.minElectionWait: no election timeout before a leader was heard from"}.Log(t)
 	const election, spread, bound = time.Second, 300 * time.Millisecond, 1300 * time.Millisecond
 	for seed := range uint64(100) {
@@ -265,7 +265,7 @@
 // old disk is lost. Otherwise the first leader would be elected only after
 // AdmissionWait, two election timeouts.
 func TestLostDiskDoesNotDelayElectionAfterFullRestart(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.Restart, proof.LostDisk}, Step: "time without a leader after a restart of all", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Kill, proof.Restart, proof.LostDisk}, Step: "time without a leader after a restart of all", Combined: true,
 		Guard: "admission does not wait for a disk that was replaced"}.Log(t)
 	const election, bound = time.Second, 600 * time.Millisecond
 	for seed := range uint64(100) {
@@ -288,7 +288,7 @@
 // A restarted replica must not take part before the others have admitted it, even
 // if it is the first to campaign.
 func TestRestartedReplicaWaitsForAdmission(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.CutBothWays}, Step: "first messages after a restart", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Restart, proof.FullPartition}, Step: "first messages after a restart", Combined: true,
 		Guard: "no participation before admission"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
@@ -314,7 +314,7 @@
 // messages that the others sent while their disks were blank must not make it
 // bootstrap a second cluster.
 func TestLateJoinsDoNotBootstrapSecondCluster(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk, proof.Late}, Step: "bootstrapping replica wiped while old join messages are in transit", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.LostDisk, proof.DelayedMessages}, Step: "bootstrapping replica wiped while old join messages are in transit", Combined: true,
 		Guard: "a join counts only if it echoes the current disk"}.Log(t)
 	is := is.New(t)
 	s := newSim(t, 7, 3)
@@ -341,7 +341,7 @@
 // The entry that made a blank disk a learner is overwritten after the learner has
 // received it. The learner must send join again.
 func TestLearnerWhoseEntryWasOverwrittenRejoins(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk, proof.CutBothWays, proof.Lost}, Step: "entry that added a blank disk is overwritten", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.LostDisk, proof.FullPartition, proof.LostMessages}, Step: "entry that added a blank disk is overwritten", Combined: true,
 		Guard: "a learner that hears from no leader sends join again"}.Log(t)
 	s, leader := startCluster(t, 5)
 	blank := s.others(leader)[0]
--- a/replica/faults_test.go
+++ b/replica/faults_test.go
@@ -232,7 +232,7 @@
 // replicas apply the same entries, that no committed entry is lost or changed, that
 // the register is linearizable, and that the cluster recovers when the faults end.
 func TestRandomFaults(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.Restart, proof.LostDisk, proof.OldDisk, proof.CutOneWay, proof.CutBothWays, proof.Freeze, proof.Late, proof.Doubled, proof.Crossed, proof.Lost, proof.ClockStep, proof.SecondLoss}, Step: "every step of elections, commits, reads, snapshots and repairs", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Kill, proof.Restart, proof.LostDisk, proof.StaleDisk, proof.OneWayPartition, proof.FullPartition, proof.Freeze, proof.DelayedMessages, proof.DuplicatedMessages, proof.ReorderedMessages, proof.LostMessages, proof.ClockStep, proof.SecondLoss}, Step: "every step of elections, commits, reads, snapshots and repairs", Combined: true,
 		Guard: "each alone: the candidate's log compared at a vote, a term stored before it is sent, messages of an old term dropped, admission after a restart, the check of old disks by witnesses, reads confirmed by a quorum; the three checks of a disk's identity together"}.Log(t)
 	const groups = 8
 	for group := range uint64(groups) {
--- a/replica/replacement_test.go
+++ b/replica/replacement_test.go
@@ -34,7 +34,7 @@
 // A host is lost permanently, and a replica at a new address with a blank disk
 // replaces it. Once the new replica is a voter, the next host may be lost.
 func TestUnknownReplicaReplacesLostVoter(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.LostDisk, proof.SecondLoss}, Step: "a host replaced at another address", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Kill, proof.LostDisk, proof.SecondLoss}, Step: "a host replaced at another address", Combined: true,
 		Guard: "one change removes the unresponsive voter and adds the new replica"}.Log(t)
 	is := is.New(t)
 	s, leader := startSelfManaged(t)
@@ -53,7 +53,7 @@
 // a voter that fails. When that voter returns, its disk is refused and it joins
 // with a blank one.
 func TestStandbyReplacesUnresponsiveVoter(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "a host replaced by a standby replica", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "a host replaced by a standby replica", Combined: true,
 		Guard: "a standby has no vote while all voters are active"}.Log(t)
 	is := is.New(t)
 	s, leader := startSelfManaged(t)
@@ -89,7 +89,7 @@
 // other than the leader. It must be added again nevertheless; otherwise the next
 // loss would leave one disk fewer than the first.
 func TestABlankDiskWhoseSettingsDoNotNameTheLeader(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.LostDisk}, Step: "settings that do not name the leader", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Kill, proof.LostDisk}, Step: "settings that do not name the leader", Combined: true,
 		Guard: "a follower forwards the join message of a blank disk to the leader"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 5)
--- a/replica/scenario_test.go
+++ b/replica/scenario_test.go
@@ -49,7 +49,7 @@
 }
 
 func TestCutOffLeaderCannotCommitOrRead(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutBothWays}, Step: "write and read at a leader that is cut off",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.FullPartition}, Step: "write and read at a leader that is cut off",
 		Guard: "the round of heartbeats before a read, and check-quorum, each alone"}.Log(t)
 	is := is.New(t)
 	s, old := startCluster(t, 3)
@@ -75,7 +75,7 @@
 // The clock of an isolated leader stops, so that to the leader the last responses
 // stay recent. It must not commit or serve reads nevertheless.
 func TestLeaderWithStoppedClock(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutBothWays, proof.ClockStep}, Step: "write and read at a leader that is cut off", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.FullPartition, proof.ClockStep}, Step: "write and read at a leader that is cut off", Combined: true,
 		Guard: "reads confirmed by a quorum, not by the leader's clock"}.Log(t)
 	is := is.New(t)
 	s, old := startCluster(t, 3)
@@ -96,7 +96,7 @@
 // A leader that the others receive messages from, but that receives none from them,
 // must step down.
 func TestLeaderThatReceivesNothingStepsDown(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutOneWay}, Step: "leader that reaches the others and receives nothing from them",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.OneWayPartition}, Step: "leader that reaches the others and receives nothing from them",
 		Guard: "check-quorum"}.Log(t)
 	s, old := startCluster(t, 3)
 	for _, h := range s.others(old) {
@@ -108,7 +108,7 @@
 
 // A replica that returns after a long partition must not depose a working leader.
 func TestReturningReplicaDoesNotDeposeLeader(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutBothWays}, Step: "replica returns after a long partition",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.FullPartition}, Step: "replica returns after a long partition",
 		Guard: "the pre-vote"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
@@ -128,7 +128,7 @@
 
 // A vote in a term that the voter already knew survives its restart.
 func TestVoteSurvivesRestart(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart}, Step: "vote in a term that the voter knew",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Restart}, Step: "vote in a term that the voter knew",
 		Guard: "the vote is stored before it is sent"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
@@ -164,7 +164,7 @@
 // An entry of an earlier term is not committed merely by being stored on a
 // majority: a leader with a newer entry may still overwrite it.
 func TestEntryOfEarlierTermIsNotCommittedAlone(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutBothWays, proof.Lost}, Step: "commit of an entry of an earlier term", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.FullPartition, proof.LostMessages}, Step: "commit of an entry of an earlier term", Combined: true,
 		Guard: "a leader commits by counting only entries of its own term"}.Log(t)
 	is := is.New(t)
 	s, first := startCluster(t, 3)
@@ -205,7 +205,7 @@
 // A follower that receives nothing from the leader, but reaches the other replicas,
 // must not depose the leader.
 func TestFollowerCutOffFromLeaderDoesNotDeposeIt(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutOneWay}, Step: "follower that the leader does not reach",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.OneWayPartition}, Step: "follower that the leader does not reach",
 		Guard: "the pre-vote, and its refusal by replicas that hear from a leader, each alone"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
@@ -253,7 +253,7 @@
 // A new leader does not know whether its predecessor's membership change is
 // committed, and must refuse changes until it has committed an entry.
 func TestNewLeaderRefusesChangesBeforeFirstCommit(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Lost}, Step: "membership change by a new leader",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.LostMessages}, Step: "membership change by a new leader",
 		Guard: "the wait for a commit in the leader's own term"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
@@ -268,7 +268,7 @@
 // A new leader that does not know of its predecessor's last commit must not serve a
 // read before it has committed an entry itself.
 func TestNewLeaderServesNoReadBeforeFirstCommit(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutBothWays, proof.Lost}, Step: "read at a new leader", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.FullPartition, proof.LostMessages}, Step: "read at a new leader", Combined: true,
 		Guard: "reads deferred until a commit in the leader's own term"}.Log(t)
 	is := is.New(t)
 	s, old := startCluster(t, 3)
@@ -293,7 +293,7 @@
 
 // A candidate that lacks a committed entry must not be elected.
 func TestCandidateWithStaleLogIsNotElected(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.CutBothWays}, Step: "vote for a candidate that lacks a committed entry",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.FullPartition}, Step: "vote for a candidate that lacks a committed entry",
 		Guard: "the comparison of logs before a vote"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
@@ -312,7 +312,7 @@
 // answered with the commit index and changes nothing. An append that leaves a gap
 // changes nothing either.
 func TestLateAndMalformedAppends(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Late}, Step: "append of compacted entries",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.DelayedMessages}, Step: "append of compacted entries",
 		Guard: "appends below the commit index are answered, not merged"}.Log(t)
 	is := is.New(t)
 	s, leader := startCluster(t, 3)
--- a/replica/server/server_test.go
+++ b/replica/server/server_test.go
@@ -159,7 +159,7 @@
 }
 
 func TestElectsCommitsAndSurvivesRestart(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart}, Step: "all replicas, after fifty commands",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Restart}, Step: "all replicas, after fifty commands",
 		Guard: "the log and the snapshot are read at the start, each alone"}.Log(t)
 	for _, size := range []int{1, 3} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -204,7 +204,7 @@
 // A replica whose data directory was wiped, and that needs two megabytes of state
 // in several chunks, rejoins as a learner and is promoted without an operator.
 func TestWipedFolderRejoins(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.LostDisk}, Step: "data directory wiped while its replica is down",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.LostDisk}, Step: "data directory wiped while its replica is down",
 		Guard: "the membership entry for a blank disk, its promotion, and the snapshot in chunks, each alone"}.Log(t)
 	is := is.New(t)
 	c := newCluster(t, 3, Config{ElectionTimeout: 100 * time.Millisecond, RepairAfter: 300 * time.Millisecond, SnapshotEvery: 2, TrailingEntries: 1})
@@ -292,7 +292,7 @@
 
 // A command whose sync failed is not acknowledged, and the replica stops.
 func TestFailedSyncIsNotAcknowledged(t *testing.T) {
-	for _, promise := range []proof.Promise{proof.Configuration, proof.NotRun} {
+	for _, promise := range []proof.Promise{proof.DurableConfiguration, proof.NotRun} {
 		proof.Cell{Promise: promise, Faults: []proof.Fault{proof.FullDisk}, Step: "the sync of a proposed command fails",
 			Guard: "stopping at a failed sync before anything is applied"}.Log(t)
 	}
@@ -372,7 +372,7 @@
 // with an unknown outcome and its pending reads, and the other replicas elect a
 // leader.
 func TestIsolatedLeaderAnswersItsCallers(t *testing.T) {
-	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.CutBothWays}, Step: "proposal pending at a leader that is cut off",
+	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.FullPartition}, Step: "proposal pending at a leader that is cut off",
 		Guard: "outcome unknown when the leadership is lost"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/replica/server/snapshot_test.go
+++ b/replica/server/snapshot_test.go
@@ -110,7 +110,7 @@
 // While a snapshot file is not yet durable, commits continue, the log is not
 // truncated, and a crash loses nothing. Close waits for the file.
 func TestCommitsContinueWhileSnapshotIsWritten(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill}, Step: "snapshot written but not yet durable",
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Kill}, Step: "snapshot written but not yet durable",
 		Guard: "truncation waits for the snapshot file"}.Log(t)
 	folder := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -219,7 +219,7 @@
 // Whichever file operation fails, including those of the snapshot writer, the
 // replica stops, and everything acknowledged is present after a restart.
 func TestEveryFailedFileOperationStopsReplica(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Restart, proof.FullDisk}, Step: "every file operation of a running replica, then a restart", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Restart, proof.FullDisk}, Step: "every file operation of a running replica, then a restart", Combined: true,
 		Guard: "stopping at a failure of the log"}.Log(t)
 	for failAt, failed := int64(1), true; failed; failAt++ {
 		folder := t.TempDir()
--- a/routed/routed_test.go
+++ b/routed/routed_test.go
@@ -84,7 +84,7 @@
 // TestRetriesDependOnCallKind covers each result of a first attempt for each kind of call; the
 // second endpoint would respond successfully.
 func TestRetriesDependOnCallKind(t *testing.T) {
-	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Kill, proof.Lost}, Step: "endpoint lost, failing or doubtful while a call runs",
+	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.Kill, proof.LostMessages}, Step: "endpoint lost, failing or doubtful while a call runs",
 		Guard: "only a call that was never sent, or is proved not to have run, is sent again"}.Log(t)
 	for _, c := range []struct {
 		name, path  string
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -46,7 +46,7 @@
 	Status  int
 	Outcome string
 	// Whole is true when the answer came to its stated end.
-	Whole bool
+	Complete bool
 	// FirstByte and Total are measured from the sending of the request.
 	FirstByte, Total time.Duration
 	// Body is the answer.
@@ -68,7 +68,7 @@
 	if err != nil {
 		return result, err
 	}
-	result.Whole = result.Status == http.StatusOK && endsWithDone(result.Body)
+	result.Complete = result.Status == http.StatusOK && endsWithDone(result.Body)
 	return result, nil
 }
 
@@ -76,7 +76,7 @@
 // key to the entry.
 func (c *Caller) Call(ctx context.Context, i int, method, path string, body []byte, key string) (Result, error) {
 	result, err := c.send(ctx, i, method, path, body, key)
-	result.Whole = err == nil && result.Status < http.StatusBadRequest
+	result.Complete = err == nil && result.Status < http.StatusBadRequest
 	return result, err
 }
 
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -99,7 +99,7 @@
 
 // MostArrivals returns the greatest number of requests, polls included, that came within any
 // window since a time.
-func (e *Engine) MostArrivals(since time.Time, window time.Duration) int {
+func (e *Engine) MaxArrivals(since time.Time, window time.Duration) int {
 	return e.arrivals.most(since, window)
 }
 
@@ -130,8 +130,8 @@
 	load := e.load
 	load.AgeMS = time.Since(e.loadAt).Milliseconds()
 	e.mu.Unlock()
-	if f := e.faults.get(); f.LieAboutLoad {
-		load.Running, load.Waiting = f.LieLoad, 0
+	if f := e.faults.get(); f.OverrideLoad {
+		load.Running, load.Waiting = f.ReportedRunning, 0
 	}
 	writeJSON(w, http.StatusOK, load)
 }
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -17,13 +17,13 @@
 	// SlowFactor multiplies the time of each token.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
 	// CutAfter cuts the connection after so many bytes of the body.
-	CutAfter int `json:"cut_after,omitempty"`
+	AbortAfterBytes int `json:"cut_after,omitempty"`
 	// Status answers every call with this HTTP status instead of running it.
 	Status int `json:"status,omitempty"`
 	// LieAboutLoad reports LieLoad in place of the number of running calls.
-	LieAboutLoad bool `json:"lie_about_load,omitempty"`
+	OverrideLoad bool `json:"lie_about_load,omitempty"`
 	// LieLoad is the number of running calls that LieAboutLoad reports.
-	LieLoad int `json:"lie_load,omitempty"`
+	ReportedRunning int `json:"lie_load,omitempty"`
 	// HoldMaps keeps orders to load an expert map from ending.
 	HoldMaps bool `json:"hold_maps,omitempty"`
 	// IgnoreFencing carries out orders with an old token all the same.
@@ -124,7 +124,7 @@
 // Write writes p, or a part of it before cutting the connection by panicking
 // with http.ErrAbortHandler, which the HTTP server turns into a reset.
 func (c *cutWriter) Write(p []byte) (int, error) {
-	cut := c.faults.get().CutAfter
+	cut := c.faults.get().AbortAfterBytes
 	if cut == 0 || c.written+len(p) <= cut {
 		n, err := c.ResponseWriter.Write(p)
 		c.written += n
--- a/standin/rankgroup.go
+++ b/standin/rankgroup.go
@@ -49,7 +49,7 @@
 	// Next is the step that comes next.
 	Next uint64 `json:"next"`
 	// Held is how often the group held for want of a permit.
-	Held int `json:"held"`
+	Blocked int `json:"held"`
 	// Records are the steps so far, in runs with the same maps.
 	Records []StepRecord `json:"records"`
 }
@@ -118,7 +118,7 @@
 
 func (g *RankGroup) serveSteps(w http.ResponseWriter, _ *http.Request) {
 	records, held := g.group.Records()
-	writeJSON(w, http.StatusOK, Steps{Next: g.group.Step(), Held: held, Records: records})
+	writeJSON(w, http.StatusOK, Steps{Next: g.group.Step(), Blocked: held, Records: records})
 }
 
 // popularity says how many tokens each expert handles in a step.
--- a/standin/service.go
+++ b/standin/service.go
@@ -9,7 +9,7 @@
 )
 
 // HeaderKey names the idempotency key that a call of a service carries.
-const HeaderKey = "Idempotency-Key"
+const HeaderIdempotencyKey = "Idempotency-Key"
 
 // Effect is one run of a call that changes something.
 type Effect struct {
@@ -58,7 +58,7 @@
 
 // MostArrivals returns the greatest number of requests that came within any window since a
 // time.
-func (s *Service) MostArrivals(since time.Time, window time.Duration) int {
+func (s *Service) MaxArrivals(since time.Time, window time.Duration) int {
 	return s.arrivals.most(since, window)
 }
 
@@ -95,7 +95,7 @@
 		http.Error(w, "switched fault", f.Status)
 		return
 	}
-	number := s.record(Effect{Path: r.URL.Path, Key: r.Header.Get(HeaderKey), Body: string(body)})
+	number := s.record(Effect{Path: r.URL.Path, Key: r.Header.Get(HeaderIdempotencyKey), Body: string(body)})
 	time.Sleep(s.delay)
 	if !s.faults.waitStall(r) {
 		return
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -123,7 +123,7 @@
 // operation. The log must report the failure, refuse all further writes, and
 // contain all acknowledged data after a crash.
 func TestFailureOfEachFileOperation(t *testing.T) {
-	proof.Cell{Promise: proof.Configuration, Faults: []proof.Fault{proof.Kill, proof.FullDisk}, Step: "a failure of each write, sync, rename, create and removal of the log, followed by a crash", Together: true,
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Kill, proof.FullDisk}, Step: "a failure of each write, sync, rename, create and removal of the log, followed by a crash", Combined: true,
 		Guard: "each alone: syncing a record, reporting a failed sync, syncing a snapshot file"}.Log(t)
 	kinds := map[string]int{}
 	const crashes = 8 // per operation; each loses other unsynced data
