--- a/standin/arrivals.go
+++ b/standin/arrivals.go
@@ -10,22 +10,23 @@
 	"time"
 )
 
-// maxArrivals bounds the times that are kept: the newest.
+// maxArrivals bounds the number of arrival times kept. When it is reached, the older half is
+// dropped.
 const maxArrivals = 1 << 16
 
-// arrivals are the times at which requests came. The zero value is ready.
+// arrivals records the arrival times of requests. The zero value is ready to use.
 type arrivals struct {
 	mu    sync.Mutex
 	times []time.Time
 }
 
-// ownAPI begins the paths of the stand-in's own API, whose requests do not count.
-const ownAPI = "/standin/"
+// adminPrefix is the path prefix of the stand-in's admin API, whose requests are not counted.
+const adminPrefix = "/standin/"
 
-func isOwnAPI(r *http.Request) bool { return strings.HasPrefix(r.URL.Path, ownAPI) }
+func isAdminRequest(r *http.Request) bool { return strings.HasPrefix(r.URL.Path, adminPrefix) }
 
-func (a *arrivals) note(r *http.Request) {
-	if isOwnAPI(r) {
+func (a *arrivals) record(r *http.Request) {
+	if isAdminRequest(r) {
 		return
 	}
 	a.mu.Lock()
@@ -36,31 +37,32 @@
 	a.times = append(a.times, time.Now())
 }
 
-// serve answers the greatest number of requests within any window, of the last part of the
-// time: both in milliseconds.
-func (a *arrivals) serve(w http.ResponseWriter, r *http.Request) {
+// serveMax responds with the largest number of requests that arrived within any window_ms
+// during the past last_ms, both in milliseconds.
+func (a *arrivals) serveMax(w http.ResponseWriter, r *http.Request) {
 	window, err := strconv.Atoi(r.URL.Query().Get("window_ms"))
-	last, also := strconv.Atoi(r.URL.Query().Get("last_ms"))
-	if err = errors.Join(err, also); err != nil {
+	age, ageErr := strconv.Atoi(r.URL.Query().Get("last_ms"))
+	if err = errors.Join(err, ageErr); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	since := time.Now().Add(-time.Duration(last) * time.Millisecond)
-	writeJSON(w, http.StatusOK, a.most(since, time.Duration(window)*time.Millisecond))
+	since := time.Now().Add(-time.Duration(age) * time.Millisecond)
+	writeJSON(w, http.StatusOK, a.maxInWindow(since, time.Duration(window)*time.Millisecond))
 }
 
-// most returns the greatest number of requests that came within any window since a time.
-func (a *arrivals) most(since time.Time, window time.Duration) int {
+// maxInWindow returns the largest number of requests that arrived within any window of the
+// given length since a time.
+func (a *arrivals) maxInWindow(since time.Time, window time.Duration) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	first, _ := slices.BinarySearchFunc(a.times, since, time.Time.Compare)
 	counted := a.times[first:]
-	most, begin := 0, 0
+	largest, start := 0, 0
 	for i, at := range counted {
-		for at.Sub(counted[begin]) >= window {
-			begin++
+		for at.Sub(counted[start]) >= window {
+			start++
 		}
-		most = max(most, i-begin+1)
+		largest = max(largest, i-start+1)
 	}
-	return most
+	return largest
 }
--- a/standin/cache.go
+++ b/standin/cache.go
@@ -13,22 +13,24 @@
 	"github.com/lilackeel/lilackeel/agent/engineapi"
 )
 
-// BlockBytes is the length of prompt text that one cache block covers.
+// BlockBytes is the number of prompt bytes that one cache block covers.
 const BlockBytes = 64
 
-// blockTokens is the number of prompt tokens in a block.
+// blockTokens is the number of prompt tokens in one block.
 const blockTokens = BlockBytes / 4
 
-// maxEvents bounds the cache events that are kept for readers.
-const maxEvents = 4096
+// maxCacheEvents bounds the number of cache events kept for readers.
+const maxCacheEvents = 4096
 
-// event is one change of the prefix cache, due for readers delay after at.
-type event struct {
+// queuedEvent is a change of the prefix cache. Readers see it once cache.delay has passed since
+// at.
+type queuedEvent struct {
 	engineapi.CacheEvent
 	at time.Time
 }
 
-// PromptBlocks returns the chained hashes of the whole blocks of a prompt.
+// PromptBlocks returns the chained hashes of the full blocks of a prompt. A trailing partial
+// block is left out.
 func PromptBlocks(prompt string) []uint64 {
 	var blocks []uint64
 	var previous uint64
@@ -40,46 +42,48 @@
 	return blocks
 }
 
-// cache is a prefix cache that forgets the least recently used block.
+// cache is a prefix cache with LRU eviction.
 type cache struct {
 	mu       sync.Mutex
 	run      string
 	capacity int
-	order    *list.List
+	lru      *list.List
 	blocks   map[uint64]*list.Element
 	seq      uint64
-	events   []event
-	// delay is how late events are published; every gapEvery-th is lost.
+	events   []queuedEvent
+	// delay is the time after which an event becomes visible to readers. Every gapEvery-th
+	// event is dropped; none if zero.
 	delay    time.Duration
 	gapEvery int
 }
 
 func newCache(capacity int, delay time.Duration, gapEvery int) *cache {
 	run := strconv.FormatUint(rand.Uint64(), 16)
-	return &cache{run: run, capacity: capacity, order: list.New(), blocks: map[uint64]*list.Element{}, delay: delay, gapEvery: gapEvery}
+	return &cache{run: run, capacity: capacity, lru: list.New(), blocks: map[uint64]*list.Element{}, delay: delay, gapEvery: gapEvery}
 }
 
-// use touches the blocks of a prompt and returns how many were cached.
-func (c *cache) use(blocks []uint64) (hits int) {
+// lookup marks the blocks of a prompt as used, adds those that are missing and returns the
+// number of hits.
+func (c *cache) lookup(blocks []uint64) (hits int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	change := event{at: time.Now()}
+	ev := queuedEvent{at: time.Now()}
 	for _, block := range blocks {
-		if place, ok := c.blocks[block]; ok {
+		if element, ok := c.blocks[block]; ok {
 			hits++
-			c.order.MoveToBack(place)
+			c.lru.MoveToBack(element)
 			continue
 		}
-		c.blocks[block] = c.order.PushBack(block)
-		change.Stored = append(change.Stored, block)
+		c.blocks[block] = c.lru.PushBack(block)
+		ev.Stored = append(ev.Stored, block)
 	}
 	for len(c.blocks) > c.capacity {
-		oldest := c.order.Remove(c.order.Front()).(uint64)
+		oldest := c.lru.Remove(c.lru.Front()).(uint64)
 		delete(c.blocks, oldest)
-		change.Removed = append(change.Removed, oldest)
+		ev.Removed = append(ev.Removed, oldest)
 	}
-	if len(change.Stored)+len(change.Removed) > 0 {
-		c.publish(change)
+	if len(ev.Stored)+len(ev.Removed) > 0 {
+		c.publish(ev)
 	}
 	return hits
 }
@@ -87,38 +91,39 @@
 func (c *cache) clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.order.Init()
+	c.lru.Init()
 	clear(c.blocks)
-	c.publish(event{at: time.Now(), CacheEvent: engineapi.CacheEvent{Cleared: true}})
+	c.publish(queuedEvent{at: time.Now(), CacheEvent: engineapi.CacheEvent{Cleared: true}})
 }
 
-func (c *cache) publish(change event) {
+func (c *cache) publish(ev queuedEvent) {
 	c.seq++
-	change.Seq = c.seq
+	ev.Seq = c.seq
 	if c.gapEvery > 0 && c.seq%uint64(c.gapEvery) == 0 {
 		return
 	}
-	c.events = append(c.events, change)
-	if len(c.events) > maxEvents {
-		c.events = append([]event(nil), c.events[maxEvents/2:]...)
+	c.events = append(c.events, ev)
+	if len(c.events) > maxCacheEvents {
+		c.events = append([]queuedEvent(nil), c.events[maxCacheEvents/2:]...)
 	}
 }
 
-// after returns the events later than seq that are due by now.
-func (c *cache) after(seq uint64, now time.Time) engineapi.CacheEvents {
+// eventsAfter returns the events with a sequence number above seq that are visible at the given
+// time.
+func (c *cache) eventsAfter(seq uint64, now time.Time) engineapi.CacheEvents {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	due := engineapi.CacheEvents{Run: c.run, Events: []engineapi.CacheEvent{}}
-	for _, change := range c.events {
-		if change.Seq > seq && now.Sub(change.at) >= c.delay {
-			due.Events = append(due.Events, change.CacheEvent)
+	for _, ev := range c.events {
+		if ev.Seq > seq && now.Sub(ev.at) >= c.delay {
+			due.Events = append(due.Events, ev.CacheEvent)
 		}
 	}
 	return due
 }
 
-// used returns the share of the cache that is in use.
-func (c *cache) used() float64 {
+// utilization returns the fraction of the cache that is in use.
+func (c *cache) utilization() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.capacity == 0 {
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -1,6 +1,5 @@
-// Package caller is a small stand-in for the callers of lilackeel: it sends
-// model requests and calls of a plain service to the entries in turn and
-// checks that each answer is whole.
+// Package caller is a test client of lilackeel. It sends model requests and service calls to
+// the entries in turn and checks that each response is complete.
 package caller
 
 import (
@@ -17,43 +16,43 @@
 	"github.com/google/uuid"
 )
 
-// Headers that the entries read and write.
+// Headers of the entry's API.
 const (
 	headerKey     = "Idempotency-Key"
 	headerOutcome = "Lilackeel-Outcome"
 )
 
-// streamEnd is the last event of a whole streamed answer.
+// streamEnd is the last event of a complete streamed response.
 const streamEnd = "data: [DONE]"
 
 // Caller sends requests to one or more entries.
 type Caller struct {
-	// Entries are host:port; request i goes to entry i modulo their number.
+	// Entries holds the host:port of each entry; request i goes to entry i modulo their number.
 	Entries []string
-	// Key is the workspace's key.
+	// Key is the API key of the workspace.
 	Key string
-	// Model is named in model requests.
-	Model string
-	// Client sends the requests.
+	// Model is the model named in model requests.
+	Model  string
 	Client *http.Client
-	// OnFirstByte, if set, is called when the first byte of an answer is there.
+	// OnFirstByte, if set, is called when the first byte of a response has arrived.
 	OnFirstByte func()
 }
 
-// Result is how one request ended.
+// Result is the result of one request.
 type Result struct {
-	// Status is the HTTP status, Outcome the outcome that the entry stated.
+	// Status is the HTTP status. Outcome is the outcome that the entry stated.
 	Status  int
 	Outcome string
-	// Whole is true when the answer came to its stated end.
+	// Complete is true if the response was successful and reached its end: the end marker of a
+	// stream, or any status below 400 for a service call.
 	Complete bool
 	// FirstByte and Total are measured from the sending of the request.
 	FirstByte, Total time.Duration
-	// Body is the answer.
+	// Body is the response body.
 	Body []byte
 }
 
-// Chat sends streamed chat request i and reads the answer to its end.
+// Chat sends streamed chat request i and reads the response to its end.
 func (c *Caller) Chat(ctx context.Context, i int, prompt string, tokens int) (Result, error) {
 	body, err := json.Marshal(map[string]any{
 		"model":      c.Model,
@@ -68,19 +67,18 @@
 	if err != nil {
 		return result, err
 	}
-	result.Complete = result.Status == http.StatusOK && endsWithDone(result.Body)
+	result.Complete = result.Status == http.StatusOK && hasStreamEnd(result.Body)
 	return result, nil
 }
 
-// Call sends call i of a plain service. An empty key leaves the idempotency
-// key to the entry.
+// Call sends service call i. If key is empty, the entry assigns the idempotency key.
 func (c *Caller) Call(ctx context.Context, i int, method, path string, body []byte, key string) (Result, error) {
 	result, err := c.send(ctx, i, method, path, body, key)
 	result.Complete = err == nil && result.Status < http.StatusBadRequest
 	return result, err
 }
 
-// NewKey returns a fresh idempotency key.
+// NewKey returns a new idempotency key.
 func NewKey() string { return uuid.NewString() }
 
 func (c *Caller) send(ctx context.Context, i int, method, path string, body []byte, key string) (Result, error) {
@@ -103,8 +101,8 @@
 	return c.read(response, start)
 }
 
-// read takes the whole answer. The outcome of a stream is known at its end only
-// and comes in the trailer.
+// read reads the response to its end. The outcome of a stream is known only at its end, so it
+// arrives in the trailer.
 func (c *Caller) read(response *http.Response, start time.Time) (Result, error) {
 	result := Result{Status: response.StatusCode, Outcome: response.Header.Get(headerOutcome)}
 	reader := bufio.NewReader(response.Body)
@@ -123,7 +121,7 @@
 	return result, err
 }
 
-// endsWithDone reports whether a stream of events came to its explicit end.
-func endsWithDone(body []byte) bool {
+// hasStreamEnd reports whether an event stream ends with its end marker.
+func hasStreamEnd(body []byte) bool {
 	return strings.HasSuffix(strings.TrimSpace(string(body)), streamEnd)
 }
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,13 +1,13 @@
-// Package standin holds small stand-ins for the endpoints that lilackeel
-// balances: a model engine, a plain service and a group of ranks in lock-step.
-// Tests and the example deployments run them; they serve no model.
+// Package standin provides simulated endpoints for tests and for the example deployments: a
+// model engine, a plain service, and a group of engine ranks that run in lockstep. They do not
+// run a model.
 //
-// The engine answers /v1/completions and /v1/chat/completions in the OpenAI
-// manner, and the API of package engineapi.
+// The engine implements /v1/completions and /v1/chat/completions of the OpenAI API, and the API
+// of package engineapi.
 //
-// A RankGroup makes the engines of one process the ranks of a group; they ask
-// their agents for steps and record which map each rank used in each.
+// A RankGroup turns the engines of one process into the ranks of a group. The ranks request
+// steps from their agents and record which expert map each rank used in each step.
 //
-// Faults are switched by POST /standin/faults with a Faults body, on engines
-// and services alike.
+// Faults are injected by POST /standin/faults with a Faults body, on engines and services
+// alike.
 package standin
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -11,59 +11,61 @@
 	"github.com/lilackeel/lilackeel/agent/engineapi"
 )
 
-// EngineConfig describes a stand-in engine.
+// EngineConfig configures a stand-in engine.
 type EngineConfig struct {
-	// Model, Version and Role are what the engine serves at the start.
+	// Model, Version and Role are what the engine serves initially.
 	Model, Version, Role string
-	// Adapters are the adapters that it serves at the start.
+	// Adapters are the adapters that are loaded initially.
 	Adapters []string
-	// Slots is the number of calls in the running batch.
+	// Slots is the number of calls that run at once, the size of the running batch.
 	Slots int
-	// TokenTime is the time of one token; PrefillTime that of one prompt block
-	// that is not cached.
+	// TokenTime is the time to generate one token. PrefillTime is the time to compute one
+	// prompt block that is not cached.
 	TokenTime, PrefillTime time.Duration
-	// CacheBlocks is the size of the prefix cache.
+	// CacheBlocks is the capacity of the prefix cache in blocks.
 	CacheBlocks int
-	// EventDelay is how late cache events are published.
+	// EventDelay is the time after which cache events are published.
 	EventDelay time.Duration
-	// EventGapEvery makes every so many-th cache event get lost; none if zero.
+	// EventGapEvery drops every EventGapEvery-th cache event; none if zero.
 	EventGapEvery int
-	// LoadLag is the age of the load figures that are reported.
+	// LoadLag is the interval at which the reported load is sampled, and thus its maximum age.
 	LoadLag time.Duration
-	// ChecksFencing makes the engine refuse orders with an old token.
+	// ChecksFencing makes the engine refuse orders whose fencing token is lower than the
+	// highest it has seen.
 	ChecksFencing bool
-	// CountsOnly makes the engine report the number of its calls and leave out
-	// what an engine need not know.
+	// CountsOnly makes the engine report only the required load fields, such as the number of
+	// its calls, and omit the optional ones.
 	CountsOnly bool
-	// MapLoadTime is how long loading the weights of an expert map takes.
+	// MapLoadTime is the time that loading the weights of an expert map takes.
 	MapLoadTime time.Duration
 }
 
-// Engine is a stand-in model engine. It is an http.Handler.
+// Engine is a stand-in model engine. It implements http.Handler.
 type Engine struct {
 	http.ServeMux
 	cfg      EngineConfig
-	faults   faultSwitch
+	faults   faultState
 	arrivals arrivals
 	slots    *slots
 	cache    *cache
-	orders   orders
-	maps     expertMaps
+	orders   orderHandler
+	maps     loadedMaps
 	streams  streams
 	steps    stepTimes
-	// ranked is set for the engine of a group, whose steps do not wait for calls.
-	ranked atomic.Bool
-	// prefilling counts the prompt tokens accepted and not yet computed.
-	prefilling atomic.Int64
+	// inRankGroup is set if the engine is a rank of a group. Its steps then run whether or not
+	// there are calls.
+	inRankGroup atomic.Bool
+	// prefillTokens counts the prompt tokens that were accepted and have not been computed.
+	prefillTokens atomic.Int64
 
-	mu     sync.Mutex
-	load   engineapi.Load
-	loadAt time.Time
-	runs   int
-	gone   int
+	mu        sync.Mutex
+	load      engineapi.Load
+	loadAt    time.Time
+	started   int
+	cancelled int
 }
 
-// NewEngine returns an engine that is ready to serve.
+// NewEngine returns an engine without injected faults.
 func NewEngine(cfg EngineConfig) *Engine {
 	e := &Engine{
 		cfg:     cfg,
@@ -71,61 +73,61 @@
 		cache:   newCache(cfg.CacheBlocks, cfg.EventDelay, cfg.EventGapEvery),
 		streams: streams{bodies: make(map[string][]byte)},
 	}
-	e.orders.checks = cfg.ChecksFencing
+	e.orders.checksFencing = cfg.ChecksFencing
 	e.orders.faults = &e.faults
 	e.orders.maps = &e.maps
-	e.orders.loadTime = cfg.MapLoadTime
+	e.orders.mapLoadTime = cfg.MapLoadTime
 	e.orders.state = engineapi.State{Model: cfg.Model, Version: cfg.Version, Role: cfg.Role, Adapters: cfg.Adapters}
-	e.HandleFunc("POST /v1/chat/completions", e.complete)
-	e.HandleFunc("POST /v1/completions", e.complete)
+	e.HandleFunc("POST /v1/chat/completions", e.serveCompletion)
+	e.HandleFunc("POST /v1/completions", e.serveCompletion)
 	e.HandleFunc("GET "+engineapi.PathLoad, e.serveLoad)
 	e.HandleFunc("GET "+engineapi.PathCacheEvents, e.serveEvents)
 	e.HandleFunc(engineapi.PathOrders, e.orders.serve)
 	e.HandleFunc("POST /standin/faults", e.faults.serve)
-	e.HandleFunc("GET /standin/arrivals", e.arrivals.serve)
+	e.HandleFunc("GET /standin/arrivals", e.arrivals.serveMax)
 	e.HandleFunc("POST /standin/clear", func(http.ResponseWriter, *http.Request) { e.cache.clear() })
 	return e
 }
 
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	e.arrivals.note(r)
-	e.faults.name(w)
-	if e.faults.rejects(w, r) {
+	e.arrivals.record(r)
+	e.faults.setHeaders(w)
+	if e.faults.reject(w, r) {
 		return
 	}
 	e.ServeMux.ServeHTTP(w, r)
 }
 
-// MostArrivals returns the greatest number of requests, polls included, that came within any
-// window since a time.
+// MaxArrivals returns the largest number of requests, polls included, that arrived within any
+// window of the given length since a time.
 func (e *Engine) MaxArrivals(since time.Time, window time.Duration) int {
-	return e.arrivals.most(since, window)
+	return e.arrivals.maxInWindow(since, window)
 }
 
-// SetFaults switches faults on or off.
+// SetFaults replaces the injected faults.
 func (e *Engine) SetFaults(f Faults) { e.faults.set(f) }
 
-// Counts returns how many model calls were begun and how many of their callers
-// left before the end.
-func (e *Engine) Counts() (runs, gone int) {
+// Counts returns how many model calls were started and how many of them were cancelled by their
+// caller.
+func (e *Engine) Counts() (started, cancelled int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.runs, e.gone
+	return e.started, e.cancelled
 }
 
-func (e *Engine) count(runs, gone int) {
+func (e *Engine) addCounts(started, cancelled int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.runs += runs
-	e.gone += gone
+	e.started += started
+	e.cancelled += cancelled
 }
 
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	if time.Since(e.loadAt) >= e.cfg.LoadLag {
 		e.loadAt = time.Now()
-		e.load = e.measure()
+		e.load = e.sampleLoad()
 	}
 	load := e.load
 	load.AgeMS = time.Since(e.loadAt).Milliseconds()
@@ -136,36 +138,36 @@
 	writeJSON(w, http.StatusOK, load)
 }
 
-func (e *Engine) measure() engineapi.Load {
+func (e *Engine) sampleLoad() engineapi.Load {
 	running, waiting := e.slots.counts()
-	load := engineapi.Load{Running: running, Waiting: waiting, CacheUsed: e.cache.used(), RankLoad: 1}
+	load := engineapi.Load{Running: running, Waiting: waiting, CacheUsed: e.cache.utilization(), RankLoad: 1}
 	if e.cfg.TokenTime > 0 {
 		load.TokensPerSecond = float64(running) / e.cfg.TokenTime.Seconds()
 	}
 	if !e.cfg.CountsOnly {
-		e.measureMore(&load)
+		e.addOptionalLoad(&load)
 	}
 	return load
 }
 
-// measureMore fills in the figures that an engine need not know.
-func (e *Engine) measureMore(load *engineapi.Load) {
-	prefilling := e.prefilling.Load()
+// addOptionalLoad sets the load fields that an engine may omit.
+func (e *Engine) addOptionalLoad(load *engineapi.Load) {
+	prefilling := e.prefillTokens.Load()
 	load.PrefillTokens = &prefilling
 	if e.cfg.PrefillTime > 0 {
 		load.PrefillRate = blockTokens / e.cfg.PrefillTime.Seconds()
 	}
-	step, own := e.steps.recent(e.ranked.Load(), e.faults.get().Stall)
+	step, own := e.steps.recent(e.inRankGroup.Load(), e.faults.get().Stall)
 	load.StepUS, load.OwnStepUS = step.Microseconds(), own.Microseconds()
 	load.Adapters = e.orders.adapters()
 }
 
 func (e *Engine) serveEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get(engineapi.QueryAfter), 10, 64)
-	writeJSON(w, http.StatusOK, e.cache.after(after, time.Now()))
+	writeJSON(w, http.StatusOK, e.cache.eventsAfter(after, time.Now()))
 }
 
-// completionRequest is the part of an OpenAI request that matters here.
+// completionRequest holds the fields of an OpenAI request that the stand-in uses.
 type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -185,15 +187,15 @@
 	return text
 }
 
-// complete serves a completion, or resumes the stream that the headers name.
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
+// serveCompletion serves a completion, or resumes the stream named in the headers.
+func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	var request completionRequest
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	if f := e.faults.get(); f.Status != 0 {
-		http.Error(w, "switched fault", f.Status)
+		http.Error(w, "injected fault", f.Status)
 		return
 	}
 	if request.MaxTokens <= 0 {
@@ -203,76 +205,77 @@
 	if resumed {
 		offset, _ = strconv.Atoi(r.Header.Get(engineapi.HeaderResumeOffset))
 	}
-	id, parts, ok := e.streams.open(request, r.URL.Path, r.Header.Get(engineapi.HeaderStreamID), offset)
+	id, chunks, ok := e.streams.open(request, r.URL.Path, r.Header.Get(engineapi.HeaderStreamID), offset)
 	if !ok {
-		http.Error(w, "unknown stream; send the request without "+engineapi.HeaderStreamID, http.StatusNotFound)
+		http.Error(w, "unknown stream or invalid offset; send the request without "+engineapi.HeaderStreamID, http.StatusNotFound)
 		return
 	}
 	if resumed {
 		w.Header().Set(engineapi.HeaderResumeOffset, strconv.Itoa(offset))
 	} else {
-		e.count(1, 0)
+		e.addCounts(1, 0)
 	}
 	w.Header().Set(engineapi.HeaderStreamID, id)
-	if !e.run(w, r, request, parts) {
-		e.count(0, 1)
+	if !e.generate(w, r, request, chunks) {
+		e.addCounts(0, 1)
 	}
 }
 
-// prefill waits for a slot and computes the blocks that are not cached; it
-// reports false, without a slot, if the caller left.
+// prefill waits for a slot and computes the blocks that are not cached. It returns false,
+// without holding a slot, if the caller disconnected.
 func (e *Engine) prefill(r *http.Request, blocks []uint64, priority int) bool {
 	tokens := int64(len(blocks) * blockTokens)
-	e.prefilling.Add(tokens)
-	defer e.prefilling.Add(-tokens)
+	e.prefillTokens.Add(tokens)
+	defer e.prefillTokens.Add(-tokens)
 	if !e.slots.acquire(r.Context(), priority) {
 		return false
 	}
-	e.steps.enter()
-	misses := len(blocks) - e.cache.use(blocks)
-	if !e.pause(r, time.Duration(misses)*e.cfg.PrefillTime) {
-		e.leave()
+	e.steps.callStarted()
+	misses := len(blocks) - e.cache.lookup(blocks)
+	if !e.wait(r, time.Duration(misses)*e.cfg.PrefillTime) {
+		e.endCall()
 		return false
 	}
 	return true
 }
 
-// leave ends what prefill began.
-func (e *Engine) leave() {
-	e.steps.leave()
+// endCall undoes prefill: it ends the call and releases its slot.
+func (e *Engine) endCall() {
+	e.steps.callEnded()
 	e.slots.release()
 }
 
-// token waits for one token, which is a step of an engine that is no rank.
-func (e *Engine) token(r *http.Request) bool {
-	begun := time.Now()
-	ok := e.pause(r, e.cfg.TokenTime)
-	if ok && e.cfg.TokenTime > 0 && !e.ranked.Load() {
-		took := time.Since(begun)
-		e.steps.note(took, took)
+// generateToken waits for the time of one token. For an engine outside a rank group a token
+// counts as a step.
+func (e *Engine) generateToken(r *http.Request) bool {
+	start := time.Now()
+	ok := e.wait(r, e.cfg.TokenTime)
+	if ok && e.cfg.TokenTime > 0 && !e.inRankGroup.Load() {
+		elapsed := time.Since(start)
+		e.steps.record(elapsed, elapsed)
 	}
 	return ok
 }
 
-// run writes the parts at the pace of the engine; it reports false if the
-// caller left.
-func (e *Engine) run(w http.ResponseWriter, r *http.Request, request completionRequest, parts [][]byte) bool {
+// generate writes the chunks at the speed of the engine. It returns false if the caller
+// disconnected.
+func (e *Engine) generate(w http.ResponseWriter, r *http.Request, request completionRequest, chunks [][]byte) bool {
 	priority, _ := strconv.Atoi(r.Header.Get(engineapi.HeaderPriority))
 	blocks := PromptBlocks(request.prompt())
 	if !e.prefill(r, blocks, priority) {
 		return false
 	}
-	defer e.leave()
+	defer e.endCall()
 	if !request.Stream {
-		return e.writeWhole(w, r, request, parts)
+		return e.writeUnstreamed(w, r, request, chunks)
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
-	out := &cutWriter{ResponseWriter: w, faults: &e.faults}
-	for _, part := range parts {
-		if !e.token(r) {
+	out := &abortingWriter{ResponseWriter: w, faults: &e.faults}
+	for _, chunk := range chunks {
+		if !e.generateToken(r) {
 			return false
 		}
-		if _, err := out.Write(part); err != nil {
+		if _, err := out.Write(chunk); err != nil {
 			return false
 		}
 		_ = http.NewResponseController(w).Flush()
@@ -280,26 +283,26 @@
 	return true
 }
 
-// writeWhole answers a request that is not streamed, after all its tokens.
-func (e *Engine) writeWhole(w http.ResponseWriter, r *http.Request, request completionRequest, parts [][]byte) bool {
+// writeUnstreamed responds to a request that is not streamed, after the time of all its tokens.
+func (e *Engine) writeUnstreamed(w http.ResponseWriter, r *http.Request, request completionRequest, chunks [][]byte) bool {
 	for range request.MaxTokens {
-		if !e.token(r) {
+		if !e.generateToken(r) {
 			return false
 		}
 	}
 	var body []byte
-	for _, part := range parts {
-		body = append(body, part...)
+	for _, chunk := range chunks {
+		body = append(body, chunk...)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	_, err := (&cutWriter{ResponseWriter: w, faults: &e.faults}).Write(body)
+	_, err := (&abortingWriter{ResponseWriter: w, faults: &e.faults}).Write(body)
 	return err == nil
 }
 
-// pause waits for d, longer if the engine is slow or stalled; it reports false
-// if the caller left.
-func (e *Engine) pause(r *http.Request, d time.Duration) bool {
+// wait sleeps for d, scaled if the engine is slowed down and extended while it is stalled. It
+// returns false if the caller disconnected.
+func (e *Engine) wait(r *http.Request, d time.Duration) bool {
 	if f := e.faults.get().SlowFactor; f > 0 {
 		d = time.Duration(float64(d) * f)
 	}
--- a/standin/expertmaps.go
+++ b/standin/expertmaps.go
@@ -9,8 +9,8 @@
 	"github.com/lilackeel/lilackeel/group"
 )
 
-// expertMaps are the maps whose weights an engine has in place.
-type expertMaps struct {
+// loadedMaps holds the expert maps whose weights an engine has loaded.
+type loadedMaps struct {
 	mu     sync.Mutex
 	loaded []loadedMap
 }
@@ -20,8 +20,8 @@
 	expertMap group.Map
 }
 
-// load puts the map of an order in place and drops what need not be kept.
-func (l *expertMaps) load(order engineapi.Order) (status int) {
+// load loads the map of an order and unloads those that the order does not list to be kept.
+func (l *loadedMaps) load(order engineapi.Order) (status int) {
 	if order.Map == nil {
 		return http.StatusBadRequest
 	}
@@ -38,7 +38,7 @@
 	return http.StatusOK
 }
 
-func (l *expertMaps) list() []engineapi.LoadedMap {
+func (l *loadedMaps) list() []engineapi.LoadedMap {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []engineapi.LoadedMap
@@ -48,7 +48,7 @@
 	return list
 }
 
-func (l *expertMaps) get(epoch uint64) (group.Map, bool) {
+func (l *loadedMaps) get(epoch uint64) (group.Map, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, loaded := range l.loaded {
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -9,60 +9,62 @@
 	"github.com/lilackeel/lilackeel/agent/engineapi"
 )
 
-// Faults are the faults that a stand-in brings about. The zero value is none.
+// Faults configures the faults that a stand-in injects. The zero value injects none.
 type Faults struct {
-	// Stall stops every answer, before its first byte or in the middle, and the
-	// steps of a rank.
+	// Stall blocks every response, before its first byte or midway, and the steps of a rank.
 	Stall bool `json:"stall,omitempty"`
-	// SlowFactor multiplies the time of each token.
+	// SlowFactor multiplies the time of each token and of prefill; no effect if zero.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
-	// CutAfter cuts the connection after so many bytes of the body.
+	// AbortAfterBytes aborts the connection after this many bytes of the response body; never
+	// if zero.
 	AbortAfterBytes int `json:"cut_after,omitempty"`
 	// Status answers every call with this HTTP status instead of running it.
 	Status int `json:"status,omitempty"`
-	// LieAboutLoad reports LieLoad in place of the number of running calls.
+	// OverrideLoad reports ReportedRunning instead of the actual number of running calls, and
+	// no waiting calls.
 	OverrideLoad bool `json:"lie_about_load,omitempty"`
-	// LieLoad is the number of running calls that LieAboutLoad reports.
+	// ReportedRunning is the number of running calls that OverrideLoad reports.
 	ReportedRunning int `json:"lie_load,omitempty"`
-	// HoldMaps keeps orders to load an expert map from ending.
+	// HoldMaps blocks orders to load an expert map until it is cleared.
 	HoldMaps bool `json:"hold_maps,omitempty"`
-	// IgnoreFencing carries out orders with an old token all the same.
+	// IgnoreFencing makes the engine carry out orders with a stale fencing token.
 	IgnoreFencing bool `json:"ignore_fencing,omitempty"`
-	// RateLimit is named in every answer as the requests a second that the stand-in takes;
-	// none if empty.
+	// RateLimit is sent in every response as the rate limit of the stand-in, in requests per
+	// second; none if empty.
 	RateLimit string `json:"rate_limit,omitempty"`
-	// RetryAfter rejects every request, polls and orders included, with 503 and this
-	// Retry-After; nothing runs.
+	// RetryAfter rejects every request, polls and orders included, with status 503 and this
+	// Retry-After value. Nothing is run.
 	RetryAfter string `json:"retry_after,omitempty"`
-	// Refuse ends the connection of every request without an answer.
+	// Refuse closes the connection of every request without a response.
 	Refuse bool `json:"refuse,omitempty"`
-	// Leaving says in every answer that the stand-in is about to stop.
+	// Leaving announces in every response that the stand-in is about to stop.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// stallPoll is how often a stalled answer looks whether the stall is over.
-const stallPoll = 5 * time.Millisecond
+// stallPollInterval is the interval at which a blocked response checks whether the fault has
+// been cleared.
+const stallPollInterval = 5 * time.Millisecond
 
-// faultSwitch holds the present faults.
-type faultSwitch struct {
-	mu     sync.Mutex
-	now    Faults
-	pauses pauses
+// faultState holds the faults that are currently injected.
+type faultState struct {
+	mu      sync.Mutex
+	current Faults
+	pauses  pauseTracker
 }
 
-func (f *faultSwitch) get() Faults {
+func (f *faultState) get() Faults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now
+	return f.current
 }
 
-func (f *faultSwitch) set(faults Faults) {
+func (f *faultState) set(faults Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.now = faults
+	f.current = faults
 }
 
-func (f *faultSwitch) serve(w http.ResponseWriter, r *http.Request) {
+func (f *faultState) serve(w http.ResponseWriter, r *http.Request) {
 	var faults Faults
 	if err := json.NewDecoder(r.Body).Decode(&faults); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -71,8 +73,8 @@
 	f.set(faults)
 }
 
-// name puts what every answer says of the stand-in into the answer that w begins.
-func (f *faultSwitch) name(w http.ResponseWriter) {
+// setHeaders adds the headers of RateLimit and Leaving to the response.
+func (f *faultState) setHeaders(w http.ResponseWriter) {
 	faults := f.get()
 	if faults.RateLimit != "" {
 		w.Header().Set(engineapi.HeaderRateLimit, faults.RateLimit)
@@ -82,10 +84,11 @@
 	}
 }
 
-// rejects answers a request that the faults reject, and reports whether they do.
-func (f *faultSwitch) rejects(w http.ResponseWriter, r *http.Request) bool {
+// reject responds to a request that Refuse or RetryAfter applies to, and reports whether one
+// did.
+func (f *faultState) reject(w http.ResponseWriter, r *http.Request) bool {
 	faults := f.get()
-	if isOwnAPI(r) {
+	if isAdminRequest(r) {
 		return false
 	}
 	if faults.Refuse {
@@ -95,35 +98,35 @@
 	if pause == "" {
 		return false
 	}
-	f.pauses.rejected(pause)
+	f.pauses.recordRejection(pause)
 	w.Header().Set(engineapi.HeaderNotRun, "1")
 	w.Header().Set("Retry-After", pause)
-	http.Error(w, "switched rejection", http.StatusServiceUnavailable)
+	http.Error(w, "injected rejection", http.StatusServiceUnavailable)
 	return true
 }
 
-// waitStall returns when no stall is on or the caller is gone.
-func (f *faultSwitch) waitStall(r *http.Request) bool {
+// waitStall blocks while Stall is set. It returns false if the caller disconnected.
+func (f *faultState) waitStall(r *http.Request) bool {
 	for f.get().Stall {
 		select {
 		case <-r.Context().Done():
 			return false
-		case <-time.After(stallPoll):
+		case <-time.After(stallPollInterval):
 		}
 	}
 	return true
 }
 
-// cutWriter writes a body and cuts the connection where the faults say so.
-type cutWriter struct {
+// abortingWriter writes a response body and aborts the connection after Faults.AbortAfterBytes.
+type abortingWriter struct {
 	http.ResponseWriter
-	faults  *faultSwitch
+	faults  *faultState
 	written int
 }
 
-// Write writes p, or a part of it before cutting the connection by panicking
-// with http.ErrAbortHandler, which the HTTP server turns into a reset.
-func (c *cutWriter) Write(p []byte) (int, error) {
+// Write writes p, or the part of it that AbortAfterBytes allows. It then panics with
+// http.ErrAbortHandler, on which the HTTP server aborts the connection.
+func (c *abortingWriter) Write(p []byte) (int, error) {
 	cut := c.faults.get().AbortAfterBytes
 	if cut == 0 || c.written+len(p) <= cut {
 		n, err := c.ResponseWriter.Write(p)
@@ -135,8 +138,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// Unwrap lets http.ResponseController reach the connection.
-func (c *cutWriter) Unwrap() http.ResponseWriter { return c.ResponseWriter }
+// Unwrap gives http.ResponseController access to the connection.
+func (c *abortingWriter) Unwrap() http.ResponseWriter { return c.ResponseWriter }
 
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	body, err := json.Marshal(value)
--- a/standin/order.go
+++ b/standin/order.go
@@ -10,18 +10,18 @@
 	"github.com/lilackeel/lilackeel/agent/engineapi"
 )
 
-// orders carries out orders, with or without checking their tokens.
-type orders struct {
-	faults   *faultSwitch
-	maps     *expertMaps
-	loadTime time.Duration
+// orderHandler carries out orders, with or without checking their fencing tokens.
+type orderHandler struct {
+	faults      *faultState
+	maps        *loadedMaps
+	mapLoadTime time.Duration
 
-	mu     sync.Mutex
-	checks bool
-	state  engineapi.State
+	mu            sync.Mutex
+	checksFencing bool
+	state         engineapi.State
 }
 
-func (o *orders) get() engineapi.State {
+func (o *orderHandler) get() engineapi.State {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	state := o.state
@@ -29,10 +29,10 @@
 	return state
 }
 
-// adapters returns the adapters in memory, never nil.
-func (o *orders) adapters() []string { return append([]string{}, o.get().Adapters...) }
+// adapters returns the loaded adapters, as an empty slice instead of nil if there are none.
+func (o *orderHandler) adapters() []string { return append([]string{}, o.get().Adapters...) }
 
-func (o *orders) serve(w http.ResponseWriter, r *http.Request) {
+func (o *orderHandler) serve(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodGet {
 		writeJSON(w, http.StatusOK, o.get())
 		return
@@ -43,19 +43,19 @@
 		return
 	}
 	if order.Kind == engineapi.OrderLoadMap {
-		time.Sleep(o.loadTime)
+		time.Sleep(o.mapLoadTime)
 		for o.faults.get().HoldMaps {
-			time.Sleep(stallPoll)
+			time.Sleep(stallPollInterval)
 		}
 	}
-	writeJSON(w, o.carryOut(order), o.get())
+	writeJSON(w, o.execute(order), o.get())
 }
 
-func (o *orders) carryOut(order engineapi.Order) (status int) {
+func (o *orderHandler) execute(order engineapi.Order) (status int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	checks := o.checks && !o.faults.get().IgnoreFencing
-	if checks && order.Fence < o.state.Fence {
+	enforceFencing := o.checksFencing && !o.faults.get().IgnoreFencing
+	if enforceFencing && order.Fence < o.state.Fence {
 		return http.StatusConflict
 	}
 	switch order.Kind {
@@ -77,7 +77,7 @@
 		return http.StatusBadRequest
 	}
 	o.state.Orders++
-	if checks {
+	if enforceFencing {
 		o.state.Fence = order.Fence
 	}
 	return http.StatusOK
--- a/standin/pauses.go
+++ b/standin/pauses.go
@@ -7,21 +7,23 @@
 	"time"
 )
 
-// pauseGrace is how long after a rejection what was under way may still come.
+// pauseGrace is the time after a rejection in which requests that were already in flight may
+// still arrive.
 const pauseGrace = 500 * time.Millisecond
 
-// pauses counts the requests that come within the pauses that rejections ask for. The zero value
-// is ready.
-type pauses struct {
+// pauseTracker counts the requests that arrive during the pauses requested by Retry-After. The
+// zero value is ready to use.
+type pauseTracker struct {
 	mu sync.Mutex
-	// began and end are those of the present pause, or of the last one; in counts the requests
-	// in it, later than pauseGrace after its beginning, and most is the greatest such number.
-	began, end time.Time
-	in, most   int
+	// start and end delimit the current or last pause. count is the number of requests in it
+	// that arrived later than pauseGrace after its start, and maxCount the largest such number
+	// of any pause.
+	start, end      time.Time
+	count, maxCount int
 }
 
-// rejected takes in a request that was rejected with a Retry-After.
-func (p *pauses) rejected(retryAfter string) {
+// recordRejection records a request that was rejected with a Retry-After value.
+func (p *pauseTracker) recordRejection(retryAfter string) {
 	seconds, err := strconv.ParseFloat(retryAfter, 64)
 	if err != nil {
 		return
@@ -30,18 +32,18 @@
 	defer p.mu.Unlock()
 	now := time.Now()
 	if now.Before(p.end) {
-		if now.Sub(p.began) >= pauseGrace {
-			p.in++
-			p.most = max(p.most, p.in)
+		if now.Sub(p.start) >= pauseGrace {
+			p.count++
+			p.maxCount = max(p.maxCount, p.count)
 		}
 		return
 	}
-	p.began, p.end, p.in = now, now.Add(time.Duration(seconds*float64(time.Second))), 0
+	p.start, p.end, p.count = now, now.Add(time.Duration(seconds*float64(time.Second))), 0
 }
 
-// serve answers the greatest number of requests that came in any pause.
-func (p *pauses) serve(w http.ResponseWriter, _ *http.Request) {
+// serve responds with the largest number of requests that arrived in any pause.
+func (p *pauseTracker) serve(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	writeJSON(w, http.StatusOK, p.most)
+	writeJSON(w, http.StatusOK, p.maxCount)
 }
--- a/standin/rank.go
+++ b/standin/rank.go
@@ -13,42 +13,42 @@
 )
 
 const (
-	// askTimeout bounds one request for steps.
-	askTimeout = time.Second
-	// askPause is the time between two requests that bring nothing.
-	askPause = 2 * time.Millisecond
+	// stepRequestTimeout bounds one request for steps.
+	stepRequestTimeout = time.Second
+	// stepRequestRetryInterval is the delay after a request that failed or granted no steps.
+	stepRequestRetryInterval = 2 * time.Millisecond
 )
 
-// rank is one engine of a group: it asks its agent for steps ahead.
+// rank is one engine of a group. It requests steps from its agent ahead of time.
 type rank struct {
-	number int
-	name   string
-	url    string
-	run    string
-	engine *Engine
-	group  *Group
-	client *http.Client
-	// low wakes the asking when few granted steps are left.
-	low chan struct{}
+	number    int
+	groupName string
+	url       string
+	run       string
+	engine    *Engine
+	group     *Group
+	client    *http.Client
+	// grantsLow triggers the next request when few granted steps are left.
+	grantsLow chan struct{}
 
 	mu      sync.Mutex
 	grants  []engineapi.StepGrant
 	granted uint64
-	// askFrom is the step from which more are asked for, half way to granted.
-	askFrom uint64
-	first   uint64
-	tokens  [][]uint64
-	steps   uint64
+	// refillAt is the step at which more steps are requested, halfway to granted.
+	refillAt uint64
+	minStep  uint64
+	tokens   [][]uint64
+	steps    uint64
 }
 
-// permit returns the epoch that a step was granted with. A rank whose engine
-// lacks that map, or stalls, does not begin the step.
+// permit returns the epoch with which a step was granted. It returns false if the step was not
+// granted, the engine has not loaded that epoch's map or the engine is stalled.
 func (r *rank) permit(step uint64) (epoch uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if step >= r.askFrom {
+	if step >= r.refillAt {
 		select {
-		case r.low <- struct{}{}:
+		case r.grantsLow <- struct{}{}:
 		default:
 		}
 	}
@@ -63,25 +63,25 @@
 	return epoch, ok
 }
 
-// askOn asks for steps until ctx ends, one request at a time.
-func (r *rank) askOn(ctx context.Context) {
+// requestSteps requests steps until ctx ends, one request at a time.
+func (r *rank) requestSteps(ctx context.Context) {
 	for ctx.Err() == nil {
-		grant, err := r.ask(ctx)
-		if err == nil && r.take(grant) {
+		grant, err := r.requestGrant(ctx)
+		if err == nil && r.addGrant(grant) {
 			select {
-			case <-r.low:
+			case <-r.grantsLow:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		time.Sleep(askPause)
+		time.Sleep(stepRequestRetryInterval)
 	}
 }
 
-func (r *rank) ask(ctx context.Context) (grant engineapi.StepGrant, err error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (r *rank) requestGrant(ctx context.Context) (grant engineapi.StepGrant, err error) {
+	ctx, cancel := context.WithTimeout(ctx, stepRequestTimeout)
 	defer cancel()
-	body, err := json.Marshal(r.request())
+	body, err := json.Marshal(r.buildRequest())
 	if err != nil {
 		return grant, err
 	}
@@ -100,40 +100,41 @@
 	return grant, json.NewDecoder(response.Body).Decode(&grant)
 }
 
-func (r *rank) request() engineapi.StepRequest {
+func (r *rank) buildRequest() engineapi.StepRequest {
 	step := r.group.Step()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return engineapi.StepRequest{
-		Group: r.name, Rank: r.number, Run: r.run,
+		Group: r.groupName, Rank: r.number, Run: r.run,
 		Step: step, Granted: r.granted,
 		Loaded: r.engine.maps.list(),
 	}
 }
 
-// take notes an answer and reports whether it grants steps.
-func (r *rank) take(grant engineapi.StepGrant) bool {
+// addGrant records a response of the agent and reports whether it grants steps.
+func (r *rank) addGrant(grant engineapi.StepGrant) bool {
 	step := r.group.Step()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.first = max(r.first, grant.First)
+	r.minStep = max(r.minStep, grant.First)
 	if grant.Until == 0 {
 		return false
 	}
 	r.grants = append(r.grants, grant)
 	r.granted = grant.Until - 1
-	r.askFrom = (step + r.granted) / 2
+	r.refillAt = (step + r.granted) / 2
 	return true
 }
 
 func (r *rank) firstStep() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.first
+	return r.minStep
 }
 
-// compute returns the time of a step under an epoch's map and counts its tokens.
-func (r *rank) compute(p *popularity, epoch uint64, tokenTime time.Duration) time.Duration {
+// compute returns the compute time of a step with an epoch's map and adds its tokens to the
+// counts.
+func (r *rank) compute(p *expertPopularity, epoch uint64, tokenTime time.Duration) time.Duration {
 	m, ok := r.engine.maps.get(epoch)
 	if !ok {
 		return 0
--- a/standin/rankgroup.go
+++ b/standin/rankgroup.go
@@ -11,62 +11,61 @@
 )
 
 const (
-	// holdPause is the time until a group that holds looks again.
-	holdPause = time.Millisecond
-	// Tokens of a step: each expert handles plainTokens, and the n-th most
-	// popular popularTokens/n more.
-	plainTokens   = 32
-	popularTokens = 512
+	// blockedRetryInterval is the delay before a group that could not step tries again.
+	blockedRetryInterval = time.Millisecond
+	// Tokens of a step: each expert handles baseTokens, and the n-th most popular expert an
+	// additional topExpertTokens/n.
+	baseTokens      = 32
+	topExpertTokens = 512
 )
 
-// RankGroupConfig describes a group of stand-in engines in lock-step.
+// RankGroupConfig configures a group of stand-in engines that run in lockstep.
 type RankGroupConfig struct {
-	// Name is the name of the group.
 	Name string
-	// Agents are the base URLs where the engines ask for steps, by rank.
+	// Agents are the base URLs at which the engines request steps, by rank.
 	Agents []string
-	// Experts is the number of experts of a layer.
+	// Experts is the number of experts per layer.
 	Experts int
-	// StepTime is the time of a step; TokenTime is what a token of a layer adds
-	// for its rank.
+	// StepTime is the base time of a step. TokenTime is the time that each token of a layer
+	// adds on its rank.
 	StepTime, TokenTime time.Duration
 }
 
-// RankGroup makes engines of one process the ranks of a group. Its steps are
-// listed by GET /standin/steps, and POST /standin/popularity moves the popularity
-// of the experts, at each engine.
+// RankGroup makes the engines of one process the ranks of a group. At each engine, GET
+// /standin/steps lists the group's steps and POST /standin/popularity changes the popularity of
+// the experts.
 type RankGroup struct {
 	cfg        RankGroupConfig
 	group      *Group
 	ranks      []*rank
-	popularity popularity
-	// ownSteps are the ranks' compute times in the last step. Only Run uses them.
+	popularity expertPopularity
+	// ownSteps holds the ranks' compute times in the last step. Only Run accesses it.
 	ownSteps []time.Duration
 }
 
-// Steps are the steps that a group has run.
+// Steps is the record of the steps that a group has run.
 type Steps struct {
-	// Next is the step that comes next.
+	// Next is the next step.
 	Next uint64 `json:"next"`
-	// Held is how often the group held for want of a permit.
+	// Blocked counts the attempts to step that failed because a rank had no permit.
 	Blocked int `json:"held"`
-	// Records are the steps so far, in runs with the same maps.
+	// Records are the steps so far, grouped into runs with the same maps.
 	Records []StepRecord `json:"records"`
 }
 
-// NewRankGroup returns the group of the engines, the first being rank 0.
+// NewRankGroup returns a group of the engines; engines[0] is rank 0.
 func NewRankGroup(cfg RankGroupConfig, engines []*Engine) *RankGroup {
-	g := &RankGroup{cfg: cfg, popularity: popularity{experts: cfg.Experts}, ownSteps: make([]time.Duration, len(engines))}
-	g.group = NewGroup(len(engines), func(rank int, step uint64) (uint64, bool) { return g.ranks[rank].permit(step) }, g.cost)
+	g := &RankGroup{cfg: cfg, popularity: expertPopularity{experts: cfg.Experts}, ownSteps: make([]time.Duration, len(engines))}
+	g.group = NewGroup(len(engines), func(rank int, step uint64) (uint64, bool) { return g.ranks[rank].permit(step) }, g.rankStepTime)
 	g.group.SetStep(0)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: len(engines)}}
 	for number, engine := range engines {
 		r := &rank{
-			number: number, name: cfg.Name, url: cfg.Agents[number], run: engine.cache.run,
-			engine: engine, group: g.group, client: client, low: make(chan struct{}, 1),
+			number: number, groupName: cfg.Name, url: cfg.Agents[number], run: engine.cache.run,
+			engine: engine, group: g.group, client: client, grantsLow: make(chan struct{}, 1),
 		}
 		g.ranks = append(g.ranks, r)
-		engine.ranked.Store(true)
+		engine.inRankGroup.Store(true)
 		engine.HandleFunc("GET /experts", r.serveExperts)
 		engine.HandleFunc("GET /standin/steps", g.serveSteps)
 		engine.HandleFunc("POST /standin/popularity", g.popularity.serve)
@@ -74,31 +73,31 @@
 	return g
 }
 
-// Run lets the group step until ctx ends.
+// Run advances the group until ctx ends.
 func (g *RankGroup) Run(ctx context.Context) {
-	var asking sync.WaitGroup
-	defer asking.Wait()
+	var requesters sync.WaitGroup
+	defer requesters.Wait()
 	for _, r := range g.ranks {
-		asking.Go(func() { r.askOn(ctx) })
+		requesters.Go(func() { r.requestSteps(ctx) })
 	}
-	for ctx.Err() == nil && !g.begin() {
-		time.Sleep(holdPause)
+	for ctx.Err() == nil && !g.setFirstStep() {
+		time.Sleep(blockedRetryInterval)
 	}
 	for ctx.Err() == nil {
-		took, ran := g.group.Advance()
+		elapsed, ran := g.group.Advance()
 		if !ran {
-			time.Sleep(holdPause)
+			time.Sleep(blockedRetryInterval)
 			continue
 		}
-		time.Sleep(took)
+		time.Sleep(elapsed)
 		for rank, own := range g.ownSteps {
-			g.ranks[rank].engine.steps.note(took, own)
+			g.ranks[rank].engine.steps.record(elapsed, own)
 		}
 	}
 }
 
-// begin sets the first step once all ranks know theirs.
-func (g *RankGroup) begin() bool {
+// setFirstStep sets the first step once all ranks know theirs. It returns false until then.
+func (g *RankGroup) setFirstStep() bool {
 	var first uint64
 	for _, r := range g.ranks {
 		step := r.firstStep()
@@ -111,18 +110,18 @@
 	return true
 }
 
-func (g *RankGroup) cost(rank int, _, epoch uint64) time.Duration {
+func (g *RankGroup) rankStepTime(rank int, _, epoch uint64) time.Duration {
 	g.ownSteps[rank] = g.cfg.StepTime + g.ranks[rank].compute(&g.popularity, epoch, g.cfg.TokenTime)
 	return g.ownSteps[rank]
 }
 
 func (g *RankGroup) serveSteps(w http.ResponseWriter, _ *http.Request) {
-	records, held := g.group.Records()
-	writeJSON(w, http.StatusOK, Steps{Next: g.group.Step(), Blocked: held, Records: records})
+	records, blocked := g.group.Records()
+	writeJSON(w, http.StatusOK, Steps{Next: g.group.Step(), Blocked: blocked, Records: records})
 }
 
-// popularity says how many tokens each expert handles in a step.
-type popularity struct {
+// expertPopularity determines how many tokens each expert handles in a step.
+type expertPopularity struct {
 	experts int
 	mu      sync.Mutex
 	shift   int
@@ -130,11 +129,11 @@
 
 // Popularity is the body of POST /standin/popularity.
 type Popularity struct {
-	// Shift is the number of the most popular expert.
+	// Shift is the index of the most popular expert.
 	Shift int `json:"shift"`
 }
 
-func (p *popularity) serve(w http.ResponseWriter, r *http.Request) {
+func (p *expertPopularity) serve(w http.ResponseWriter, r *http.Request) {
 	var body Popularity
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -145,9 +144,9 @@
 	p.shift = body.Shift
 }
 
-// count adds the tokens that a rank handles in a layer to the counts of its
-// experts and returns their sum. Replicas share an expert's tokens evenly.
-func (p *popularity) count(m group.Map, layer, rank int, counts []uint64) (total uint64) {
+// count adds the tokens that a rank handles in a layer to the counts of its experts and returns
+// their sum. The tokens of an expert are divided evenly among its replicas.
+func (p *expertPopularity) count(m group.Map, layer, rank int, counts []uint64) (total uint64) {
 	p.mu.Lock()
 	shift := p.shift
 	p.mu.Unlock()
@@ -161,8 +160,8 @@
 		if int(expert) >= p.experts {
 			continue
 		}
-		place := (int(expert) - shift%p.experts + p.experts) % p.experts
-		tokens := uint64(plainTokens+popularTokens/(place+1)) / replicas[expert]
+		position := (int(expert) - shift%p.experts + p.experts) % p.experts
+		tokens := uint64(baseTokens+topExpertTokens/(position+1)) / replicas[expert]
 		counts[expert] += tokens
 		total += tokens
 	}
--- a/standin/ranks.go
+++ b/standin/ranks.go
@@ -6,59 +6,58 @@
 	"time"
 )
 
-// Permit asks whether a rank may begin a step, and with the map of which epoch.
+// Permit reports whether a rank may begin a step, and the epoch of the map to use in it.
 type Permit func(rank int, step uint64) (epoch uint64, ok bool)
 
-// StepRecord says which map each rank used in a run of steps and how long they
-// took together. Steps that follow each other with the same epochs share one.
+// StepRecord records which map each rank used in a run of consecutive steps, and the total time
+// of these steps. Consecutive steps with the same epochs share a record.
 type StepRecord struct {
 	// From and To are the first and the last step.
 	From uint64 `json:"from"`
 	To   uint64 `json:"to"`
-	// Epochs are by rank.
+	// Epochs holds the epoch of each rank's map, by rank.
 	Epochs []uint64 `json:"epochs"`
-	// Time is the sum of the steps' times, in nanoseconds in JSON.
+	// Time is the total time of the steps, in nanoseconds in JSON.
 	Time time.Duration `json:"time_ns"`
 }
 
-// Group is a stand-in for ranks that run in lock-step, with a barrier after every
-// step: no rank begins a step before all have ended the one before, and the
-// slowest sets the pace.
+// Group simulates ranks that run in lockstep, with a barrier after every step: no rank begins a
+// step before all ranks have finished the previous one, and the slowest rank determines the
+// step time.
 type Group struct {
 	ranks  int
 	permit Permit
-	// cost returns the compute time of a rank in a step under an epoch's map.
+	// cost returns the compute time of a rank in a step with an epoch's map.
 	cost func(rank int, step, epoch uint64) time.Duration
 
 	mu      sync.Mutex
 	step    uint64
-	held    int
+	blocked int
 	records []StepRecord
 }
 
-// NewGroup returns a group at step 1.
+// NewGroup returns a group whose next step is 1.
 func NewGroup(ranks int, permit Permit, cost func(rank int, step, epoch uint64) time.Duration) *Group {
 	return &Group{ranks: ranks, permit: permit, cost: cost, step: 1}
 }
 
-// Step returns the step that comes next.
+// Step returns the next step.
 func (g *Group) Step() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.step
 }
 
-// SetStep says which step comes next.
+// SetStep sets the next step.
 func (g *Group) SetStep(step uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.step = step
 }
 
-// Advance asks every rank for its permit and runs one step if all have it. It
-// returns the time of the step; the caller lets that time pass. Without all
-// permits the group holds and ran is false.
-func (g *Group) Advance() (took time.Duration, ran bool) {
+// Advance requests every rank's permit and runs one step if all are given. It returns the time
+// of the step without waiting for it; the caller waits. If a permit is missing, ran is false.
+func (g *Group) Advance() (elapsed time.Duration, ran bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	epochs := make([]uint64, g.ranks)
@@ -69,32 +68,32 @@
 		ran = ran && ok
 	}
 	if !ran {
-		g.held++
+		g.blocked++
 		return 0, false
 	}
 	for rank, epoch := range epochs {
-		took = max(took, g.cost(rank, g.step, epoch))
+		elapsed = max(elapsed, g.cost(rank, g.step, epoch))
 	}
-	g.record(epochs, took)
+	g.record(epochs, elapsed)
 	g.step++
-	return took, true
+	return elapsed, true
 }
 
-func (g *Group) record(epochs []uint64, took time.Duration) {
+func (g *Group) record(epochs []uint64, elapsed time.Duration) {
 	if n := len(g.records); n > 0 {
 		last := &g.records[n-1]
 		if last.To+1 == g.step && slices.Equal(last.Epochs, epochs) {
 			last.To = g.step
-			last.Time += took
+			last.Time += elapsed
 			return
 		}
 	}
-	g.records = append(g.records, StepRecord{From: g.step, To: g.step, Epochs: epochs, Time: took})
+	g.records = append(g.records, StepRecord{From: g.step, To: g.step, Epochs: epochs, Time: elapsed})
 }
 
-// Records returns the steps so far and how often the group held.
-func (g *Group) Records() (records []StepRecord, held int) {
+// Records returns the steps so far and the number of attempts that were blocked.
+func (g *Group) Records() (records []StepRecord, blocked int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return append([]StepRecord{}, g.records...), g.held
+	return append([]StepRecord{}, g.records...), g.blocked
 }
--- a/standin/service.go
+++ b/standin/service.go
@@ -8,26 +8,24 @@
 	"time"
 )
 
-// HeaderKey names the idempotency key that a call of a service carries.
+// HeaderIdempotencyKey names the header with the idempotency key of a service call.
 const HeaderIdempotencyKey = "Idempotency-Key"
 
-// Effect is one run of a call that changes something.
+// Effect is one execution of a call that changes state.
 type Effect struct {
-	// Path is the path of the URL.
 	Path string `json:"path"`
 	// Key is the idempotency key, empty if the call had none.
-	Key string `json:"key"`
-	// Body is the body of the call.
+	Key  string `json:"key"`
 	Body string `json:"body"`
 }
 
-// Service is a stand-in for a plain service. Every POST or PUT below any path is
-// an effect, which is recorded each time it runs; GET of the same path lists
-// the effects. It is an http.Handler.
+// Service is a stand-in for a plain service. Every POST or PUT, on any path, is an effect,
+// which is recorded each time it runs. A GET of the same path lists the effects. Service
+// implements http.Handler.
 type Service struct {
 	http.ServeMux
 	delay    time.Duration
-	faults   faultSwitch
+	faults   faultState
 	arrivals arrivals
 
 	mu      sync.Mutex
@@ -38,37 +36,37 @@
 func NewService(delay time.Duration) *Service {
 	s := &Service{delay: delay}
 	s.HandleFunc("POST /standin/faults", s.faults.serve)
-	s.HandleFunc("GET /standin/arrivals", s.arrivals.serve)
+	s.HandleFunc("GET /standin/arrivals", s.arrivals.serveMax)
 	s.HandleFunc("GET /standin/paused", s.faults.pauses.serve)
 	s.HandleFunc("GET /", s.list)
-	s.HandleFunc("POST /", s.act)
-	s.HandleFunc("PUT /", s.act)
+	s.HandleFunc("POST /", s.handleCall)
+	s.HandleFunc("PUT /", s.handleCall)
 	return s
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.arrivals.note(r)
-	s.faults.name(w)
-	if s.faults.rejects(w, r) {
+	s.arrivals.record(r)
+	s.faults.setHeaders(w)
+	if s.faults.reject(w, r) {
 		return
 	}
 	s.ServeMux.ServeHTTP(w, r)
 }
 
-// MostArrivals returns the greatest number of requests that came within any window since a
-// time.
+// MaxArrivals returns the largest number of requests that arrived within any window of the
+// given length since a time.
 func (s *Service) MaxArrivals(since time.Time, window time.Duration) int {
-	return s.arrivals.most(since, window)
+	return s.arrivals.maxInWindow(since, window)
 }
 
-// SetFaults switches faults on or off.
+// SetFaults replaces the injected faults.
 func (s *Service) SetFaults(f Faults) { s.faults.set(f) }
 
-// Faults returns the present faults.
+// Faults returns the faults that are currently injected.
 func (s *Service) Faults() Faults { return s.faults.get() }
 
-// Effects returns what has run, in order.
+// Effects returns the effects in the order in which they ran.
 func (s *Service) Effects() []Effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,14 +83,14 @@
 	writeJSON(w, http.StatusOK, matching)
 }
 
-func (s *Service) act(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	if f := s.faults.get(); f.Status != 0 {
-		http.Error(w, "switched fault", f.Status)
+		http.Error(w, "injected fault", f.Status)
 		return
 	}
 	number := s.record(Effect{Path: r.URL.Path, Key: r.Header.Get(HeaderIdempotencyKey), Body: string(body)})
@@ -100,10 +98,10 @@
 	if !s.faults.waitStall(r) {
 		return
 	}
-	answer := encode(map[string]any{"done": string(body), "number": number})
+	response := encode(map[string]any{"done": string(body), "number": number})
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
-	_, _ = (&cutWriter{ResponseWriter: w, faults: &s.faults}).Write(answer)
+	w.Header().Set("Content-Length", strconv.Itoa(len(response)))
+	_, _ = (&abortingWriter{ResponseWriter: w, faults: &s.faults}).Write(response)
 }
 
 func (s *Service) record(effect Effect) int {
--- a/standin/slots.go
+++ b/standin/slots.go
@@ -6,14 +6,14 @@
 	"sync"
 )
 
-// slots are the places in the running batch. Calls that wait for one are
-// served by priority, then in order of arrival.
+// slots limits the number of calls in the running batch. Waiting calls get a slot by priority,
+// then in order of arrival.
 type slots struct {
-	mu      sync.Mutex
-	free    int
-	total   int
-	arrived int
-	queue   waiters
+	mu           sync.Mutex
+	free         int
+	total        int
+	arrivalCount int
+	queue        waiters
 }
 
 type waiter struct {
@@ -24,7 +24,7 @@
 
 func newSlots(total int) *slots { return &slots{free: total, total: total} }
 
-// acquire waits for a slot; it reports false if ctx ended first.
+// acquire waits for a slot. It returns false if ctx ended first.
 func (s *slots) acquire(ctx context.Context, priority int) bool {
 	s.mu.Lock()
 	if s.free > 0 {
@@ -32,8 +32,8 @@
 		s.mu.Unlock()
 		return true
 	}
-	s.arrived++
-	w := &waiter{priority: priority, arrival: s.arrived, ready: make(chan struct{})}
+	s.arrivalCount++
+	w := &waiter{priority: priority, arrival: s.arrivalCount, ready: make(chan struct{})}
 	heap.Push(&s.queue, w)
 	s.mu.Unlock()
 	select {
@@ -52,16 +52,16 @@
 		heap.Remove(&s.queue, w.index)
 		return
 	}
-	s.handOn()
+	s.grantNext()
 }
 
 func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.handOn()
+	s.grantNext()
 }
 
-func (s *slots) handOn() {
+func (s *slots) grantNext() {
 	if len(s.queue) == 0 {
 		s.free++
 		return
@@ -75,7 +75,7 @@
 	return s.total - s.free, len(s.queue)
 }
 
-// waiters is a heap by priority and arrival.
+// waiters is a heap ordered by descending priority, then by arrival.
 type waiters []*waiter
 
 func (q waiters) Len() int { return len(q) }
--- a/standin/steptimes.go
+++ b/standin/steptimes.go
@@ -6,67 +6,68 @@
 )
 
 const (
-	// stepWeight is the weight of a new step in the mean that is reported.
+	// stepWeight is the weight of a new step in the moving averages that are reported.
 	stepWeight = 0.25
-	// stepMemory is how long after its last step an engine reports step times.
-	stepMemory = 2 * time.Second
+	// stepTimeTTL is how long after its last step an idle engine reports step times.
+	stepTimeTTL = 2 * time.Second
 )
 
-// stepTimes are the times of an engine's recent steps: as the engine of a group
-// those of the group and its own, otherwise the time of a token.
+// stepTimes holds moving averages of an engine's step times. For an engine in a rank group,
+// step is the time of the group's steps and own that of its own part; otherwise both are the
+// time per token.
 type stepTimes struct {
 	mu        sync.Mutex
 	step, own time.Duration
-	// ended is when the last step ended, begun when the next one began.
-	ended, begun time.Time
-	// calls is the number of calls that have begun and not ended.
+	// lastEnd is when the last step ended, currentStart when the current one started.
+	lastEnd, currentStart time.Time
+	// calls is the number of calls in flight.
 	calls int
 }
 
-// enter notes that a call has begun, which ends the idleness of the engine.
-func (s *stepTimes) enter() {
+// callStarted records the start of a call. If the engine was idle, a step starts with it.
+func (s *stepTimes) callStarted() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.calls == 0 {
-		s.begun = time.Now()
+		s.currentStart = time.Now()
 	}
 	s.calls++
 }
 
-func (s *stepTimes) leave() {
+func (s *stepTimes) callEnded() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls--
 }
 
-// note takes in a step that has just ended.
-func (s *stepTimes) note(step, own time.Duration) {
+// record adds a step that has just ended.
+func (s *stepTimes) record(step, own time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended.IsZero() {
+	if s.lastEnd.IsZero() {
 		s.step, s.own = step, own
 	}
 	s.step += time.Duration(stepWeight * float64(step-s.step))
 	s.own += time.Duration(stepWeight * float64(own-s.own))
-	s.ended = time.Now()
-	s.begun = s.ended
+	s.lastEnd = time.Now()
+	s.currentStart = s.lastEnd
 }
 
-// recent returns the means, zero when there has been no step lately. A step that
-// is under way counts with its time so far if that is longer; of a rank's own
-// time it is part only if the rank itself has stalled.
+// recent returns the averages, or zero if an idle engine has had no step within stepTimeTTL. If
+// the elapsed time of the running step exceeds the average, it is returned instead; for a
+// rank's own time, only if the rank itself is stalled.
 func (s *stepTimes) recent(ranked, stalled bool) (step, own time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.calls > 0 || ranked && !s.begun.IsZero() {
-		soFar := time.Since(s.begun)
-		step = max(s.step, soFar)
+	if s.calls > 0 || ranked && !s.currentStart.IsZero() {
+		elapsed := time.Since(s.currentStart)
+		step = max(s.step, elapsed)
 		if ranked && !stalled {
 			return step, s.own
 		}
-		return step, max(s.own, soFar)
+		return step, max(s.own, elapsed)
 	}
-	if time.Since(s.ended) > stepMemory {
+	if time.Since(s.lastEnd) > stepTimeTTL {
 		return 0, 0
 	}
 	return s.step, s.own
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// defaultTokens is the length of an answer whose request states none.
+	// defaultTokens is the length of a response if the request does not set max_tokens.
 	defaultTokens = 16
-	// maxStreams bounds the answers that can be resumed.
+	// maxStreams bounds the number of responses kept for resumption.
 	maxStreams = 1024
-	// eventEnd ends a server-sent event.
+	// eventEnd terminates a server-sent event.
 	eventEnd = "\n\n"
 )
 
-// streams remembers answers so that cut ones can be resumed.
+// streams stores response bodies so that interrupted responses can be resumed.
 type streams struct {
 	mu     sync.Mutex
 	next   int
-	order  []string
+	ids    []string
 	bodies map[string][]byte
 }
 
-// open returns the id of the answer and its parts from offset on. A request
-// that names a stream resumes it; ok is false if the stream is not known.
+// open returns the stream ID of the response and its events from offset on. A request with an
+// ID resumes that stream; the last result is false if the stream or the offset is unknown.
 func (s *streams) open(request completionRequest, path, id string, offset int) (string, [][]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,46 +35,46 @@
 		if !known || offset < 0 || offset > len(body) {
 			return "", nil, false
 		}
-		return id, splitParts(body[offset:]), true
+		return id, splitEvents(body[offset:]), true
 	}
 	s.next++
 	id = fmt.Sprintf("stream-%d", s.next)
-	body := answerBody(request, path, id)
+	body := responseBody(request, path, id)
 	s.bodies[id] = body
-	s.order = append(s.order, id)
-	if len(s.order) > maxStreams {
-		delete(s.bodies, s.order[0])
-		s.order = s.order[1:]
+	s.ids = append(s.ids, id)
+	if len(s.ids) > maxStreams {
+		delete(s.bodies, s.ids[0])
+		s.ids = s.ids[1:]
 	}
-	return id, splitParts(body), true
+	return id, splitEvents(body), true
 }
 
-// splitParts cuts a body after each event.
-func splitParts(body []byte) [][]byte {
-	parts := bytes.SplitAfter(body, []byte(eventEnd))
-	if last := len(parts) - 1; len(parts[last]) == 0 {
-		parts = parts[:last]
+// splitEvents splits a body after each event.
+func splitEvents(body []byte) [][]byte {
+	events := bytes.SplitAfter(body, []byte(eventEnd))
+	if last := len(events) - 1; len(events[last]) == 0 {
+		events = events[:last]
 	}
-	return parts
+	return events
 }
 
-// answerBody makes the whole answer: words that quote the prompt's first words,
-// so that a caller can tell its own answer from another's.
-func answerBody(request completionRequest, path, id string) []byte {
-	words := answerWords(request)
+// responseBody builds the complete response. Its tokens repeat the first words of the prompt,
+// so that callers can recognize the response to their own request.
+func responseBody(request completionRequest, path, id string) []byte {
+	words := responseTokens(request)
 	chat := strings.HasSuffix(path, "/chat/completions")
 	if !request.Stream {
-		return encode(completion(request, chat, id, strings.Join(words, ""), "stop"))
+		return encode(newCompletion(request, chat, id, strings.Join(words, ""), "stop"))
 	}
 	var body bytes.Buffer
 	for _, word := range words {
-		fmt.Fprintf(&body, "data: %s%s", encode(completion(request, chat, id, word, "")), eventEnd)
+		fmt.Fprintf(&body, "data: %s%s", encode(newCompletion(request, chat, id, word, "")), eventEnd)
 	}
 	body.WriteString("data: [DONE]" + eventEnd)
 	return body.Bytes()
 }
 
-func answerWords(request completionRequest) []string {
+func responseTokens(request completionRequest) []string {
 	prompt := strings.Fields(request.prompt())
 	words := make([]string, request.MaxTokens)
 	for i := range words {
@@ -86,9 +86,9 @@
 	return words
 }
 
-// Shapes of an OpenAI answer.
+// OpenAI response types.
 type (
-	completionAnswer struct {
+	completionResponse struct {
 		ID      string   `json:"id"`
 		Object  string   `json:"object"`
 		Model   string   `json:"model"`
@@ -112,24 +112,24 @@
 	}
 )
 
-func completion(request completionRequest, chat bool, id, text, finish string) completionAnswer {
-	answer := completionAnswer{ID: id, Object: "text_completion", Model: request.Model}
-	part := choice{FinishReason: finish}
+func newCompletion(request completionRequest, chat bool, id, text, finish string) completionResponse {
+	response := completionResponse{ID: id, Object: "text_completion", Model: request.Model}
+	c := choice{FinishReason: finish}
 	switch {
 	case !chat:
-		part.Text = text
+		c.Text = text
 	case request.Stream:
-		answer.Object = "chat.completion.chunk"
-		part.Delta = &message{Content: text}
+		response.Object = "chat.completion.chunk"
+		c.Delta = &message{Content: text}
 	default:
-		answer.Object = "chat.completion"
-		part.Message = &message{Role: "assistant", Content: text}
+		response.Object = "chat.completion"
+		c.Message = &message{Role: "assistant", Content: text}
 	}
 	if !request.Stream {
-		answer.Usage = &usage{PromptTokens: len(strings.Fields(request.prompt())), CompletionTokens: request.MaxTokens}
+		response.Usage = &usage{PromptTokens: len(strings.Fields(request.prompt())), CompletionTokens: request.MaxTokens}
 	}
-	answer.Choices = []choice{part}
-	return answer
+	response.Choices = []choice{c}
+	return response
 }
 
 func encode(value any) []byte {
