--- a/proof/page/page.go
+++ b/proof/page/page.go
@@ -1,4 +1,4 @@
-// Package page turns the log of a test run into the page of proofs.
+// Package page generates docs/PROOF.md from the log of a test run.
 package page
 
 import (
@@ -13,20 +13,20 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// maxLine bounds one line of the test log, in bytes.
+// maxLine bounds the length of a line of the test log, in bytes.
 const maxLine = 16 << 20
 
-// Test is one test that logged cells, and how it ended.
+// Test is a test that logged cells, and its result.
 type Test struct {
-	// Name is the package path below the module and the test's name.
+	// Name is the package path relative to the module, followed by the test's name.
 	Name string
-	// Passed is false for a test that failed, was skipped or did not end.
+	// Passed is false for a test that failed, was skipped or did not finish.
 	Passed bool
-	// Cells are what it said that it proves.
+	// Cells are the cells that the test logged.
 	Cells []proof.Cell
 }
 
-// event is one line of `go test -json`.
+// event is a line of `go test -json` output.
 type event struct {
 	Action  string
 	Package string
@@ -34,7 +34,7 @@
 	Output  string
 }
 
-// Read collects the tests with cells from the output of `go test -json`.
+// Read collects the tests that logged cells from the output of `go test -json`.
 func Read(r io.Reader) ([]Test, error) {
 	tests := map[string]*Test{}
 	lines := bufio.NewScanner(r)
@@ -44,15 +44,15 @@
 		if json.Unmarshal(lines.Bytes(), &e) != nil {
 			continue
 		}
-		if err := record(tests, e); err != nil {
+		if err := addEvent(tests, e); err != nil {
 			return nil, err
 		}
 	}
-	return sorted(tests), lines.Err()
+	return sortedTests(tests), lines.Err()
 }
 
-// record adds one event to the tests.
-func record(tests map[string]*Test, e event) error {
+// addEvent adds an event to the tests.
+func addEvent(tests map[string]*Test, e event) error {
 	if e.Test == "" {
 		return nil
 	}
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// sorted returns the tests that logged cells, by name.
-func sorted(tests map[string]*Test) []Test {
+// sortedTests returns the tests that logged cells, sorted by name.
+func sortedTests(tests map[string]*Test) []Test {
 	var list []Test
 	for _, test := range tests {
 		if len(test.Cells) > 0 {
@@ -89,100 +89,100 @@
 	return list
 }
 
-// state is how far a cell of the matrix is proved.
+// state says how far a cell of the matrix is proved.
 type state int
 
 const (
 	notProved state = iota
-	impossible
-	unguarded
+	notApplicable
+	guardNotTried
 	failing
 	proved
 )
 
-var marks = map[state]string{notProved: "–", impossible: "n/a", unguarded: "(yes)", failing: "FAILS", proved: "yes"}
+var stateText = map[state]string{notProved: "–", notApplicable: "n/a", guardNotTried: "(yes)", failing: "FAILS", proved: "yes"}
 
-// key names one cell of the matrix.
-type key struct {
+// cellKey identifies a cell of the matrix.
+type cellKey struct {
 	promise proof.Promise
 	fault   proof.Fault
 }
 
-// Write prints the page: counts, the matrix, and the tests behind it.
+// Write writes the page: the counts, the matrix and the tests.
 func Write(w io.Writer, tests []Test) error {
-	matrix := fill(tests)
+	matrix := buildMatrix(tests)
 	var b strings.Builder
-	writeHead(&b, matrix)
+	writeHeader(&b, matrix)
 	writeMatrix(&b, matrix)
-	writeImpossible(&b, matrix)
+	writeNotApplicable(&b, matrix)
 	writePairs(&b, tests)
 	writeTests(&b, tests)
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-// fill computes the state of every cell: a failing test outweighs all, then a
-// test whose guard was shown to matter, then one whose guard was not tried, then
-// the reason why there can be none.
-func fill(tests []Test) map[key]state {
-	matrix := map[key]state{}
+// buildMatrix computes the state of every cell. A failing test takes precedence, then a test
+// that was shown to fail without its guard, then one for which this was not tried, then the
+// reason why the cell does not apply.
+func buildMatrix(tests []Test) map[cellKey]state {
+	matrix := map[cellKey]state{}
 	for _, promise := range proof.Promises {
 		for _, fault := range proof.Faults {
 			if proof.NotApplicable(promise, fault) != "" {
-				matrix[key{promise, fault}] = impossible
+				matrix[cellKey{promise, fault}] = notApplicable
 			}
 		}
 	}
 	for _, test := range tests {
 		for _, cell := range test.Cells {
 			for _, fault := range cell.Faults {
-				at := key{cell.Promise, fault}
-				matrix[at] = worse(matrix[at], cellState(test, cell))
+				at := cellKey{cell.Promise, fault}
+				matrix[at] = combine(matrix[at], cellState(test, cell))
 			}
 		}
 	}
 	return matrix
 }
 
-// cellState is the state that one test gives a cell.
+// cellState returns the state that one test gives a cell.
 func cellState(test Test, cell proof.Cell) state {
 	switch {
 	case !test.Passed:
 		return failing
 	case cell.Guard == "":
-		return unguarded
+		return guardNotTried
 	default:
 		return proved
 	}
 }
 
-// worse joins the states that two tests give the same cell.
-func worse(a, b state) state {
+// combine merges the states that two tests give the same cell.
+func combine(a, b state) state {
 	if a == failing || b == failing {
 		return failing
 	}
 	return max(a, b)
 }
 
-func writeHead(b *strings.Builder, matrix map[key]state) {
+func writeHeader(b *strings.Builder, matrix map[cellKey]state) {
 	counts := map[state]int{}
 	for _, promise := range proof.Promises {
 		for _, fault := range proof.Faults {
-			counts[matrix[key{promise, fault}]]++
+			counts[matrix[cellKey{promise, fault}]]++
 		}
 	}
-	b.WriteString("# What is proved, and by which test\n\n")
-	b.WriteString("Made from the tests' own log; do not edit. Make it anew with\n")
+	b.WriteString("# Fault matrix: what is proved, and by which test\n\n")
+	b.WriteString("Generated from the log of a test run; do not edit. Regenerate it with\n")
 	b.WriteString("`go test -count=1 -json ./... | go run ./cmd/lilackeel-proof > docs/PROOF.md`.\n\n")
-	b.WriteString("A cell says *yes* when a test that brings about this fault passed and was shown to fail with its guard\n")
-	b.WriteString("taken out, *(yes)* when the test passed but no guard was taken out, *FAILS* when a test failed, and – when\n")
-	b.WriteString("nothing proves it. A – is not a claim that the promise breaks; it says that no test shows that it holds.\n")
-	b.WriteString("*n/a* marks a fault that cannot touch the promise, for the reason given below.\n\n")
-	fmt.Fprintf(b, "Cells: %d proved, %d passed without a guard taken out, %d failing, %d not proved, %d not applicable.\n\n",
-		counts[proved], counts[unguarded], counts[failing], counts[notProved], counts[impossible])
+	b.WriteString("A cell is *yes* if a test that injects this fault passed and was shown to fail with its guard\n")
+	b.WriteString("removed, *(yes)* if the test passed but no guard was removed, *FAILS* if a test failed, and – if\n")
+	b.WriteString("no test covers it. A – does not mean that the promise is broken, only that no test shows that it holds.\n")
+	b.WriteString("*n/a* marks a fault that cannot affect the promise, for the reason given below.\n\n")
+	fmt.Fprintf(b, "Cells: %d proved, %d passed without a guard removed, %d failing, %d not proved, %d not applicable.\n\n",
+		counts[proved], counts[guardNotTried], counts[failing], counts[notProved], counts[notApplicable])
 }
 
-func writeMatrix(b *strings.Builder, matrix map[key]state) {
+func writeMatrix(b *strings.Builder, matrix map[cellKey]state) {
 	b.WriteString("| fault |")
 	for _, promise := range proof.Promises {
 		fmt.Fprintf(b, " %s |", promise)
@@ -191,26 +191,26 @@
 	for _, fault := range proof.Faults {
 		fmt.Fprintf(b, "| %s |", fault)
 		for _, promise := range proof.Promises {
-			fmt.Fprintf(b, " %s |", marks[matrix[key{promise, fault}]])
+			fmt.Fprintf(b, " %s |", stateText[matrix[cellKey{promise, fault}]])
 		}
 		b.WriteString("\n")
 	}
 }
 
-// writeImpossible gives the reasons of the cells that are not applicable.
-func writeImpossible(b *strings.Builder, matrix map[key]state) {
+// writeNotApplicable lists the cells that do not apply, with the reasons.
+func writeNotApplicable(b *strings.Builder, matrix map[cellKey]state) {
 	b.WriteString("\nNot applicable:\n\n")
 	for _, promise := range proof.Promises {
 		for _, fault := range proof.Faults {
-			if matrix[key{promise, fault}] == impossible {
+			if matrix[cellKey{promise, fault}] == notApplicable {
 				fmt.Fprintf(b, "- %s, %s: %s.\n", promise, fault, proof.NotApplicable(promise, fault))
 			}
 		}
 	}
 }
 
-// writePairs counts the pairs of faults that come together in one test that
-// passed and whose guard was shown to matter.
+// writePairs counts the pairs of faults that are combined in a test which passed and was shown
+// to fail without its guard.
 func writePairs(b *strings.Builder, tests []Test) {
 	pairs := map[proof.Promise]map[[2]proof.Fault]bool{}
 	for _, test := range tests {
@@ -220,14 +220,14 @@
 			}
 		}
 	}
-	all := len(proof.Faults) * (len(proof.Faults) - 1) / 2
-	fmt.Fprintf(b, "\nPairs of different faults that come in one proved test, of %d:\n\n| promise | pairs |\n|---|---|\n", all)
+	total := len(proof.Faults) * (len(proof.Faults) - 1) / 2
+	fmt.Fprintf(b, "\nPairs of different faults that a proved test combines, out of %d:\n\n| promise | pairs |\n|---|---|\n", total)
 	for _, promise := range proof.Promises {
 		fmt.Fprintf(b, "| %s | %d |\n", promise, len(pairs[promise]))
 	}
 }
 
-// addPairs adds the pairs of a cell, each in the order of the page.
+// addPairs adds the pairs of faults of a cell, each in the order of the page.
 func addPairs(pairs map[proof.Promise]map[[2]proof.Fault]bool, cell proof.Cell) {
 	if pairs[cell.Promise] == nil {
 		pairs[cell.Promise] = map[[2]proof.Fault]bool{}
@@ -245,28 +245,28 @@
 	b.WriteString("\n## The tests\n\n| test | promise | faults | at which step | guard whose removal made it fail |\n|---|---|---|---|---|\n")
 	for _, test := range tests {
 		for _, cell := range test.Cells {
-			fmt.Fprintf(b, "| `%s`%s | %s | %s | %s | %s |\n", test.Name, outcome(test), cell.Promise,
-				faults(cell), cell.Step, guard(cell))
+			fmt.Fprintf(b, "| `%s`%s | %s | %s | %s | %s |\n", test.Name, failureNote(test), cell.Promise,
+				faultList(cell), cell.Step, guardText(cell))
 		}
 	}
 }
 
-func outcome(test Test) string {
+func failureNote(test Test) string {
 	if test.Passed {
 		return ""
 	}
 	return " **FAILS**"
 }
 
-func guard(cell proof.Cell) string {
+func guardText(cell proof.Cell) string {
 	if cell.Guard == "" {
 		return "not tried"
 	}
 	return cell.Guard
 }
 
-// faults lists the faults of a cell, with how they come.
-func faults(cell proof.Cell) string {
+// faultList formats the faults of a cell and how the test injects them.
+func faultList(cell proof.Cell) string {
 	names := make([]string, len(cell.Faults))
 	for i, fault := range cell.Faults {
 		names[i] = string(fault)
--- a/proof/proof.go
+++ b/proof/proof.go
@@ -1,9 +1,9 @@
-// Package proof lets a test say which cell of the fault matrix it proves.
+// Package proof lets a test declare which cells of the fault matrix it covers.
 //
-// The matrix has the promises of the product as rows and the faults as
-// columns. A test logs its cells while it runs; cmd/lilackeel-proof turns the
-// log of a whole test run into docs/PROOF.md, so that the page can only list
-// what a test that passed has said.
+// The rows of the matrix are the guarantees of the product and the columns are faults. A test
+// logs its cells while it runs. cmd/lilackeel-proof generates docs/PROOF.md from the log of a
+// complete test run, so that the page lists only what tests have logged, together with whether
+// they passed.
 package proof
 
 import (
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-// Promise is one row of the matrix.
+// Promise is a guarantee of the product, a row of the matrix.
 type Promise string
 
-// The promises that must always hold.
+// The guarantees that must hold under every fault.
 const (
 	OneMapPerStep        Promise = "one expert map per step"
 	ResponseIntegrity    Promise = "own whole answer"
@@ -28,10 +28,10 @@
 // Promises lists the rows in the order of the page.
 var Promises = []Promise{OneMapPerStep, ResponseIntegrity, NotRun, AtMostOnce, Leaving, GracefulShutdown, DurableConfiguration}
 
-// Fault is one column of the matrix.
+// Fault is a column of the matrix.
 type Fault string
 
-// The faults that a test may bring about.
+// The faults that a test may inject.
 const (
 	None                    Fault = "none"
 	Kill                    Fault = "kill"
@@ -61,40 +61,41 @@
 	ResentIntents, SecondLoss, RestartAfterManyChanges,
 }
 
-// notApplicable gives the reason why a fault cannot touch a promise, for the few
-// cells where that is so. A fault that merely has not been tried is not here.
+// notApplicable gives the reason why a fault cannot affect a promise, for the few cells where
+// that is so. Faults that have merely not been tested are not listed.
 var notApplicable = map[Promise]map[Fault]string{
 	OneMapPerStep: {
-		ConcurrentOperators: "operators state policies; maps begin and are decided by the coordinator's entries alone",
-		ResentIntents:       "an intent carries no map; maps begin and are decided by the coordinator's entries alone",
+		ConcurrentOperators: "operators set policies only; map switches begin and are decided solely by the coordinator's log entries",
+		ResentIntents:       "an intent carries no map; map switches begin and are decided solely by the coordinator's log entries",
 	},
 	AtMostOnce: {
-		StalledRank: "calls that may not be repeated go to plain services, which are no ranks of a group",
+		StalledRank: "non-idempotent calls go to plain services, which are not ranks of a group",
 	},
 }
 
-// NotApplicable returns why a fault cannot touch a promise, or nothing.
+// NotApplicable returns the reason why a fault cannot affect a promise, or an empty string if
+// it can.
 func NotApplicable(promise Promise, fault Fault) string {
 	return notApplicable[promise][fault]
 }
 
-// Marker starts the log line of a cell.
+// Marker is the prefix of a cell in the test log.
 const Marker = "proof-cell "
 
-// Cell is what one test proves: a promise under faults at a step.
+// Cell is what a test shows: that a promise holds under the given faults at a step of the
+// protocol.
 type Cell struct {
-	// Promise is the row.
 	Promise Promise `json:"promise"`
-	// Faults are brought about by the test, singly or together.
+	// Faults are injected by the test, one at a time or combined.
 	Faults []Fault `json:"faults"`
-	// Step of the protocol at which they come, or "every step".
+	// Step is the step of the protocol at which the faults occur, or "every step".
 	Step string `json:"step"`
-	// Guard is the piece of code whose removal made the test fail; empty if
-	// that was not tried, and then the cell does not count as proved.
+	// Guard is the code whose removal made the test fail. If it is empty, this was not tried
+	// and the cell does not count as proved.
 	Guard string `json:"guard"`
-	// Together is true when the faults come in combination.
+	// Combined is true if the faults occur in combination.
 	Combined bool `json:"together"`
-	// Real is true when the test drives separate processes.
+	// SeparateProcesses is true if the test runs the daemons as separate processes.
 	SeparateProcesses bool `json:"real"`
 }
 
