--- a/cmd/lilackeel-agent/main.go
+++ b/cmd/lilackeel-agent/main.go
@@ -1,5 +1,5 @@
-// Command lilackeel-agent is the gate before the endpoints of one host: it
-// announces them, admits calls and orders to them, and reports on them.
+// Command lilackeel-agent runs in front of the endpoints of one host: it announces them, admits
+// calls and orders to them, and reports their load.
 package main
 
 import (
--- a/cmd/lilackeel-control/main.go
+++ b/cmd/lilackeel-control/main.go
@@ -1,5 +1,5 @@
-// Command lilackeel-control is a control replica: it keeps the replicated log of
-// what operators accepted, and carries it to the fleet.
+// Command lilackeel-control runs a control replica: it keeps the replicated log of accepted
+// configuration changes and distributes them to the fleet.
 package main
 
 import (
--- a/cmd/lilackeel-entry/main.go
+++ b/cmd/lilackeel-entry/main.go
@@ -1,5 +1,5 @@
-// Command lilackeel-entry terminates callers' HTTP and brings each request to
-// its answer. Its settings are listed by -help.
+// Command lilackeel-entry terminates callers' HTTP connections and routes each request to an
+// endpoint. Run it with -help for its settings.
 package main
 
 import (
--- a/cmd/lilackeel-measure/main.go
+++ b/cmd/lilackeel-measure/main.go
@@ -1,8 +1,8 @@
-// Command lilackeel-measure makes the figures and generated pages under docs/.
-// The same seed gives the same decisions; what is measured in processor time or
-// on the clock differs from machine to machine, and the pages say so.
+// Command lilackeel-measure generates the measurement results and generated pages in docs/. The
+// same seed gives the same decisions; CPU and wall-clock times differ between machines, and the
+// pages say so.
 //
-// Usage: lilackeel-measure [-seed N] [-out DIR] WHAT
+// Usage: lilackeel-measure [-seed N] [-out DIR] MEASUREMENT
 package main
 
 import (
@@ -23,10 +23,10 @@
 	"github.com/lilackeel/lilackeel/measure/settings"
 )
 
-// defaultSeed is the seed behind the figures in docs/.
+// defaultSeed is the seed used for the results in docs/.
 const defaultSeed = 20261202
 
-// measurement writes its figures to w and its files into outDir.
+// measurement writes its results to w and its files to outDir.
 type measurement func(w io.Writer, seed uint64, outDir string) error
 
 var measurements = map[string]measurement{
@@ -40,7 +40,7 @@
 
 func main() {
 	seed := flag.Uint64("seed", defaultSeed, "seed of all random choices")
-	out := flag.String("out", "docs", "folder for tables and plots; each measurement has its own folder in it")
+	out := flag.String("out", "docs", "directory for tables and plots; each measurement writes to a subdirectory of its own")
 	flag.Usage = usage
 	flag.Parse()
 	if err := run(flag.Arg(0), *seed, *out); err != nil {
@@ -49,16 +49,16 @@
 	}
 }
 
-func run(what string, seed uint64, out string) error {
-	measure, known := measurements[what]
+func run(name string, seed uint64, out string) error {
+	measure, known := measurements[name]
 	if !known {
-		return fmt.Errorf("nothing is called %q; choose one of %s", what, names())
+		return fmt.Errorf("unknown measurement %q; choose one of %s", name, names())
 	}
-	return measure(os.Stdout, seed, filepath.Join(out, what))
+	return measure(os.Stdout, seed, filepath.Join(out, name))
 }
 
 func usage() {
-	fmt.Fprintf(os.Stderr, "usage: lilackeel-measure [-seed N] [-out DIR] WHAT, one of %s\n", names())
+	fmt.Fprintf(os.Stderr, "usage: lilackeel-measure [-seed N] [-out DIR] MEASUREMENT, one of %s\n", names())
 	flag.PrintDefaults()
 }
 
--- a/cmd/lilackeel-platform/main.go
+++ b/cmd/lilackeel-platform/main.go
@@ -1,6 +1,6 @@
-// Command lilackeel-platform runs a daemon of lilackeel on the users' platform.
-// The first argument names its role, the others are its settings, which
-// "lilackeel-platform ROLE -help" lists.
+// Command lilackeel-platform runs a lilackeel daemon on the users' platform. The first argument
+// is the daemon's role, the others are its settings, which "lilackeel-platform ROLE -help"
+// lists.
 package main
 
 import (
--- a/cmd/lilackeelctl/main.go
+++ b/cmd/lilackeelctl/main.go
@@ -1,5 +1,5 @@
-// Command lilackeelctl is the operators' tool: it states intents, shows their
-// plans, confirms them and follows them to their end.
+// Command lilackeelctl is the operator CLI: it submits intents, shows their plans, confirms
+// them and follows their progress until they are done.
 package main
 
 import (
--- a/cmd/standin-caller/main.go
+++ b/cmd/standin-caller/main.go
@@ -1,5 +1,5 @@
-// Command standin-caller sends model requests and service calls to the entries
-// of an example deployment and reports how they ended.
+// Command standin-caller sends model requests and service calls to the entries of an example
+// deployment and reports the results.
 package main
 
 import (
@@ -15,7 +15,6 @@
 	"github.com/lilackeel/lilackeel/standin/caller"
 )
 
-// settings of the command.
 type settings struct {
 	caller      caller.Caller
 	chats       int
@@ -30,14 +29,14 @@
 func (s *settings) register(set *setting.Set) {
 	set.List(&s.caller.Entries, "entries", nil, "addresses of the entries", setting.Required, setting.HostPort)
 	set.Secret(&s.caller.Key, "key", "key of the workspace")
-	set.String(&s.caller.Model, "model", "lilackeel-draft", "model that is asked")
-	set.Int(&s.chats, "chats", 32, "streamed chat requests", setting.Min(0))
-	set.Int(&s.calls, "calls", 8, "calls of the plain service, each sent twice under one key", setting.Min(0))
+	set.String(&s.caller.Model, "model", "lilackeel-draft", "model to request")
+	set.Int(&s.chats, "chats", 32, "number of streamed chat requests", setting.Min(0))
+	set.Int(&s.calls, "calls", 8, "number of service calls, each sent twice with the same idempotency key", setting.Min(0))
 	set.String(&s.callPath, "call-path", "", "path of the service calls")
 	set.String(&s.callBody, "call-body", "{}", "body of the service calls")
-	set.Int(&s.concurrency, "concurrency", 8, "requests at once", setting.Min(1))
-	set.Int(&s.tokens, "tokens", 16, "tokens asked for by a chat request", setting.Min(1))
-	set.Duration(&s.timeout, "timeout", time.Minute, "bound of the whole run", setting.Min(time.Second))
+	set.Int(&s.concurrency, "concurrency", 8, "maximum number of concurrent requests", setting.Min(1))
+	set.Int(&s.tokens, "tokens", 16, "tokens requested by each chat request", setting.Min(1))
+	set.Duration(&s.timeout, "timeout", time.Minute, "time limit of the whole run", setting.Min(time.Second))
 }
 
 func main() {
@@ -53,15 +52,15 @@
 	chats := s.run(s.chats, func(i int) (caller.Result, error) {
 		return s.caller.Chat(ctx, i, fmt.Sprintf("Draft swap reply %d.", i), s.tokens)
 	})
-	calls := s.run(s.calls, func(i int) (caller.Result, error) { return s.twice(ctx, i) })
-	if !chats.print("chat requests") || !calls.print("service calls, each repeated through another entry") {
+	calls := s.run(s.calls, func(i int) (caller.Result, error) { return s.callTwice(ctx, i) })
+	if !chats.report("chat requests") || !calls.report("service calls, each repeated through another entry") {
 		os.Exit(1)
 	}
 }
 
-// twice sends one call through two entries under the same key; the second
-// answer must equal the first.
-func (s *settings) twice(ctx context.Context, i int) (caller.Result, error) {
+// callTwice sends a call through two entries with the same idempotency key. The second response
+// must equal the first.
+func (s *settings) callTwice(ctx context.Context, i int) (caller.Result, error) {
 	key := caller.NewKey()
 	first, err := s.caller.Call(ctx, i, http.MethodPost, s.callPath, []byte(s.callBody), key)
 	if err != nil {
@@ -72,22 +71,22 @@
 		return second, err
 	}
 	if first.Complete && string(first.Body) != string(second.Body) {
-		return second, fmt.Errorf("the repeat was answered %q, the first call %q", second.Body, first.Body)
+		return second, fmt.Errorf("the repeated call returned %q, the first one %q", second.Body, first.Body)
 	}
 	return first, nil
 }
 
-// tally is how a number of requests ended.
-type tally struct {
+// results collects the results of a number of requests.
+type results struct {
 	mu         sync.Mutex
-	whole      int
+	complete   int
 	failed     []string
 	firstBytes []time.Duration
 }
 
-// run sends n requests, a few at once.
-func (s *settings) run(n int, send func(i int) (caller.Result, error)) *tally {
-	var t tally
+// run sends n requests, up to s.concurrency at once.
+func (s *settings) run(n int, send func(i int) (caller.Result, error)) *results {
+	var t results
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, s.concurrency)
 	for i := range n {
@@ -102,7 +101,7 @@
 	return &t
 }
 
-func (t *tally) add(result caller.Result, err error) {
+func (t *results) add(result caller.Result, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
@@ -111,14 +110,14 @@
 	case !result.Complete:
 		t.failed = append(t.failed, fmt.Sprintf("status %d, outcome %s: %.200s", result.Status, result.Outcome, result.Body))
 	default:
-		t.whole++
+		t.complete++
 		t.firstBytes = append(t.firstBytes, result.FirstByte)
 	}
 }
 
-// print reports the tally and whether all ended well.
-func (t *tally) print(what string) bool {
-	fmt.Printf("%s: %d whole, %d not", what, t.whole, len(t.failed))
+// report prints the results and returns whether all requests succeeded.
+func (t *results) report(label string) bool {
+	fmt.Printf("%s: %d complete, %d failed", label, t.complete, len(t.failed))
 	if len(t.firstBytes) > 0 {
 		slices.Sort(t.firstBytes)
 		fmt.Printf("; first byte p50 %v", t.firstBytes[len(t.firstBytes)/2].Round(time.Millisecond/10))
--- a/cmd/standin-endpoint/main.go
+++ b/cmd/standin-endpoint/main.go
@@ -1,5 +1,5 @@
-// Command standin-endpoint serves stand-in model engines and plain services, as
-// many as its settings name, for the example deployments and tests.
+// Command standin-endpoint serves stand-in model engines and plain services for tests and the
+// example deployments.
 package main
 
 import (
@@ -18,10 +18,9 @@
 	"github.com/lilackeel/lilackeel/standin"
 )
 
-// headerTimeout bounds how long reading the headers of a request may take.
+// headerTimeout bounds the time to read the headers of a request.
 const headerTimeout = 5 * time.Second
 
-// settings of the process.
 type settings struct {
 	engines, services []string
 	engine            standin.EngineConfig
@@ -32,30 +31,30 @@
 func (s *settings) register(set *setting.Set) {
 	set.List(&s.engines, "engine-listen", nil, "addresses of the stand-in engines, one each", setting.HostPort)
 	set.List(&s.services, "service-listen", nil, "addresses of the stand-in services, one each", setting.HostPort)
-	set.String(&s.engine.Model, "model", "draft", "model that the engines say they serve")
-	set.String(&s.engine.Version, "model-version", "1", "version of that model")
+	set.String(&s.engine.Model, "model", "draft", "model that the engines report")
+	set.String(&s.engine.Version, "model-version", "1", "model version that the engines report")
 	set.List(&s.engine.Adapters, "adapters", nil, "adapters that the engines have loaded")
-	set.Int(&s.engine.Slots, "slots", 16, "calls in an engine's running batch", setting.Min(1))
-	set.Duration(&s.engine.TokenTime, "token-time", 5*time.Millisecond, "time of one token", setting.Min(time.Duration(0)))
-	set.Duration(&s.engine.PrefillTime, "prefill-time", 2*time.Millisecond, "time of one prompt block that is not cached", setting.Min(time.Duration(0)))
-	set.Int(&s.engine.CacheBlocks, "cache-blocks", 4096, "blocks in an engine's prefix cache", setting.Min(0))
-	set.Duration(&s.engine.EventDelay, "event-delay", 50*time.Millisecond, "how late cache events are published", setting.Min(time.Duration(0)))
-	set.Int(&s.engine.EventGapEvery, "event-gap-every", 0, "every so many cache events one is lost; 0 for none", setting.Min(0))
-	set.Duration(&s.engine.LoadLag, "load-lag", 100*time.Millisecond, "age of the load figures", setting.Min(time.Duration(0)))
-	set.Bool(&s.engine.ChecksFencing, "checks-fencing", false, "whether the engines refuse orders with an old fencing token")
-	set.Duration(&s.serviceTime, "service-time", 2*time.Millisecond, "time of a call of a service", setting.Min(time.Duration(0)))
-	set.Duration(&s.engine.MapLoadTime, "map-load-time", 20*time.Millisecond, "time of loading the weights of an expert map", setting.Min(time.Duration(0)))
-	set.String(&s.group.Name, "group", "", "group whose ranks the engines are, in order; empty for none", setting.Name)
-	set.List(&s.group.Agents, "group-agents", nil, "addresses where the ranks ask their agents for steps, one each", setting.HostPort)
-	set.Int(&s.group.Experts, "group-experts", 16, "experts of a layer", setting.Min(1))
-	set.Duration(&s.group.StepTime, "step-time", 4500*time.Microsecond, "time of a step, to which tokens add", setting.Min(time.Millisecond))
-	set.Duration(&s.group.TokenTime, "step-token-time", time.Microsecond, "what a token of a layer adds to the step for its rank", setting.Min(time.Duration(0)))
+	set.Int(&s.engine.Slots, "slots", 16, "maximum number of calls in an engine's running batch", setting.Min(1))
+	set.Duration(&s.engine.TokenTime, "token-time", 5*time.Millisecond, "time to generate one token", setting.Min(time.Duration(0)))
+	set.Duration(&s.engine.PrefillTime, "prefill-time", 2*time.Millisecond, "time to compute one prompt block that is not cached", setting.Min(time.Duration(0)))
+	set.Int(&s.engine.CacheBlocks, "cache-blocks", 4096, "capacity of an engine's prefix cache in blocks", setting.Min(0))
+	set.Duration(&s.engine.EventDelay, "event-delay", 50*time.Millisecond, "delay before cache events are published", setting.Min(time.Duration(0)))
+	set.Int(&s.engine.EventGapEvery, "event-gap-every", 0, "drop every n-th cache event; 0 for none", setting.Min(0))
+	set.Duration(&s.engine.LoadLag, "load-lag", 100*time.Millisecond, "interval at which the reported load is sampled", setting.Min(time.Duration(0)))
+	set.Bool(&s.engine.ChecksFencing, "checks-fencing", false, "refuse orders with a stale fencing token")
+	set.Duration(&s.serviceTime, "service-time", 2*time.Millisecond, "time of a service call", setting.Min(time.Duration(0)))
+	set.Duration(&s.engine.MapLoadTime, "map-load-time", 20*time.Millisecond, "time to load the weights of an expert map", setting.Min(time.Duration(0)))
+	set.String(&s.group.Name, "group", "", "group that the engines form, in order of rank; empty for none", setting.Name)
+	set.List(&s.group.Agents, "group-agents", nil, "agent addresses at which the ranks request steps, one each", setting.HostPort)
+	set.Int(&s.group.Experts, "group-experts", 16, "experts per layer", setting.Min(1))
+	set.Duration(&s.group.StepTime, "step-time", 4500*time.Microsecond, "base time of a step", setting.Min(time.Millisecond))
+	set.Duration(&s.group.TokenTime, "step-token-time", time.Microsecond, "time that each token of a layer adds to a step on its rank", setting.Min(time.Duration(0)))
 	set.Check(s.checkGroup)
 	set.Check(func() error {
 		if len(s.engines)+len(s.services) > 0 {
 			return nil
 		}
-		return fault.New(fault.Invalid, "there is nothing to serve", "set -engine-listen or -service-listen")
+		return fault.New(fault.Invalid, "no stand-in is configured", "set -engine-listen or -service-listen")
 	})
 }
 
@@ -63,8 +62,8 @@
 	if s.group.Name == "" || len(s.group.Agents) == len(s.engines) {
 		return nil
 	}
-	return fault.Newf(fault.Invalid, "give each engine's agent in -group-agents",
-		"there are %d engines and %d agents of ranks", len(s.engines), len(s.group.Agents))
+	return fault.Newf(fault.Invalid, "set -group-agents to one agent address per engine",
+		"%d engines are configured, but %d rank agents", len(s.engines), len(s.group.Agents))
 }
 
 func main() {
@@ -82,7 +81,7 @@
 	}
 }
 
-// serve runs all stand-ins until ctx ends, then lets their calls finish.
+// serve runs all stand-ins until ctx ends, then shuts them down gracefully.
 func serve(ctx context.Context, s settings) error {
 	var servers []*http.Server
 	failed := make(chan error, len(s.engines)+len(s.services))
