--- a/e2e/cut_test.go
+++ b/e2e/cut_test.go
@@ -21,10 +21,10 @@
 	"github.com/lilackeel/lilackeel/standin/caller"
 )
 
-// bothWays is a cut in which nothing passes.
-var bothWays = cut{up: true, down: true}
+// fullPartition blocks both directions.
+var fullPartition = partition{up: true, down: true}
 
-// dial connects to one daemon until the test ends.
+// dial returns a connection to one daemon that is closed when the test ends.
 func dial(t *testing.T, addr string) *grpc.ClientConn {
 	t.Helper()
 	options, err := link.DialOptions(link.Config{})
@@ -39,57 +39,57 @@
 	return connection
 }
 
-// addWorkspace is an intent that makes a workspace of the intent's own name.
-func addWorkspace(name string) *controlv1.Intent {
+// workspaceIntent returns an intent that creates a workspace with the same name as the intent.
+func workspaceIntent(name string) *controlv1.Intent {
 	return &controlv1.Intent{Id: name, Operator: "e2e", Workspaces: []*fleetv1.Workspace{{Name: name, Importance: 1}}}
 }
 
-// The leader is cut off from its peers in silence, while operators, entries and
-// agents still reach it. It decides nothing: no intent that it was asked to
-// accept is ever in force, no claim is granted, and an agent that has heard of
-// the next leader refuses orders with the token of the old one.
-func TestCutOffLeaderDecidesNothing(t *testing.T) {
-	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.FullPartition, proof.DelayedMessages}, Step: "intent, claim and order of a cut-off leader", Combined: true, SeparateProcesses: true,
+// The leader is partitioned from its peers without a connection error, but operators, entries
+// and agents still reach it. It must decide nothing: an intent that it is asked to accept never
+// takes effect, it grants no claim, and an agent that knows the next leader refuses orders with
+// the old leader's fencing token.
+func TestPartitionedLeaderDecidesNothing(t *testing.T) {
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.FullPartition, proof.DelayedMessages}, Step: "intent, claim and order of a partitioned leader", Combined: true, SeparateProcesses: true,
 		Guard: "the agent's refusal of lower fencing tokens"}.Log(t)
 	is := is.New(t)
-	s := allocate(t, replicas)
-	var links []*forwarder
-	links, s.peers = forwardTo(t, s.control)
+	s := newStoppedSite(t, replicas)
+	var forwarders []*forwarder
+	forwarders, s.peerAddrs = startForwarders(t, s.controlAddrs)
 	s.startAll(t)
 	leader := s.leader(t)
-	client := controlv1.NewControlClient(dial(t, s.control[leader]))
-	planned, err := client.Plan(t.Context(), &controlv1.PlanRequest{Intent: addWorkspace("cut-off")})
+	client := controlv1.NewControlClient(dial(t, s.controlAddrs[leader]))
+	plan, err := client.Plan(t.Context(), &controlv1.PlanRequest{Intent: workspaceIntent("cut-off")})
 	is.NoErr(err)
 	fence, err := client.ReadFence(t.Context(), &controlv1.ReadFenceRequest{})
 	is.NoErr(err)
-	for i, l := range links {
+	for i, f := range forwarders {
 		if i == leader {
-			l.cut(anyone, bothWays)
+			f.partition(anyProcess, fullPartition)
 		} else {
-			l.cut(s.controls[leader].cmd.Process.Pid, bothWays)
+			f.partition(s.controlProcs[leader].cmd.Process.Pid, fullPartition)
 		}
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { // before the old leader can have noticed
-		_, err := client.Confirm(t.Context(), &controlv1.ConfirmRequest{IntentId: "cut-off", Digest: planned.GetPlan().GetDigest(), Operator: "e2e"})
+	wg.Go(func() { // before the old leader can have noticed the partition
+		_, err := client.Confirm(t.Context(), &controlv1.ConfirmRequest{IntentId: "cut-off", Digest: plan.GetPlan().GetDigest(), Operator: "e2e"})
 		if err == nil {
-			t.Error("a leader that is cut off has accepted an intent")
+			t.Error("the partitioned leader accepted an intent")
 		}
 	})
 	wg.Go(func() {
 		claimed, err := client.Claim(t.Context(), &controlv1.ClaimRequest{Workspace: "crew", Key: "key", Digest: make([]byte, 32),
 			ClaimId: "claim", Endpoint: "desk-0", Agent: "agent-0", Incarnation: 1, AgentAddr: s.agentAddrs[0]})
 		if err == nil {
-			t.Errorf("a leader that is cut off has decided a claim: %v", claimed)
+			t.Errorf("the partitioned leader decided a claim: %v", claimed)
 		}
 	})
-	s.accept(t, addWorkspace("majority"))
+	s.acceptIntent(t, workspaceIntent("majority"))
 	wg.Wait()
 	agent := agentv1.NewAgentClient(dial(t, s.agentAddrs[0]))
 	endpoint := s.endpoint(t, "engine-0")
 	order := &agentv1.OrderRequest{Endpoint: "engine-0", Incarnation: endpoint.GetIncarnation(),
 		Fence: fence.GetFence(), Kind: agentv1.OrderKind_ORDER_KIND_READ_BACK, OrderId: "look"}
-	eventually(t, "the agent hears of the next leader", func() error {
+	eventually(t, "the agent knows the next leader", func() error {
 		response, err := agent.Order(t.Context(), order)
 		if err == nil && response.GetHighestFence() <= fence.GetFence() {
 			err = fmt.Errorf("token %d", response.GetHighestFence())
@@ -99,10 +99,10 @@
 	order.Kind, order.Role, order.OrderId = agentv1.OrderKind_ORDER_KIND_CHANGE_ROLE, "prefill", "late"
 	_, err = agent.Order(t.Context(), order)
 	is.True(fault.Is(err, fault.Fenced))
-	for _, l := range links {
-		l.heal()
+	for _, f := range forwarders {
+		f.heal()
 	}
-	eventually(t, "the old leader follows", func() error { return ready(s.controlAdmin[leader]) })
+	eventually(t, "the old leader becomes a follower", func() error { return checkReady(s.controlAdminAddrs[leader]) })
 	s.awaitServing(t)
 	names := ""
 	for _, w := range s.configuration(t).GetWorkspaces() {
@@ -123,40 +123,40 @@
 	return nil
 }
 
-// Entries and the agent of a leaving endpoint are cut off from the control
-// replicas in silence, first the entries alone and then all together. The
-// endpoint gets no new work; once nobody's knowledge is fresh, calls are not run.
+// Entries and the agent of a leaving endpoint are partitioned from the control replicas without
+// a connection error, first the entries alone and then all of them. The endpoint must get no
+// new work. Once no daemon's configuration is fresh, calls must not run.
 func TestCutFromControlClosesGate(t *testing.T) {
-	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.FullPartition}, Step: "entries, then agents and entries, cut off from control over a leave", Combined: true, SeparateProcesses: true,
-		Guard: "the gate's refusals for endpoints that do not serve, and on knowledge that is too old, each alone"}.Log(t)
-	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.FullPartition}, Step: "agents and entries cut off from control", Combined: true, SeparateProcesses: true,
-		Guard: "the gate's refusal on knowledge that is too old"}.Log(t)
+	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.FullPartition}, Step: "entries, then agents and entries, partitioned from control during a leave", Combined: true, SeparateProcesses: true,
+		Guard: "the gate's refusals for endpoints that are not serving, and on a stale configuration, each alone"}.Log(t)
+	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.FullPartition}, Step: "agents and entries partitioned from control", Combined: true, SeparateProcesses: true,
+		Guard: "the gate's refusal on a stale configuration"}.Log(t)
 	is := is.New(t)
-	s := allocate(t, replicas)
-	links := map[string][]*forwarder{}
+	s := newStoppedSite(t, replicas)
+	forwarders := map[string][]*forwarder{}
 	for i := range hosts {
 		for _, name := range []string{fmt.Sprintf("entry-%d", i), fmt.Sprintf("agent-%d", i)} {
-			links[name], s.controlOf[name] = forwardTo(t, s.control)
+			forwarders[name], s.controlAddrsFor[name] = startForwarders(t, s.controlAddrs)
 		}
 	}
 	s.startAll(t)
 	c := s.caller()
 	cutOff := func(names ...string) {
 		for _, name := range names {
-			for _, l := range links[name] {
-				l.cut(anyone, bothWays)
+			for _, f := range forwarders[name] {
+				f.partition(anyProcess, fullPartition)
 			}
 		}
 	}
 	cutOff("entry-0", "entry-1")
-	revision := s.accept(t, leave("leave-0", "desk-0"))
-	eventually(t, "the agent acts on the leave", func() error { return s.daemonActsOn(t, "agent-0", revision) })
-	before := s.list(t, 0, notesPath)
-	is.Equal(s.notes(c, "entries"), 0) // not one without an outcome
-	is.Equal(s.list(t, 0, notesPath), before)
+	revision := s.acceptIntent(t, leaveIntent("leave-0", "desk-0"))
+	eventually(t, "the agent applies the leave", func() error { return s.daemonAtRevision(t, "agent-0", revision) })
+	before := s.listEffects(t, 0, notesPath)
+	is.Equal(s.sendNotes(c, "entries"), 0) // every call got an outcome
+	is.Equal(s.listEffects(t, 0, notesPath), before)
 
 	cutOff("agent-0", "agent-1")
-	s.accept(t, leave("leave-1", "desk-1"))
+	s.acceptIntent(t, leaveIntent("leave-1", "desk-1"))
 	eventually(t, "calls are refused", func() error {
 		result, err := c.Call(t.Context(), 0, http.MethodPut, notesPath, []byte("probe"), "")
 		if err != nil || result.Outcome != outcomeNotRun {
@@ -166,31 +166,31 @@
 	})
 	var ran [hosts][]byte
 	for i := range ran {
-		ran[i] = s.list(t, i, notesPath)
+		ran[i] = s.listEffects(t, i, notesPath)
 	}
-	is.Equal(s.notes(c, "all"), 0)
+	is.Equal(s.sendNotes(c, "all"), 0)
 	for i := range ran {
-		is.Equal(s.list(t, i, notesPath), ran[i]) // refused, not run
+		is.Equal(s.listEffects(t, i, notesPath), ran[i]) // refused, not run
 	}
-	w := &swap{body: "closed.", key: caller.NewKey()}
-	w.send(c, 0)
-	w.check(t, s.runs(t, w.body))
-	is.True(len(w.answers) == 1 && w.answers[0].Outcome == outcomeNotRun)
-	for _, list := range links {
-		for _, l := range list {
-			l.heal()
+	call := &nonIdempotentCall{body: "closed.", key: caller.NewKey()}
+	call.send(c, 0)
+	call.check(t, s.runCount(t, call.body))
+	is.True(len(call.results) == 1 && call.results[0].Outcome == outcomeNotRun)
+	for _, group := range forwarders {
+		for _, f := range group {
+			f.heal()
 		}
 	}
-	s.accept(t, &controlv1.Intent{Id: "back", Operator: "e2e", Endpoints: []*controlv1.EndpointChange{
+	s.acceptIntent(t, &controlv1.Intent{Id: "back", Operator: "e2e", Endpoints: []*controlv1.EndpointChange{
 		{Id: "desk-1", State: fleetv1.EndpointState_ENDPOINT_STATE_SERVING},
 	}})
 	s.awaitServing(t)
-	is.True(!bytes.Contains(s.list(t, 0, notesPath), []byte("all-"))) // what came late ran nowhere either
+	is.True(!bytes.Contains(s.listEffects(t, 0, notesPath), []byte("all-"))) // delayed calls did not run later either
 }
 
-// notes sends idempotent calls through both entries and returns how many ended
-// without a stated outcome.
-func (s *site) notes(c *caller.Caller, name string) (unstated int) {
+// sendNotes sends idempotent calls through both entries and returns how many of them ended
+// without an outcome.
+func (s *site) sendNotes(c *caller.Caller, name string) (withoutOutcome int) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for i := range 20 {
@@ -199,61 +199,60 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil || result.Outcome == "" {
-				unstated++
+				withoutOutcome++
 			}
 		})
 	}
 	wg.Wait()
-	return unstated
+	return withoutOutcome
 }
 
-// An entry is cut off from the agents in the middle of calls that are not
-// idempotent: in silence both ways, one way each, or by broken connections. The
-// callers repeat them through the other entry, and what was held back arrives
-// when the cut heals.
-func TestCutDuringClaimedCalls(t *testing.T) {
+// An entry is partitioned from the agents during calls that are not idempotent: in both
+// directions, in one direction, or by connection resets. The callers repeat the calls through
+// the other entry, and the blocked traffic arrives when the partition heals.
+func TestPartitionDuringClaimedCalls(t *testing.T) {
 	const calls, rounds = 6, 8
 	const step = 5 * time.Millisecond
 	proof.Cell{Promise: proof.AtMostOnce, Faults: []proof.Fault{proof.FullPartition, proof.OneWayPartition, proof.DelayedMessages, proof.ReorderedMessages},
 		Step: "0 to 35 ms after the calls are sent", Combined: true, SeparateProcesses: true,
 		Guard: "a key is granted to one claim (package contract)"}.Log(t)
-	s := allocate(t, replicas)
-	var links []*forwarder
-	links, s.advertised = forwardTo(t, s.agentAddrs)
+	s := newStoppedSite(t, replicas)
+	var forwarders []*forwarder
+	forwarders, s.advertisedAddrs = startForwarders(t, s.agentAddrs)
 	s.serviceTime = 20 * time.Millisecond
 	s.startAll(t)
 	c := s.caller()
-	kinds := []cut{bothWays, {up: true}, {down: true}, {}}
+	partitions := []partition{fullPartition, {up: true}, {down: true}, {}}
 	for round := range rounds {
-		early, late := make([]*swap, calls), make([]*swap, calls)
+		first, repeated := make([]*nonIdempotentCall, calls), make([]*nonIdempotentCall, calls)
 		var wg sync.WaitGroup
 		for j := range calls {
-			early[j] = &swap{body: fmt.Sprintf("cut-%d-%d.", round, j), key: caller.NewKey()}
-			late[j] = &swap{body: early[j].body, key: early[j].key}
-			wg.Go(func() { early[j].send(c, 0) })
+			first[j] = &nonIdempotentCall{body: fmt.Sprintf("cut-%d-%d.", round, j), key: caller.NewKey()}
+			repeated[j] = &nonIdempotentCall{body: first[j].body, key: first[j].key}
+			wg.Go(func() { first[j].send(c, 0) })
 		}
 		time.Sleep(time.Duration(round) * step)
-		kind := kinds[round%len(kinds)]
-		for _, l := range links {
-			if kind == (cut{}) {
-				l.reset()
+		p := partitions[round%len(partitions)]
+		for _, f := range forwarders {
+			if p == (partition{}) {
+				f.reset()
 			} else {
-				l.cut(s.fronts[0].cmd.Process.Pid, kind)
+				f.partition(s.entryProcs[0].cmd.Process.Pid, p)
 			}
 		}
 		var repeats sync.WaitGroup
-		for _, w := range late {
-			repeats.Go(func() { w.send(c, 1) })
+		for _, call := range repeated {
+			repeats.Go(func() { call.send(c, 1) })
 		}
 		repeats.Wait()
-		for _, l := range links {
-			l.heal()
+		for _, f := range forwarders {
+			f.heal()
 		}
 		wg.Wait()
-		for j, w := range late {
-			w.answers = append(w.answers, early[j].answers...)
-			w.send(c, 0)
-			w.check(t, s.runs(t, w.body))
+		for j, call := range repeated {
+			call.results = append(call.results, first[j].results...)
+			call.send(c, 0)
+			call.check(t, s.runCount(t, call.body))
 		}
 	}
 }
--- a/e2e/forwarder_test.go
+++ b/e2e/forwarder_test.go
@@ -9,76 +9,76 @@
 	"testing"
 )
 
-// anyone stands for all processes that dial a forwarder.
-const anyone = 0
+// anyProcess applies a partition to the connections of all processes.
+const anyProcess = 0
 
-// cut says which way nothing passes: up to the daemon, down from it.
-type cut struct{ up, down bool }
+// partition says which directions are blocked: up to the daemon, down from it.
+type partition struct{ up, down bool }
 
-// forwarder passes TCP on to one daemon and can be cut. A silent cut keeps
-// connections open, accepts new ones and holds what is sent on them back until
-// it heals, as a network does that loses packets for a while.
+// forwarder forwards TCP connections to one daemon and can partition it. A partition keeps
+// connections open, accepts new ones and holds back the data sent on them until it heals, like
+// a network that loses packets for a while.
 type forwarder struct {
 	target  string
 	mu      sync.Mutex
 	changed *sync.Cond
-	// cuts holds the silent cuts by process id of the dialing side.
-	cuts map[int]cut
-	open map[*forwarded]bool
+	// partitions holds the active partitions by process ID of the dialing side.
+	partitions  map[int]partition
+	connections map[*forwardedConn]bool
 }
 
-// forwarded is one connection, near to the side that dialed.
-type forwarded struct {
-	near, far net.Conn
-	held      cut
+// forwardedConn is a forwarded connection: client is the side that dialed, server the target.
+type forwardedConn struct {
+	client, server net.Conn
+	blocked        partition
 }
 
-// forwardTo starts a forwarder for each target.
-func forwardTo(t *testing.T, targets []string) (list []*forwarder, addrs []string) {
+// startForwarders starts a forwarder for each target.
+func startForwarders(t *testing.T, targets []string) (forwarders []*forwarder, addrs []string) {
 	t.Helper()
-	open := listeners(t, len(targets))
+	listeners := listenOnFreePorts(t, len(targets))
 	for i, target := range targets {
-		listener := open[i]
+		listener := listeners[i]
 		addrs = append(addrs, listener.Addr().String())
-		f := &forwarder{target: target, cuts: map[int]cut{}, open: map[*forwarded]bool{}}
+		f := &forwarder{target: target, partitions: map[int]partition{}, connections: map[*forwardedConn]bool{}}
 		f.changed = sync.NewCond(&f.mu)
 		t.Cleanup(func() { _ = listener.Close(); f.heal(); f.reset() })
 		go f.serve(listener)
-		list = append(list, f)
+		forwarders = append(forwarders, f)
 	}
-	return list, addrs
+	return forwarders, addrs
 }
 
 func (f *forwarder) serve(listener net.Listener) {
 	for {
-		near, err := listener.Accept()
+		client, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", f.target)
+		server, err := net.Dial("tcp", f.target)
 		if err != nil {
-			_ = near.Close()
+			_ = client.Close()
 			continue
 		}
-		c := &forwarded{near: near, far: far}
+		c := &forwardedConn{client: client, server: server}
 		f.mu.Lock()
-		f.open[c] = true
-		for pid, held := range f.cuts {
-			c.hold(pid, held)
+		f.connections[c] = true
+		for pid, p := range f.partitions {
+			c.blockIfDialedBy(pid, p)
 		}
 		f.mu.Unlock()
-		go f.pump(far, near, func() bool { return c.held.up })
-		go f.pump(near, far, func() bool { return c.held.down })
+		go f.pump(server, client, func() bool { return c.blocked.up })
+		go f.pump(client, server, func() bool { return c.blocked.down })
 	}
 }
 
-// pump passes one direction of a connection on.
-func (f *forwarder) pump(to, from net.Conn, held func() bool) {
+// pump copies one direction of a connection while it is not blocked.
+func (f *forwarder) pump(to, from net.Conn, blocked func() bool) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
 		f.mu.Lock()
-		for held() {
+		for blocked() {
 			f.changed.Wait()
 		}
 		f.mu.Unlock()
@@ -89,41 +89,41 @@
 	}
 }
 
-// cut begins a silent cut for the connections of a process.
-func (f *forwarder) cut(pid int, c cut) {
+// partition starts a partition for the connections of a process.
+func (f *forwarder) partition(pid int, p partition) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cuts[pid] = c
-	for connection := range f.open {
-		connection.hold(pid, c)
+	f.partitions[pid] = p
+	for connection := range f.connections {
+		connection.blockIfDialedBy(pid, p)
 	}
 }
 
-// reset breaks all connections.
+// reset closes all connections.
 func (f *forwarder) reset() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for connection := range f.open {
-		_, _ = connection.near.Close(), connection.far.Close()
+	for connection := range f.connections {
+		_, _ = connection.client.Close(), connection.server.Close()
 	}
-	clear(f.open)
+	clear(f.connections)
 }
 
-// heal lets everything pass, late.
+// heal ends all partitions. The data held back is then delivered late.
 func (f *forwarder) heal() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	clear(f.cuts)
-	for connection := range f.open {
-		connection.held = cut{}
+	clear(f.partitions)
+	for connection := range f.connections {
+		connection.blocked = partition{}
 	}
 	f.changed.Broadcast()
 }
 
-// hold holds the connection back if the process has made it.
-func (c *forwarded) hold(pid int, held cut) {
-	if pid == anyone || dialedBy(pid, c.near.RemoteAddr().(*net.TCPAddr).Port) {
-		c.held = held
+// blockIfDialedBy blocks the connection if the process dialed it.
+func (c *forwardedConn) blockIfDialedBy(pid int, p partition) {
+	if pid == anyProcess || dialedBy(pid, c.client.RemoteAddr().(*net.TCPAddr).Port) {
+		c.blocked = p
 	}
 }
 
--- a/e2e/group_test.go
+++ b/e2e/group_test.go
@@ -23,54 +23,55 @@
 
 const (
 	groupName = "drafting"
-	// groupRanks are divided evenly over the agents.
+	// groupRanks are divided evenly among the agents.
 	groupRanks = 4
-	// stepsAhead is so large that engines outlive an agent's restart.
+	// stepsAhead is large enough for the engines to keep stepping while an agent restarts.
 	stepsAhead = 150
-	// holdTime is how long a group must not step to count as holding.
-	holdTime = 300 * time.Millisecond
-	// settleTime lets what was counted before a shift of popularity be reported.
-	settleTime = 300 * time.Millisecond
-	// groupsText has short intervals, so that the balancer soon has its history.
+	// blockedTime is the time without a step after which a group counts as blocked.
+	blockedTime = 300 * time.Millisecond
+	// reportDelay is the time to wait until the counts from before a shift of popularity have
+	// been reported.
+	reportDelay = 300 * time.Millisecond
+	// groupsText uses short intervals so that the balancer quickly collects its history.
 	groupsText = `groups:
 - {name: drafting, layers: 2, experts: 16, ranks: 4, slots: 5, tokenMicros: 1,
    interval: 30ms, expertBytes: 1000, storeBytesPerSecond: 1e9}
 `
 )
 
-// groupSite is a group of four ranks in lock-step, over two agents, and three
+// groupSite is a group of four ranks that run in lockstep, spread over two agents, with three
 // control replicas.
 type groupSite struct {
 	*site
-	steps   []string
-	standin *process
-	// decided holds the first step of each map that was seen in force.
-	decided map[uint64]uint64
-	// policies counts the policies stated so far.
-	policies int
+	stepsAddrs  []string
+	standinProc *process
+	// activateSteps holds the first step of each committed map that was observed, by epoch.
+	activateSteps map[uint64]uint64
+	// policyCount is the number of policies set so far.
+	policyCount int
 }
 
 func newGroupSite(t *testing.T) *groupSite {
 	t.Helper()
-	g := &groupSite{steps: ports(t, hosts), decided: map[uint64]uint64{}, site: &site{
-		control: ports(t, replicas), controlAdmin: ports(t, replicas),
-		engines:    ports(t, groupRanks),
-		agentAddrs: ports(t, hosts), agentAdmin: ports(t, hosts),
+	g := &groupSite{stepsAddrs: freeAddrs(t, hosts), activateSteps: map[uint64]uint64{}, site: &site{
+		controlAddrs: freeAddrs(t, replicas), controlAdminAddrs: freeAddrs(t, replicas),
+		engineAddrs: freeAddrs(t, groupRanks),
+		agentAddrs:  freeAddrs(t, hosts), agentAdminAddrs: freeAddrs(t, hosts),
 	}}
 	groups := filepath.Join(t.TempDir(), "groups.yaml")
 	if err := os.WriteFile(groups, []byte(groupsText), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	g.startControl(t, "-groups", groups)
-	var askAt []string
+	var rankAgents []string
 	for rank := range groupRanks {
-		askAt = append(askAt, g.steps[rank*hosts/groupRanks])
+		rankAgents = append(rankAgents, g.stepsAddrs[rank*hosts/groupRanks])
 	}
-	g.standin = start(t, "standin", "standin-endpoint", "-engine-listen", strings.Join(g.engines, ","), "-checks-fencing", "-group", groupName, "-group-agents", strings.Join(askAt, ","), "-group-experts", "16")
+	g.standinProc = startProcess(t, "standin", "standin-endpoint", "-engine-listen", strings.Join(g.engineAddrs, ","), "-checks-fencing", "-group", groupName, "-group-agents", strings.Join(rankAgents, ","), "-group-experts", "16")
 	for i := range hosts {
-		g.agents = append(g.agents, start(t, fmt.Sprintf("agent-%d", i), "lilackeel-agent", g.rankAgentArgs(t, i)...))
+		g.agentProcs = append(g.agentProcs, startProcess(t, fmt.Sprintf("agent-%d", i), "lilackeel-agent", g.rankAgentArgs(t, i)...))
 	}
-	g.accept(t, &controlv1.Intent{Id: "first", Operator: "e2e", Models: []*fleetv1.Model{{Name: "draft", Pool: groupName, Version: "1"}}})
+	g.acceptIntent(t, &controlv1.Intent{Id: "first", Operator: "e2e", Models: []*fleetv1.Model{{Name: "draft", Pool: groupName, Version: "1"}}})
 	g.awaitSteps(t, "the first steps", 20)
 	return g
 }
@@ -78,7 +79,7 @@
 func (g *groupSite) rankAgentArgs(t *testing.T, i int) []string {
 	t.Helper()
 	text := "endpoints:\n"
-	for rank, engine := range g.engines {
+	for rank, engine := range g.engineAddrs {
 		if rank*hosts/groupRanks == i {
 			text += fmt.Sprintf("- {id: engine-%d, pool: %s, kind: engine, url: \"http://%s\", model: draft, version: \"1\", slots: 8, group: %s, rank: %d, checks_fencing: true}\n",
 				rank, groupName, engine, groupName, rank)
@@ -88,47 +89,47 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return []string{"-name", fmt.Sprintf("agent-%d", i), "-zone", "a", "-listen", g.agentAddrs[i], "-steps-listen", g.steps[i],
-		"-control", strings.Join(g.control, ","), "-endpoints", file, "-admin-listen", g.agentAdmin[i], "-poll-interval", "6ms",
+	return []string{"-name", fmt.Sprintf("agent-%d", i), "-zone", "a", "-listen", g.agentAddrs[i], "-steps-listen", g.stepsAddrs[i],
+		"-control", strings.Join(g.controlAddrs, ","), "-endpoints", file, "-admin-listen", g.agentAdminAddrs[i], "-poll-interval", "6ms",
 		"-steps-ahead", fmt.Sprint(stepsAhead)}
 }
 
-// shift makes another expert the most popular one, and states a new policy, by
-// which the leader balances the group anew.
-func (g *groupSite) shift(t *testing.T, expert int) {
+// shiftPopularity makes another expert the most popular one and sets a new policy, which makes
+// the leader rebalance the group.
+func (g *groupSite) shiftPopularity(t *testing.T, expert int) {
 	t.Helper()
-	g.tell(t, 0, "/standin/popularity", standin.Popularity{Shift: expert})
-	time.Sleep(settleTime)
-	g.policies++
-	g.accept(t, &controlv1.Intent{Id: fmt.Sprintf("policy-%d", g.policies), Operator: "e2e",
-		Policies: []*fleetv1.BalancePolicy{{Group: groupName, Evenness: 1 - float64(g.policies)/1000, MaxMoves: 8, StoreShare: 1}}})
+	g.post(t, 0, "/standin/popularity", standin.Popularity{Shift: expert})
+	time.Sleep(reportDelay)
+	g.policyCount++
+	g.acceptIntent(t, &controlv1.Intent{Id: fmt.Sprintf("policy-%d", g.policyCount), Operator: "e2e",
+		Policies: []*fleetv1.BalancePolicy{{Group: groupName, Evenness: 1 - float64(g.policyCount)/1000, MaxMoves: 8, StoreShare: 1}}})
 }
 
-// setFaults switches the faults of one engine.
+// setFaults replaces the injected faults of one engine.
 func (g *groupSite) setFaults(t *testing.T, rank int, faults standin.Faults) {
 	t.Helper()
-	g.tell(t, rank, "/standin/faults", faults)
+	g.post(t, rank, "/standin/faults", faults)
 }
 
-func (g *groupSite) tell(t *testing.T, rank int, path string, what any) {
+func (g *groupSite) post(t *testing.T, rank int, path string, value any) {
 	t.Helper()
-	body, err := json.Marshal(what)
+	body, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	response, err := http.Post("http://"+g.engines[rank]+path, "application/json", bytes.NewReader(body))
+	response, err := http.Post("http://"+g.engineAddrs[rank]+path, "application/json", bytes.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = response.Body.Close()
 }
 
-// ran returns the steps that the ranks have recorded.
-func (g *groupSite) ran(t *testing.T) standin.Steps {
+// readSteps returns the steps that the ranks have recorded.
+func (g *groupSite) readSteps(t *testing.T) standin.Steps {
 	t.Helper()
 	var steps standin.Steps
 	eventually(t, "read the steps", func() error {
-		response, err := http.Get("http://" + g.engines[0] + "/standin/steps")
+		response, err := http.Get("http://" + g.engineAddrs[0] + "/standin/steps")
 		if err != nil {
 			return err
 		}
@@ -138,13 +139,13 @@
 	return steps
 }
 
-// awaitSteps waits until the group has run so many more steps.
-func (g *groupSite) awaitSteps(t *testing.T, what string, more uint64) {
+// awaitSteps waits until the group has run the given number of further steps.
+func (g *groupSite) awaitSteps(t *testing.T, label string, more uint64) {
 	t.Helper()
-	from := g.ran(t).Next
-	eventually(t, what, func() error {
-		if next := g.ran(t).Next; next < from+more {
-			return fmt.Errorf("the group is at step %d, from %d", next, from)
+	from := g.readSteps(t).Next
+	eventually(t, label, func() error {
+		if next := g.readSteps(t).Next; next < from+more {
+			return fmt.Errorf("the group is at step %d, started from %d", next, from)
 		}
 		return nil
 	})
@@ -154,7 +155,7 @@
 func (g *groupSite) mapRecord(t *testing.T) *fleetv1.MapRecord {
 	t.Helper()
 	var record *fleetv1.MapRecord
-	g.ask(t, "read the map", func(ctx context.Context, c controlv1.ControlClient) error {
+	g.callControl(t, "read the map", func(ctx context.Context, c controlv1.ControlClient) error {
 		response, err := c.ReadMap(ctx, &controlv1.ReadMapRequest{Group: groupName})
 		record = response.GetRecord()
 		return err
@@ -162,12 +163,11 @@
 	return record
 }
 
-// awaitPreparing waits until a switch is begun and not decided, and returns its
-// epoch.
+// awaitPreparing waits until a map switch has begun and is undecided, and returns its epoch.
 func (g *groupSite) awaitPreparing(t *testing.T) uint64 {
 	t.Helper()
 	var epoch uint64
-	eventually(t, "a switch begins", func() error {
+	eventually(t, "a map switch begins", func() error {
 		record := g.mapRecord(t)
 		if epoch = record.GetEpoch(); record.GetState() != fleetv1.MapState_MAP_STATE_PREPARING {
 			return fmt.Errorf("epoch %d is %v", epoch, record.GetState())
@@ -180,189 +180,188 @@
 // awaitEpoch waits until all ranks run with the given epoch or a later one.
 func (g *groupSite) awaitEpoch(t *testing.T, epoch uint64) {
 	t.Helper()
-	eventually(t, "the map comes into force", func() error {
-		records := g.ran(t).Records
+	eventually(t, "the map takes effect", func() error {
+		records := g.readSteps(t).Records
 		if last := records[len(records)-1]; last.Epochs[0] < epoch {
-			return fmt.Errorf("steps to %d run with epoch %d, want %d", last.To, last.Epochs[0], epoch)
+			return fmt.Errorf("steps up to %d ran with epoch %d, want at least %d", last.To, last.Epochs[0], epoch)
 		}
 		return nil
 	})
 }
 
-// leader returns the number of the control replica that leads.
+// leader returns the index of the control replica that leads.
 func (g *groupSite) leader(t *testing.T) int {
 	t.Helper()
 	var status *controlv1.StatusResponse
-	g.ask(t, "status", func(ctx context.Context, c controlv1.ControlClient) (err error) {
+	g.callControl(t, "status", func(ctx context.Context, c controlv1.ControlClient) (err error) {
 		status, err = c.Status(ctx, &controlv1.StatusRequest{})
 		return err
 	})
 	return int(status.GetLeader()) - 1
 }
 
-// checkOneMap checks that every step ran once and with one map on all ranks, and
-// that each map was used from the step on that was decided.
+// checkOneMap checks that every step ran once and with the same map on all ranks, and that each
+// map was used from its activation step on.
 func (g *groupSite) checkOneMap(t *testing.T) {
 	t.Helper()
 	is := is.New(t)
-	records := g.ran(t).Records
+	records := g.readSteps(t).Records
 	next := records[0].From
 	for _, record := range records {
 		t.Logf("steps %d to %d: epochs %v, mean %v", record.From, record.To, record.Epochs, record.Time/time.Duration(record.To-record.From+1))
-		is.Equal(record.From, next) // no step is left out or run twice
+		is.Equal(record.From, next) // no step is skipped or repeated
 		next = record.To + 1
 		for _, used := range record.Epochs {
-			is.Equal(used, record.Epochs[0]) // one map
+			is.Equal(used, record.Epochs[0]) // all ranks use the same map
 		}
-		if decided, known := g.decided[record.Epochs[0]]; known {
-			is.Equal(record.From, decided)
+		if activateStep, known := g.activateSteps[record.Epochs[0]]; known {
+			is.Equal(record.From, activateStep)
 		}
 	}
 }
 
-// holdMaps keeps all ranks from loading maps, or lets them go on, so that a switch
-// is prepared for as long as a test needs. The last rank ignores fencing tokens.
+// holdMaps blocks all ranks from loading maps, or unblocks them, so that a switch stays in
+// preparation for as long as a test needs. The last rank ignores fencing tokens.
 func (g *groupSite) holdMaps(t *testing.T, hold bool) {
 	t.Helper()
-	for rank := range g.engines {
+	for rank := range g.engineAddrs {
 		g.setFaults(t, rank, standin.Faults{HoldMaps: hold, IgnoreFencing: rank == groupRanks-1})
 	}
 }
 
-// switchUnder begins a switch to a map for another popular expert, brings about
-// a fault while it is prepared, and waits until the group runs with a new map.
-// The fault lets the ranks load the map at the moment of its choice.
-func (g *groupSite) switchUnder(t *testing.T, popular int, fault func()) {
+// switchMapDuring starts a switch to a map for another popular expert, runs fault while the
+// switch is in preparation, and waits until the group runs with a new map. fault must unblock
+// the ranks' map loading at the moment it chooses.
+func (g *groupSite) switchMapDuring(t *testing.T, popular int, fault func()) {
 	t.Helper()
-	began := time.Now()
+	start := time.Now()
 	g.holdMaps(t, true)
-	g.shift(t, popular)
+	g.shiftPopularity(t, popular)
 	epoch := g.awaitPreparing(t)
-	begun := time.Now()
+	preparingSince := time.Now()
 	fault()
 	g.awaitEpoch(t, epoch)
-	t.Logf("popular %d: epoch %d began after %v and was overtaken %v later", popular, epoch, begun.Sub(began), time.Since(begun))
+	t.Logf("most popular expert %d: epoch %d began preparing after %v; it or a later one was in force %v later", popular, epoch, preparingSince.Sub(start), time.Since(preparingSince))
 	if record := g.mapRecord(t); record.GetState() == fleetv1.MapState_MAP_STATE_COMMITTED {
-		g.decided[record.GetEpoch()] = record.GetActivateStep()
+		g.activateSteps[record.GetEpoch()] = record.GetActivateStep()
 	}
 	g.awaitSteps(t, "steps with the new map", 20)
 }
 
-// awaitHold waits until the group takes no further step for a while.
-func (g *groupSite) awaitHold(t *testing.T) {
+// awaitBlocked waits until the group has stopped stepping for blockedTime.
+func (g *groupSite) awaitBlocked(t *testing.T) {
 	t.Helper()
 	var last uint64
-	eventually(t, "the group holds", func() error {
+	eventually(t, "the group is blocked", func() error {
 		before := last
-		if last = g.ran(t).Next; last != before {
+		if last = g.readSteps(t).Next; last != before {
 			return fmt.Errorf("the group is at step %d", last)
 		}
-		time.Sleep(holdTime)
-		if next := g.ran(t).Next; next != last {
-			return fmt.Errorf("the group went on from step %d to %d", last, next)
+		time.Sleep(blockedTime)
+		if next := g.readSteps(t).Next; next != last {
+			return fmt.Errorf("the group advanced from step %d to %d", last, next)
 		}
 		return nil
 	})
 }
 
-// killLeader kills the control replica that leads and starts it again.
+// killLeader kills the control replica that leads and restarts it.
 func (g *groupSite) killLeader(t *testing.T) {
 	t.Helper()
-	leader := g.controls[g.leader(t)]
+	leader := g.controlProcs[g.leader(t)]
 	leader.kill()
 	leader.run(t)
 }
 
-// leaveUndecided lets all ranks promise a step, but cuts the leader off from its
-// quorum so that it cannot decide, and kills it once the group has reached that
-// step.
-func (g *groupSite) leaveUndecided(t *testing.T) {
+// isolateLeaderBeforeDecision lets all ranks promise a step, but isolates the leader from its
+// quorum so that it cannot decide. It kills the leader once the group has stopped at the
+// promised step.
+func (g *groupSite) isolateLeaderBeforeDecision(t *testing.T) {
 	t.Helper()
 	leader := g.leader(t)
-	for i, replica := range g.controls {
+	for i, replica := range g.controlProcs {
 		if i != leader {
 			replica.signal(syscall.SIGSTOP)
 		}
 	}
 	g.holdMaps(t, false)
-	g.awaitHold(t)
-	g.controls[leader].kill()
-	for i, replica := range g.controls {
+	g.awaitBlocked(t)
+	g.controlProcs[leader].kill()
+	for i, replica := range g.controlProcs {
 		if i != leader {
 			replica.signal(syscall.SIGCONT)
 		}
 	}
-	g.controls[leader].run(t)
+	g.controlProcs[leader].run(t)
 }
 
-// restartEngines kills all engines and starts them again. The group goes on
-// beyond all steps that it had run, with the map in force.
+// restartEngines kills and restarts all engines. The group must resume after all steps that it
+// had run, with the map in force.
 func (g *groupSite) restartEngines(t *testing.T) {
 	t.Helper()
 	is := is.New(t)
-	before := g.ran(t)
-	g.standin.kill()
-	g.standin.run(t)
+	before := g.readSteps(t)
+	g.standinProc.kill()
+	g.standinProc.run(t)
 	eventually(t, "the engines step again", func() error {
-		if steps := g.ran(t); len(steps.Records) == 0 {
-			return fmt.Errorf("held %d times", steps.Blocked)
+		if steps := g.readSteps(t); len(steps.Records) == 0 {
+			return fmt.Errorf("no steps, blocked %d times", steps.Blocked)
 		}
 		return nil
 	})
-	after := g.ran(t).Records[0]
+	after := g.readSteps(t).Records[0]
 	is.True(after.From >= before.Next)
 	for _, used := range after.Epochs {
 		is.Equal(used, before.Records[len(before.Records)-1].Epochs[0])
 	}
 }
 
-// In every step all ranks use one map, and the group gets going again, while a
-// switch is under way and a rank stalls while the leader is killed, the leader
-// is cut off after the promises and killed, all agents are killed and started
-// again, or an agent is frozen, and after all engines have been killed and started
-// again. The engines outlive their agents for the steps
-// that were granted.
+// In every step all ranks use the same map, and the group resumes stepping after each of these
+// faults during a map switch: a rank stalls and the leader is killed; the leader is isolated
+// after the promises and killed; all agents are killed and restarted; an agent is frozen. The
+// same holds after all engines are killed and restarted. The engines keep running through a
+// restart of their agents for as many steps as were granted.
 func TestOneMapInEveryStep(t *testing.T) {
 	for _, cell := range []proof.Cell{
-		{Faults: []proof.Fault{proof.StalledRank, proof.Kill}, Step: "switch of maps prepared, leader killed", Combined: true,
-			Guard: "each granted step counted as the rank's position"},
-		{Faults: []proof.Fault{proof.Freeze, proof.Kill}, Step: "switch of maps promised, leader cut off and killed", Combined: true,
+		{Faults: []proof.Fault{proof.StalledRank, proof.Kill}, Step: "map switch in preparation, leader killed", Combined: true,
+			Guard: "counting each granted step as the rank's position"},
+		{Faults: []proof.Fault{proof.Freeze, proof.Kill}, Step: "map switch promised, leader isolated and killed", Combined: true,
 			Guard: "no grant from the promised step on while undecided"},
-		{Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "switch of maps prepared, all agents killed", Combined: true,
+		{Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "map switch in preparation, all agents killed", Combined: true,
 			Guard: "the granted steps that an engine reports to a new process of its agent"},
-		{Faults: []proof.Fault{proof.Freeze}, Step: "switch of maps prepared, an agent frozen before it promises",
+		{Faults: []proof.Fault{proof.Freeze}, Step: "map switch in preparation, an agent frozen before it promises",
 			Guard: "the decision waits for the promise of every rank"},
 		{Faults: []proof.Fault{proof.Kill, proof.Restart}, Step: "all engines killed",
-			Guard: "a group begins beyond all granted steps; a new machine for a new run of an engine"},
+			Guard: "a group begins after all granted steps; a new state machine for each run of an engine"},
 	} {
 		cell.Promise, cell.SeparateProcesses = proof.OneMapPerStep, true
 		cell.Log(t)
 	}
 	g := newGroupSite(t)
-	g.switchUnder(t, 0, func() {
+	g.switchMapDuring(t, 0, func() {
 		g.setFaults(t, 2, standin.Faults{Stall: true})
 		g.killLeader(t)
-		time.Sleep(holdTime)
+		time.Sleep(blockedTime)
 		g.holdMaps(t, false)
 	})
-	g.switchUnder(t, 5, func() { g.leaveUndecided(t) })
-	g.switchUnder(t, 10, func() {
-		for _, agent := range g.agents {
+	g.switchMapDuring(t, 5, func() { g.isolateLeaderBeforeDecision(t) })
+	g.switchMapDuring(t, 10, func() {
+		for _, agent := range g.agentProcs {
 			agent.kill()
 		}
 		g.holdMaps(t, false)
-		for _, agent := range g.agents {
+		for _, agent := range g.agentProcs {
 			agent.run(t)
 		}
 	})
-	g.switchUnder(t, 15, func() {
+	g.switchMapDuring(t, 15, func() {
 		g.setFaults(t, 2, standin.Faults{})
 		g.setFaults(t, 3, standin.Faults{})
-		time.Sleep(holdTime) // the ranks of the agent report that they are prepared
-		g.agents[1].signal(syscall.SIGSTOP)
+		time.Sleep(blockedTime) // the ranks of the agent report that they are prepared
+		g.agentProcs[1].signal(syscall.SIGSTOP)
 		g.holdMaps(t, false)
-		g.awaitHold(t)
-		g.agents[1].signal(syscall.SIGCONT)
+		g.awaitBlocked(t)
+		g.agentProcs[1].signal(syscall.SIGCONT)
 	})
 	g.checkOneMap(t)
 	g.restartEngines(t)
--- a/e2e/log_test.go
+++ b/e2e/log_test.go
@@ -13,23 +13,23 @@
 	"github.com/lilackeel/lilackeel/measure/logspage"
 )
 
-// commonFields are those that lines of any event may have: of all lines, of lines
-// written in a request, and of lines of a library.
+// commonFields are the fields that any line may have: those of all lines, those of lines logged
+// during a request, and those of lines logged by libraries.
 var commonFields = []string{"time", "level", "msg", "daemon", "host", "request_id", "workspace", "endpoint", "attempt", "trace_id", "replica", "term", "library", "left_out"}
 
-// listedEvents are the events of docs/LOGS.md.
-var listedEvents = sync.OnceValues(func() (map[string]logspage.Entry, error) {
+// documentedEvents returns the events listed in docs/LOGS.md.
+var documentedEvents = sync.OnceValues(func() (map[string]logspage.Entry, error) {
 	text, err := os.ReadFile("../docs/LOGS.md")
 	return logspage.Listed(string(text)), err
 })
 
-// checkLog fails the test if a daemon has written a line that is not as
-// docs/LOGS.md says. The last line may be cut: the daemon may have been killed.
+// checkLog fails the test if a daemon has logged a line that does not match docs/LOGS.md. The
+// last line is not checked: it may be truncated if the daemon was killed.
 func (p *process) checkLog(t *testing.T) {
 	if !strings.HasPrefix(p.args[0], "lilackeel-") {
 		return
 	}
-	events, err := listedEvents()
+	events, err := documentedEvents()
 	if err != nil {
 		t.Error(err)
 		return
@@ -41,24 +41,25 @@
 	}
 	lines := bytes.Split(data, []byte("\n"))
 	for _, line := range lines[:len(lines)-1] {
-		if fault := faultOf(line, events); fault != "" {
-			t.Errorf("%s logs a line that is not as documented: %s: %s", p.name, fault, line)
+		if problem := logLineError(line, events); problem != "" {
+			t.Errorf("%s logged a line that does not match docs/LOGS.md: %s: %s", p.name, problem, line)
 		}
 	}
 }
 
-// faultOf says what is wrong with a line, nothing if it is as documented.
-func faultOf(line []byte, events map[string]logspage.Entry) string {
+// logLineError returns how a line differs from the documentation, or an empty string if it
+// matches.
+func logLineError(line []byte, events map[string]logspage.Entry) string {
 	var fields map[string]any
 	if err := json.Unmarshal(line, &fields); err != nil {
 		return err.Error()
 	}
-	written, _ := fields["time"].(string)
-	if _, err := time.Parse(time.RFC3339Nano, written); err != nil {
+	timestamp, _ := fields["time"].(string)
+	if _, err := time.Parse(time.RFC3339Nano, timestamp); err != nil {
 		return err.Error()
 	}
 	if fields["daemon"] == nil || fields["host"] == nil {
-		return "no daemon or host"
+		return "the daemon or host field is missing"
 	}
 	if fields["library"] != nil {
 		return ""
@@ -68,13 +69,13 @@
 	level, _ := fields["level"].(string)
 	switch {
 	case !listed:
-		return "the event is not listed"
+		return "the event is not documented"
 	case !slices.Contains(event.Levels, level):
-		return "another level"
+		return "the level is not documented"
 	}
 	for name := range fields {
 		if !slices.Contains(commonFields, name) && !slices.Contains(event.Fields, name) {
-			return "the field " + name + " is not listed"
+			return "the field " + name + " is not documented"
 		}
 	}
 	return ""
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -11,10 +11,10 @@
 	"github.com/lilackeel/lilackeel/standin/caller"
 )
 
-// The whole path through separate processes: an accepted intent, a streamed
-// model answer and a call that is not idempotent, repeated through the other
-// entry under the same key.
-func TestWholePath(t *testing.T) {
+// Requests work through separate processes: an intent is accepted, model responses are
+// streamed, and a call that is not idempotent is repeated through the other entry with the same
+// key.
+func TestRequestsThroughSeparateProcesses(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t)
 	c := s.caller()
@@ -31,7 +31,7 @@
 		is.True(first.Complete)
 		second, err := c.Call(context.Background(), i+1, http.MethodPost, swapsPath, []byte(body), key)
 		is.NoErr(err)
-		is.Equal(string(second.Body), string(first.Body)) // the repeat gets the recorded answer
-		is.Equal(s.runs(t, body), 1)
+		is.Equal(string(second.Body), string(first.Body)) // the repeat gets the recorded response
+		is.Equal(s.runCount(t, body), 1)
 	}
 }
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -16,26 +16,26 @@
 	"time"
 )
 
-// patience bounds every wait of these tests. No test passes or fails by how
-// fast something happens within it.
-const patience = 60 * time.Second
+// waitTimeout bounds every wait in these tests. It is long because no test depends on how fast
+// something happens.
+const waitTimeout = 60 * time.Second
 
-// binaries is the folder of the built programs.
-var binaries string
+// binDir is the directory of the built programs.
+var binDir string
 
 func TestMain(m *testing.M) {
 	os.Exit(buildAndRun(m))
 }
 
 func buildAndRun(m *testing.M) int {
-	folder, err := os.MkdirTemp("", "lilackeel-e2e")
+	dir, err := os.MkdirTemp("", "lilackeel-e2e")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	defer func() { _ = os.RemoveAll(folder) }()
-	binaries = folder
-	build := exec.Command("go", "build", "-o", folder+"/",
+	defer func() { _ = os.RemoveAll(dir) }()
+	binDir = dir
+	build := exec.Command("go", "build", "-o", dir+"/",
 		"../cmd/lilackeel-entry", "../cmd/lilackeel-agent", "../cmd/lilackeel-control",
 		"../cmd/standin-endpoint")
 	if output, err := build.CombinedOutput(); err != nil {
@@ -45,7 +45,7 @@
 	return m.Run()
 }
 
-// process is one running daemon.
+// process is one daemon process.
 type process struct {
 	name   string
 	args   []string
@@ -54,8 +54,8 @@
 	exited chan struct{}
 }
 
-// start runs a built program until the test ends.
-func start(t *testing.T, name, program string, args ...string) *process {
+// startProcess runs a built program until the test ends.
+func startProcess(t *testing.T, name, program string, args ...string) *process {
 	t.Helper()
 	p := &process{name: name, args: append([]string{program}, args...), log: filepath.Join(t.TempDir(), name+".log")}
 	p.run(t)
@@ -69,7 +69,7 @@
 	return p
 }
 
-// run starts the process with its arguments, anew after a kill.
+// run starts the process with its arguments. It is also used to restart it.
 func (p *process) run(t *testing.T) {
 	t.Helper()
 	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -77,7 +77,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = log.Close() }()
-	p.cmd = exec.Command(filepath.Join(binaries, p.args[0]), p.args[1:]...)
+	p.cmd = exec.Command(filepath.Join(binDir, p.args[0]), p.args[1:]...)
 	p.cmd.Stdout, p.cmd.Stderr = log, log
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
@@ -94,20 +94,20 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// kill ends the process at once and waits for it.
+// kill sends SIGKILL and waits for the process to exit.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.exited
 }
 
-// stop asks for a planned stop and returns the exit code.
+// stop requests a graceful stop and returns the exit code.
 func (p *process) stop(t *testing.T) int {
 	t.Helper()
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.exited:
 		return p.cmd.ProcessState.ExitCode()
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatalf("%s did not stop", p.name)
 		return -1
 	}
@@ -115,66 +115,69 @@
 
 // tail returns the end of the process's log.
 func (p *process) tail() string {
-	const most = 6000
+	const maxBytes = 6000
 	data, _ := os.ReadFile(p.log)
-	return string(data[max(0, len(data)-most):])
+	return string(data[max(0, len(data)-maxBytes):])
 }
 
-// Free ports are taken from below those that the system gives to outgoing
-// connections, by which a port could be lost before its daemon listens on it.
+// Ports are taken from below the system's ephemeral range. Otherwise an outgoing connection
+// could take a port before its daemon listens on it.
 const (
 	firstPort = 10000
 	portRange = 22000
-	// portBlock is the part of them that one process of tests takes from: two that run side by
-	// side take their ports from each other while a daemon is down.
+	// portBlock is the size of the part of the range that one test process uses. Test processes
+	// that ran side by side with the same part would take each other's ports while a daemon is
+	// down.
 	portBlock = 2000
 )
 
-// randomPort returns a port of this process's block or, once that may be used up, any.
+// randomPort returns a port of this process's block, or of the whole range once the block may
+// be exhausted.
 func randomPort() int {
-	if len(given) >= portBlock/2 {
+	if len(allocatedPorts) >= portBlock/2 {
 		return firstPort + rand.IntN(portRange)
 	}
 	block := os.Getpid() % (portRange / portBlock)
 	return firstPort + block*portBlock + rand.IntN(portBlock)
 }
 
-// given are the ports that tests of this process have been given. A port is free
-// again for everyone between the look for it and its daemon's start, and tests run
-// side by side; so none is given twice.
+// allocatedPorts are the ports that tests of this process have been given. A port is free for
+// everyone between its allocation and the start of its daemon, and tests run in parallel, so no
+// port is given twice.
 var (
-	givenMu sync.Mutex
-	given   = map[int]bool{}
+	allocatedPortsMu sync.Mutex
+	allocatedPorts   = map[int]bool{}
 )
 
-// ports returns n free loopback addresses.
-func ports(t *testing.T, n int) []string {
+// freeAddrs returns n free loopback addresses.
+func freeAddrs(t *testing.T, n int) []string {
 	t.Helper()
 	var addresses []string
-	for _, listener := range listeners(t, n) {
+	for _, listener := range listenOnFreePorts(t, n) {
 		addresses = append(addresses, listener.Addr().String())
 		_ = listener.Close()
 	}
 	return addresses
 }
 
-// listeners returns n open listeners at addresses that no test of this process has been given.
-// Who listens itself keeps them open: a test of another process may take a port that is closed.
-func listeners(t *testing.T, n int) []net.Listener {
+// listenOnFreePorts returns n listeners at addresses that no test of this process has been
+// given. Callers that serve the addresses themselves should keep the listeners open, because a
+// test of another process may take a closed port.
+func listenOnFreePorts(t *testing.T, n int) []net.Listener {
 	t.Helper()
-	givenMu.Lock()
-	defer givenMu.Unlock()
+	allocatedPortsMu.Lock()
+	defer allocatedPortsMu.Unlock()
 	var listeners []net.Listener
 	for len(listeners) < n {
 		port := randomPort()
-		if given[port] {
+		if allocatedPorts[port] {
 			continue
 		}
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if errors.Is(err, syscall.EADDRINUSE) {
 			continue
 		}
-		given[port] = true
+		allocatedPorts[port] = true
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -184,23 +187,23 @@
 }
 
 // eventually waits until check returns nil.
-func eventually(t *testing.T, what string, check func() error) {
+func eventually(t *testing.T, label string, check func() error) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		err := check()
 		if err == nil {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: %v", what, err)
+			t.Fatalf("%s: %v", label, err)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// ready returns nil when the admin address reports readiness.
-func ready(admin string) error {
+// checkReady returns nil if the daemon at the admin address reports that it is ready.
+func checkReady(admin string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+"/readyz", nil)
--- a/e2e/site_test.go
+++ b/e2e/site_test.go
@@ -20,24 +20,23 @@
 	"github.com/lilackeel/lilackeel/standin/caller"
 )
 
-// site is a small deployment on loopback: three control replicas, two agents,
-// two entries and their stand-in endpoints.
+// site is a small deployment on loopback: three control replicas, two agents, two entries and
+// their stand-in endpoints.
 type site struct {
-	control, controlAdmin  []string
-	entries, entryAdmin    []string
-	engines, services      []string
-	controls               []*process
-	standins               []*process
-	agents                 []*process
-	fronts                 []*process
-	agentAddrs, agentAdmin []string
-	relays                 []string
-	data                   []string
-	// Where links between daemons can be cut, these are the forwarders in front
-	// of the replicas (as their peers see them), of the agents, and of the
-	// replicas as one daemon sees them.
-	peers, advertised []string
-	controlOf         map[string][]string
+	controlAddrs, controlAdminAddrs []string
+	entryAddrs, entryAdminAddrs     []string
+	engineAddrs, serviceAddrs       []string
+	controlProcs                    []*process
+	standinProcs                    []*process
+	agentProcs                      []*process
+	entryProcs                      []*process
+	agentAddrs, agentAdminAddrs     []string
+	relayAddrs                      []string
+	dataDirs                        []string
+	// In tests that partition daemons, these are the addresses of the forwarders in front of
+	// the replicas (for their peers), of the agents, and of the replicas (for each daemon).
+	peerAddrs, advertisedAddrs []string
+	controlAddrsFor            map[string][]string
 	// serviceTime is how long a call of a stand-in service takes.
 	serviceTime time.Duration
 }
@@ -45,77 +44,77 @@
 const (
 	hosts    = 2
 	replicas = 3
-	// tokenTime paces the stand-in engines, so that streams last a while.
-	tokenTime = 20 * time.Millisecond
-	demoKey   = "e2e-key"
-	// demoKeyDigest is the SHA-256 of demoKey.
-	demoKeyDigest = "a781b3e13d2b80957d1b925804148f666cc87adb35c1481686a9687f27f8d8a0"
+	// tokenTime slows the stand-in engines down so that streams last a while.
+	tokenTime    = 20 * time.Millisecond
+	workspaceKey = "e2e-key"
+	// workspaceKeyDigest is the SHA-256 digest of workspaceKey.
+	workspaceKeyDigest = "a781b3e13d2b80957d1b925804148f666cc87adb35c1481686a9687f27f8d8a0"
 )
 
-// newSite starts all processes and waits until the intent is in force.
+// newSite starts all processes and waits until the initial intent is in force.
 func newSite(t *testing.T) *site {
 	t.Helper()
-	s := allocate(t, replicas)
+	s := newStoppedSite(t, replicas)
 	s.startAll(t)
 	return s
 }
 
-// allocate returns a site of which nothing runs yet.
-func allocate(t *testing.T, replicas int) *site {
+// newStoppedSite returns a site without running processes.
+func newStoppedSite(t *testing.T, replicas int) *site {
 	t.Helper()
 	return &site{
-		control: ports(t, replicas), controlAdmin: ports(t, replicas),
-		entries: ports(t, hosts), entryAdmin: ports(t, hosts),
-		engines: ports(t, hosts), services: ports(t, hosts),
-		agentAddrs: ports(t, hosts), agentAdmin: ports(t, hosts), relays: ports(t, hosts),
-		controlOf: map[string][]string{}, serviceTime: 2 * time.Millisecond,
+		controlAddrs: freeAddrs(t, replicas), controlAdminAddrs: freeAddrs(t, replicas),
+		entryAddrs: freeAddrs(t, hosts), entryAdminAddrs: freeAddrs(t, hosts),
+		engineAddrs: freeAddrs(t, hosts), serviceAddrs: freeAddrs(t, hosts),
+		agentAddrs: freeAddrs(t, hosts), agentAdminAddrs: freeAddrs(t, hosts), relayAddrs: freeAddrs(t, hosts),
+		controlAddrsFor: map[string][]string{}, serviceTime: 2 * time.Millisecond,
 	}
 }
 
 func (s *site) startAll(t *testing.T) {
 	t.Helper()
 	for i := range hosts {
-		s.standins = append(s.standins, start(t, fmt.Sprintf("standin-%d", i), "standin-endpoint", "-engine-listen", s.engines[i],
-			"-service-listen", s.services[i], "-model", "draft", "-token-time", tokenTime.String(), "-slots", "512",
+		s.standinProcs = append(s.standinProcs, startProcess(t, fmt.Sprintf("standin-%d", i), "standin-endpoint", "-engine-listen", s.engineAddrs[i],
+			"-service-listen", s.serviceAddrs[i], "-model", "draft", "-token-time", tokenTime.String(), "-slots", "512",
 			"-service-time", s.serviceTime.String()))
 	}
 	s.startControl(t)
 	for i := range hosts {
-		s.agents = append(s.agents, start(t, fmt.Sprintf("agent-%d", i), "lilackeel-agent", s.agentArgs(t, i)...))
+		s.agentProcs = append(s.agentProcs, startProcess(t, fmt.Sprintf("agent-%d", i), "lilackeel-agent", s.agentArgs(t, i)...))
 	}
-	s.accept(t, firstIntent())
+	s.acceptIntent(t, initialIntent())
 	for i := range hosts {
-		s.fronts = append(s.fronts, start(t, fmt.Sprintf("entry-%d", i), "lilackeel-entry",
-			"-name", fmt.Sprintf("entry-%d", i), "-zone", "a", "-listen", s.entries[i],
-			"-feed", s.controlFor(fmt.Sprintf("entry-%d", i)), "-control", s.controlFor(fmt.Sprintf("entry-%d", i)),
-			"-admin-listen", s.entryAdmin[i], "-relay-listen", s.relays[i], "-drain-delay", "300ms"))
+		s.entryProcs = append(s.entryProcs, startProcess(t, fmt.Sprintf("entry-%d", i), "lilackeel-entry",
+			"-name", fmt.Sprintf("entry-%d", i), "-zone", "a", "-listen", s.entryAddrs[i],
+			"-feed", s.controlList(fmt.Sprintf("entry-%d", i)), "-control", s.controlList(fmt.Sprintf("entry-%d", i)),
+			"-admin-listen", s.entryAdminAddrs[i], "-relay-listen", s.relayAddrs[i], "-drain-delay", "300ms"))
 	}
 	s.awaitServing(t)
 }
 
-// controlFor returns the addresses by which a daemon reaches the replicas.
-func (s *site) controlFor(daemon string) string {
-	if via, ok := s.controlOf[daemon]; ok {
-		return strings.Join(via, ",")
+// controlList returns the addresses at which a daemon reaches the replicas.
+func (s *site) controlList(daemon string) string {
+	if addrs, ok := s.controlAddrsFor[daemon]; ok {
+		return strings.Join(addrs, ",")
 	}
-	return strings.Join(s.control, ",")
+	return strings.Join(s.controlAddrs, ",")
 }
 
-func (s *site) startControl(t *testing.T, more ...string) {
+func (s *site) startControl(t *testing.T, extraArgs ...string) {
 	t.Helper()
 	var peers []string
-	seen := s.control
-	if s.peers != nil {
-		seen = s.peers
+	peerAddrs := s.controlAddrs
+	if s.peerAddrs != nil {
+		peerAddrs = s.peerAddrs
 	}
-	for i, addr := range seen {
+	for i, addr := range peerAddrs {
 		peers = append(peers, fmt.Sprintf("%d=%s", i+1, addr))
 	}
-	for i, addr := range s.control {
-		s.data = append(s.data, filepath.Join(t.TempDir(), "data"))
+	for i, addr := range s.controlAddrs {
+		s.dataDirs = append(s.dataDirs, filepath.Join(t.TempDir(), "data"))
 		args := append([]string{"-id", fmt.Sprint(i + 1), "-zone", "a", "-listen", addr, "-peers", strings.Join(peers, ","),
-			"-data-dir", s.data[i], "-admin-listen", s.controlAdmin[i]}, more...)
-		s.controls = append(s.controls, start(t, fmt.Sprintf("control-%d", i+1), "lilackeel-control", args...))
+			"-data-dir", s.dataDirs[i], "-admin-listen", s.controlAdminAddrs[i]}, extraArgs...)
+		s.controlProcs = append(s.controlProcs, startProcess(t, fmt.Sprintf("control-%d", i+1), "lilackeel-control", args...))
 	}
 }
 
@@ -125,37 +124,36 @@
 	text := fmt.Sprintf(`endpoints:
 - {id: engine-%d, pool: drafting, kind: engine, url: "http://%s", model: draft, version: "1", slots: 512}
 - {id: desk-%d, pool: desk, kind: service, url: "http://%s", slots: 64}
-`, i, s.engines[i], i, s.services[i])
+`, i, s.engineAddrs[i], i, s.serviceAddrs[i])
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	advertised := s.agentAddrs[i]
-	if s.advertised != nil {
-		advertised = s.advertised[i]
+	if s.advertisedAddrs != nil {
+		advertised = s.advertisedAddrs[i]
 	}
-	control := s.controlFor(fmt.Sprintf("agent-%d", i))
+	control := s.controlList(fmt.Sprintf("agent-%d", i))
 	args := []string{"-name", fmt.Sprintf("agent-%d", i), "-zone", "a", "-listen", s.agentAddrs[i], "-advertise", advertised,
-		"-control", control, "-endpoints", file, "-admin-listen", s.agentAdmin[i]}
+		"-control", control, "-endpoints", file, "-admin-listen", s.agentAdminAddrs[i]}
 	if i == 0 {
 		return args
 	}
-	// The other agents are fed by the relay of the first entry.
-	return append(args, "-feed", s.relays[0]+","+control)
+	// The other agents get their feed from the relay of the first entry.
+	return append(args, "-feed", s.relayAddrs[0]+","+control)
 }
 
-// swapsPath takes calls that are not idempotent, and lists them.
+// swapsPath accepts calls that are not idempotent and lists them.
 const swapsPath = "/desk/swaps"
 
-// notesPath takes idempotent calls, which are dispatched without a claim, and
-// lists them.
+// notesPath accepts idempotent calls, which are dispatched without a claim, and lists them.
 const notesPath = "/desk/notes"
 
-// firstIntent is the configuration that the tests start from.
-func firstIntent() *controlv1.Intent {
+// initialIntent returns the configuration that the tests start from.
+func initialIntent() *controlv1.Intent {
 	return &controlv1.Intent{
 		Id:         "first",
 		Operator:   "e2e",
-		Workspaces: []*fleetv1.Workspace{{Name: "crew", Importance: 10, KeyDigests: []string{demoKeyDigest}}},
+		Workspaces: []*fleetv1.Workspace{{Name: "crew", Importance: 10, KeyDigests: []string{workspaceKeyDigest}}},
 		Models:     []*fleetv1.Model{{Name: "draft", Pool: "drafting", Version: "1"}},
 		Services: []*fleetv1.Service{{Name: "desk", Pool: "desk", PathPrefix: "/desk", Routes: []*fleetv1.ServiceRoute{
 			{Method: http.MethodGet, PathPrefix: "/", Idempotent: true},
@@ -164,26 +162,25 @@
 	}
 }
 
-// leave is the intent that an endpoint leaves.
-func leave(id, endpoint string) *controlv1.Intent {
+// leaveIntent returns an intent that makes an endpoint leave.
+func leaveIntent(id, endpoint string) *controlv1.Intent {
 	return &controlv1.Intent{Id: id, Operator: "e2e", Endpoints: []*controlv1.EndpointChange{
 		{Id: endpoint, State: fleetv1.EndpointState_ENDPOINT_STATE_LEAVING},
 	}}
 }
 
-// accept plans and confirms an intent and returns its revision. It asks again
-// with the same id until a replica answers, as an operator does who has lost an
-// answer.
-func (s *site) accept(t *testing.T, intent *controlv1.Intent) uint64 {
+// acceptIntent plans and confirms an intent and returns its revision. Like an operator who has
+// lost a response, it repeats the request with the same ID until a replica answers.
+func (s *site) acceptIntent(t *testing.T, intent *controlv1.Intent) uint64 {
 	t.Helper()
 	var digest string
-	s.ask(t, "plan "+intent.GetId(), func(ctx context.Context, c controlv1.ControlClient) error {
+	s.callControl(t, "plan "+intent.GetId(), func(ctx context.Context, c controlv1.ControlClient) error {
 		planned, err := c.Plan(ctx, &controlv1.PlanRequest{Intent: intent})
 		digest = planned.GetPlan().GetDigest()
 		return err
 	})
 	var revision uint64
-	s.ask(t, "confirm "+intent.GetId(), func(ctx context.Context, c controlv1.ControlClient) error {
+	s.callControl(t, "confirm "+intent.GetId(), func(ctx context.Context, c controlv1.ControlClient) error {
 		confirmed, err := c.Confirm(ctx, &controlv1.ConfirmRequest{IntentId: intent.GetId(), Digest: digest, Operator: "e2e"})
 		revision = confirmed.GetRevision()
 		return err
@@ -191,12 +188,12 @@
 	return revision
 }
 
-// ask calls the control replicas in turn until one answers.
-func (s *site) ask(t *testing.T, what string, call func(context.Context, controlv1.ControlClient) error) {
+// callControl calls the control replicas in turn until one answers.
+func (s *site) callControl(t *testing.T, label string, call func(context.Context, controlv1.ControlClient) error) {
 	t.Helper()
 	next := 0
-	eventually(t, what, func() error {
-		addr := s.control[next%len(s.control)]
+	eventually(t, label, func() error {
+		addr := s.controlAddrs[next%len(s.controlAddrs)]
 		next++
 		connection, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 		if err != nil {
@@ -209,17 +206,17 @@
 	})
 }
 
-// caller returns a caller of all entries.
+// caller returns a caller that uses all entries.
 func (s *site) caller() *caller.Caller {
-	return &caller.Caller{Entries: s.entries, Key: demoKey, Model: "draft", Client: &http.Client{}}
+	return &caller.Caller{Entries: s.entryAddrs, Key: workspaceKey, Model: "draft", Client: &http.Client{}}
 }
 
-// awaitServing waits until every entry answers a model call and a service call.
+// awaitServing waits until every entry answers a model request and a service call.
 func (s *site) awaitServing(t *testing.T) {
 	t.Helper()
 	c := s.caller()
-	for i := range s.entries {
-		eventually(t, "first answers", func() error {
+	for i := range s.entryAddrs {
+		eventually(t, "first responses", func() error {
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			defer cancel()
 			result, err := c.Chat(ctx, i, "hello", 2)
@@ -235,20 +232,20 @@
 	}
 }
 
-// runs returns how often the call with this body ran at all stand-in services.
-func (s *site) runs(t *testing.T, body string) int {
+// runCount returns how often the call with this body ran on all stand-in services.
+func (s *site) runCount(t *testing.T, body string) int {
 	t.Helper()
 	total := 0
-	for i := range s.services {
-		total += bytes.Count(s.list(t, i, swapsPath), []byte(`"`+body+`"`))
+	for i := range s.serviceAddrs {
+		total += bytes.Count(s.listEffects(t, i, swapsPath), []byte(`"`+body+`"`))
 	}
 	return total
 }
 
-// list returns the effects of a path at stand-in service i as JSON.
-func (s *site) list(t *testing.T, i int, path string) []byte {
+// listEffects returns the effects of a path at stand-in service i as JSON.
+func (s *site) listEffects(t *testing.T, i int, path string) []byte {
 	t.Helper()
-	response, err := http.Get("http://" + s.services[i] + path)
+	response, err := http.Get("http://" + s.serviceAddrs[i] + path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -260,11 +257,11 @@
 	return data
 }
 
-// daemonActsOn returns nil once a daemon has acknowledged a revision.
-func (s *site) daemonActsOn(t *testing.T, name string, revision uint64) error {
+// daemonAtRevision returns nil if a daemon has acknowledged the revision.
+func (s *site) daemonAtRevision(t *testing.T, name string, revision uint64) error {
 	t.Helper()
 	var status *controlv1.StatusResponse
-	s.ask(t, "status", func(ctx context.Context, c controlv1.ControlClient) error {
+	s.callControl(t, "status", func(ctx context.Context, c controlv1.ControlClient) error {
 		var err error
 		status, err = c.Status(ctx, &controlv1.StatusRequest{})
 		return err
@@ -277,8 +274,8 @@
 	return fmt.Errorf("%s has not acknowledged revision %d: %v", name, revision, status.GetDaemons())
 }
 
-// metric reads one metric of a daemon.
-func (s *site) metric(t *testing.T, admin, name string) string {
+// readMetric returns the value of one metric of a daemon, or an empty string if it has none.
+func (s *site) readMetric(t *testing.T, admin, name string) string {
 	t.Helper()
 	response, err := http.Get("http://" + admin + "/metrics")
 	if err != nil {
--- a/e2e/soak_plan_test.go
+++ b/e2e/soak_plan_test.go
@@ -9,59 +9,60 @@
 	"time"
 )
 
-// faultKind is what is done to a daemon, or to a link between daemons, from outside.
+// faultKind is a fault injected into a daemon or into a connection between daemons.
 type faultKind string
 
 const (
-	// stopped daemons get SIGTERM and start again, killed ones SIGKILL, frozen ones SIGSTOP and
-	// later SIGCONT.
+	// stopped daemons get SIGTERM, killed ones SIGKILL, and both are restarted; frozen ones get
+	// SIGSTOP and later SIGCONT.
 	stopped faultKind = "stop"
 	killed  faultKind = "kill"
 	frozen  faultKind = "freeze"
-	// muted links hold back what is sent, one way or both, and let it pass late; on broken
-	// links all connections end.
-	muted  faultKind = "mute"
-	broken faultKind = "break"
-	// wiped replicas are killed and start again with an empty disk. It is the last one each time:
-	// the site is made to bear the loss of one disk.
-	wiped faultKind = "wipe"
+	// partitioned forwarders hold back data, in one or both directions, and deliver it late; a
+	// reset closes all connections of a forwarder.
+	partitioned faultKind = "mute"
+	reset       faultKind = "break"
+	// diskLost kills the replica and restarts it with an empty disk. It always affects the last
+	// replica, because the site is designed to survive the loss of one disk.
+	diskLost faultKind = "wipe"
 )
 
 // plannedFault is one fault of a plan.
 type plannedFault struct {
 	at   time.Duration
 	kind faultKind
-	// target is the number of a daemon, or of a link.
-	target int
-	length time.Duration
+	// target is the index of a daemon or of a forwarder.
+	target   int
+	duration time.Duration
 }
 
-// plan is a series of faults, made from a seed alone.
-type plan []plannedFault
+// faultPlan is a series of faults that is determined by a seed.
+type faultPlan []plannedFault
 
-// quietTime is the time without faults at the end of a plan.
-const quietTime = 3 * time.Second
+// faultFreeTime is the time without faults at the end of a plan.
+const faultFreeTime = 3 * time.Second
 
-// newPlan spreads faults over a time: planned stops alone in its first third, then everything,
-// a fault each second in the mean, overlapping, now and then several at the same moment.
-func newPlan(seed uint64, daemons, links int, length time.Duration) plan {
+// newPlan distributes faults over the duration: only graceful stops in its first third, then
+// all kinds. There is one fault per second on average; faults overlap, and now and then several
+// start at the same moment.
+func newPlan(seed uint64, daemons, forwarders int, duration time.Duration) faultPlan {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	var p plan
-	for at := time.Second; at < length-quietTime; at += time.Duration(rng.IntN(2000)) * time.Millisecond {
-		kinds := []faultKind{stopped, killed, killed, frozen, frozen, muted, muted, broken, wiped}
-		together := 1
-		if at < length/3 {
+	var p faultPlan
+	for at := time.Second; at < duration-faultFreeTime; at += time.Duration(rng.IntN(2000)) * time.Millisecond {
+		kinds := []faultKind{stopped, killed, killed, frozen, frozen, partitioned, partitioned, reset, diskLost}
+		count := 1
+		if at < duration/3 {
 			kinds = kinds[:1]
 		} else if rng.IntN(6) == 0 {
-			together = 1 + rng.IntN(daemons)
+			count = 1 + rng.IntN(daemons)
 		}
-		for range together {
-			f := plannedFault{at: at, kind: kinds[rng.IntN(len(kinds))], length: time.Duration(100+rng.IntN(2400)) * time.Millisecond}
+		for range count {
+			f := plannedFault{at: at, kind: kinds[rng.IntN(len(kinds))], duration: time.Duration(100+rng.IntN(2400)) * time.Millisecond}
 			f.target = rng.IntN(daemons)
 			switch f.kind {
-			case muted, broken:
-				f.target = rng.IntN(links)
-			case wiped:
+			case partitioned, reset:
+				f.target = rng.IntN(forwarders)
+			case diskLost:
 				f.target = daemons - 1
 			}
 			p = append(p, f)
@@ -70,28 +71,28 @@
 	return p
 }
 
-func (p plan) String() string {
+func (p faultPlan) String() string {
 	var text strings.Builder
 	for _, f := range p {
-		fmt.Fprintf(&text, "%v %s %d for %v; ", f.at, f.kind, f.target, f.length)
+		fmt.Fprintf(&text, "%v %s %d for %v; ", f.at, f.kind, f.target, f.duration)
 	}
 	return text.String()
 }
 
-// harmed carries out one fault on a link.
-func (f *forwarder) harmed(fault plannedFault) {
-	if fault.kind == broken {
+// inject carries out one fault on a forwarder.
+func (f *forwarder) inject(fault plannedFault) {
+	if fault.kind == reset {
 		f.reset()
 		return
 	}
-	ways := [...]cut{bothWays, {up: true}, {down: true}}
-	f.cut(anyone, ways[int(fault.length/time.Millisecond)%len(ways)])
-	time.Sleep(fault.length)
+	partitions := [...]partition{fullPartition, {up: true}, {down: true}}
+	f.partition(anyProcess, partitions[int(fault.duration/time.Millisecond)%len(partitions)])
+	time.Sleep(fault.duration)
 	f.heal()
 }
 
-// harmed carries out one fault on a daemon, until it runs again.
-func (p *process) harmed(t *testing.T, f plannedFault) {
+// inject carries out one fault on a daemon and waits until it runs again.
+func (p *process) inject(t *testing.T, f plannedFault) {
 	switch f.kind {
 	case stopped:
 		p.signal(syscall.SIGTERM)
@@ -99,11 +100,11 @@
 		p.run(t)
 	case killed:
 		p.kill()
-		time.Sleep(f.length)
+		time.Sleep(f.duration)
 		p.run(t)
 	case frozen:
 		p.signal(syscall.SIGSTOP)
-		time.Sleep(f.length)
+		time.Sleep(f.duration)
 		p.signal(syscall.SIGCONT)
 	}
 }
