--- a/control/expertmap/driver_test.go
+++ b/control/expertmap/driver_test.go
@@ -124,7 +124,7 @@
 		case mapswitch.ToControl:
 			record, err := mapwire.RecordOf(s.state.FencedMapRecord(testGroup))
 			if err == nil {
-				s.emit(s.ranks[m.Rank].Step(s.now(), mapswitch.Answer(m, record, true)), response)
+				s.emit(s.ranks[m.Rank].Step(s.now(), mapswitch.AnswerRead(m, record, true)), response)
 			}
 		case mapswitch.ToCoordinator:
 			if response != nil {
--- a/rankhost/group.go
+++ b/rankhost/group.go
@@ -137,7 +137,7 @@
 			return
 		}
 		if h.controller == controller {
-			h.dispatch(ctx, controller.Step(h.now(), mapswitch.Answer(m, record, true)))
+			h.dispatch(ctx, controller.Step(h.now(), mapswitch.AnswerRead(m, record, true)))
 			h.wakeUp()
 		}
 	}()
--- a/rankhost/mapchange_test.go
+++ b/rankhost/mapchange_test.go
@@ -18,7 +18,7 @@
 		Revision: 4 * (epoch + 1), Token: 1, Epoch: epoch, Digest: base.Digest(), PendingEpoch: epoch + 1, PendingDigest: next.Digest(), LastEpoch: epoch + 1,
 	}
 	for _, m := range c.rank.Tick(0) {
-		c.filterOutgoing(c.rank.Step(0, mapswitch.Answer(m, record, true)))
+		c.filterOutgoing(c.rank.Step(0, mapswitch.AnswerRead(m, record, true)))
 	}
 	return c
 }
--- a/rankhost/simulation_test.go
+++ b/rankhost/simulation_test.go
@@ -184,7 +184,7 @@
 		case mapswitch.ToControl:
 			controller := e.controller
 			sim.sendMessage(e.rank, func() {
-				answer := mapswitch.Answer(m, sim.record, true)
+				answer := mapswitch.AnswerRead(m, sim.record, true)
 				sim.sendMessage(e.rank, func() {
 					if e.controller == controller {
 						sim.dispatch(e, controller.Step(sim.now, answer))
