--- a/entry/pushback_test.go
+++ b/entry/pushback_test.go
@@ -46,7 +46,7 @@
 	time.Sleep(pauseGrace) // all entries have been rejected
 	knownAt := time.Now()
 	time.Sleep(requestedPause - 2*pauseGrace)
-	return s.MostArrivals(knownAt, requestedPause)
+	return s.MaxArrivals(knownAt, requestedPause)
 }
 
 // Guards against first attempts at an endpoint that has rejected a request and requested a pause.
@@ -163,7 +163,7 @@
 		previous = retryAfter
 	}
 	for _, s := range f.services {
-		is.True(s.MostArrivals(startedAt.Add(pauseGrace), requestedPause) <= maxRequestsInPause)
+		is.True(s.MaxArrivals(startedAt.Add(pauseGrace), requestedPause) <= maxRequestsInPause)
 		s.SetFaults(standin.Faults{})
 	}
 	time.Sleep(requestedPause - 400*time.Millisecond - time.Since(startedAt))
@@ -232,14 +232,14 @@
 		s.Picker, s.RateLimits = singleEndpointPicker{single}, NewRateLimits(Config{}, table, NewAdmissionController(Config{}), slog.New(slog.DiscardHandler))
 		s.config.DefaultDeadline = 5 * time.Second
 		startedAt := time.Now()
-		w, _ := ask(s, t.Context(), chatPath, streamBody)
+		w, _ := sendPost(s, t.Context(), chatPath, streamBody)
 		t.Logf("a pause of %v: %d after %v, %d dispatches, Retry-After %s", c.pause, w.Code, time.Since(startedAt), dispatches.Load(), w.Header().Get("Retry-After"))
 		is.Equal(w.Code == http.StatusOK, c.served)
 		is.Equal(time.Since(startedAt) >= c.pause, c.served)
 		if !c.served {
 			is.Equal(w.Header().Get("Retry-After"), "60")
 			is.Equal(dispatches.Load(), int64(1))
-			second, _ := ask(s, t.Context(), chatPath, streamBody)
+			second, _ := sendPost(s, t.Context(), chatPath, streamBody)
 			is.Equal(second.Code, http.StatusServiceUnavailable)
 			is.Equal(dispatches.Load(), int64(1)) // no further dispatch to the agent
 		}
--- a/entry/ratelimits_test.go
+++ b/entry/ratelimits_test.go
@@ -89,7 +89,7 @@
 	f.t.Helper()
 	d, err := New(Config{
 		Name: fmt.Sprint("entry-", len(f.entries)), Zone: "a", Listen: "127.0.0.1:0", Feed: []string{"127.0.0.1:1"}, Control: []string{"127.0.0.1:1"},
-		Routed: true, MaxHeaderBytes: 4 << 10, MaxBodyBytes: 1 << 10, BodyTimeout: time.Second, WriteTimeout: time.Second, HoldBytes: 64 << 10,
+		Routed: true, MaxHeaderBytes: 4 << 10, MaxBodyBytes: 1 << 10, BodyTimeout: time.Second, WriteTimeout: time.Second, MaxBufferedBytes: 64 << 10,
 		RetryAfter: 250 * time.Millisecond, RetryRatio: 0.1, RetryBurst: 10, MaxWait: 300 * time.Millisecond, MaxRetryAfter: time.Second,
 		ReportInterval: 20 * time.Millisecond, Peers: 1, Link: link.Config{},
 	}, slog.New(slog.DiscardHandler))
@@ -97,7 +97,7 @@
 		f.t.Fatal(err)
 	}
 	d.configurer.apply(f.t.Context(), (&feed.View{}).Apply(f.delta), f.delta)
-	go d.runThrottle(f.t.Context())
+	go d.runCapacityUpdates(f.t.Context())
 	front := httptest.NewServer(d.routed)
 	f.entries, f.configurers = append(f.entries, front), append(f.configurers, d.configurer)
 	f.t.Cleanup(func() {
@@ -164,9 +164,9 @@
 	time.Sleep(1500 * time.Millisecond) // all entries know the limit
 	knownAt := time.Now()
 	time.Sleep(window + time.Second)
-	got := f.services[0].MostArrivals(knownAt, window)
+	got := f.services[0].MaxArrivals(knownAt, window)
 	t.Logf("the limited endpoint got %d requests in %v, the others %d and %d; %d answered, %d refused, %d others", got, window,
-		f.services[1].MostArrivals(knownAt, window), f.services[2].MostArrivals(knownAt, window), f.served.Load(), f.refused.Load(), f.other.Load())
+		f.services[1].MaxArrivals(knownAt, window), f.services[2].MaxArrivals(knownAt, window), f.served.Load(), f.refused.Load(), f.other.Load())
 	is.True(got <= allowed(1, window))
 	is.True(got >= 1)                                   // the limit is used
 	is.Equal(f.refused.Load()+f.other.Load(), int64(0)) // the rest goes elsewhere
