--- a/group/doc.go
+++ b/group/doc.go
@@ -4,7 +4,7 @@
 // and each rank has a fixed number of slots per layer, each of which holds the
 // weights of one expert. An expert map assigns experts to slots; an expert that
 // is assigned to several slots has that many replicas, and its tokens are divided
-// evenly among them. Because every layer ends in an exchange between all
+// evenly among them. Because every layer ends in an all-to-all exchange between the
 // ranks, the rank with the most work in a layer determines the time of the layer.
 //
 // All ranks of a group must use the same map in every step; package mapswitch
--- a/group/fanout/fanout.go
+++ b/group/fanout/fanout.go
@@ -24,7 +24,7 @@
 	Addr, Zone string
 }
 
-// Plan is a fixed partition of agents. Because it does not change, the agents of a
+// Plan is a fixed division of agents into partitions. Because it does not change, the agents of a
 // partition can reuse their connections to each other. The zero Plan has no agents.
 type Plan struct {
 	partitions [][]string
--- a/group/map.go
+++ b/group/map.go
@@ -88,7 +88,7 @@
 func (m Map) Validate(s Shape) error {
 	if m.Layers != s.Layers || m.Ranks != s.Ranks || m.SlotsPerRank != s.Slots {
 		return fault.Newf(fault.Invalid, "build the map from the shape of the group",
-			"map of %d×%d×%d for a group of %d×%d×%d", m.Layers, m.Ranks, m.SlotsPerRank, s.Layers, s.Ranks, s.Slots)
+			"map has dimensions %d×%d×%d (layers×ranks×slots), the group has %d×%d×%d", m.Layers, m.Ranks, m.SlotsPerRank, s.Layers, s.Ranks, s.Slots)
 	}
 	if len(m.Slots) != s.Layers*s.SlotsPerLayer() {
 		return fault.Newf(fault.Invalid, "send the complete map", "map has %d slots, want %d", len(m.Slots), s.Layers*s.SlotsPerLayer())
@@ -128,7 +128,7 @@
 
 // Moves returns, for each rank, the number of slots whose expert must be loaded
 // to switch from one map to the next. An expert that the rank already holds in
-// the layer needs no load, whichever slot it is in.
+// the layer need not be loaded, whichever slot it is in.
 func Moves(from, to Map) []int {
 	moves := make([]int, to.Ranks)
 	for layer := range to.Layers {
