--- a/group/balance/balancer.go
+++ b/group/balance/balancer.go
@@ -204,11 +204,11 @@
 	l := c.state
 	oldRank, _ := l.busiest()
 	before := l.expectedPeak()
-	oldError := b.rankVariance(l, oldRank)
+	oldVariance := b.rankVariance(l, oldRank)
 	moves := improveLayer(l, b.minGainPerMove(), b.config.MaxMoves-d.Moves)
 	newRank, _ := l.busiest()
 	saving := before - l.expectedPeak()
-	margin := b.margin(c.forecast, oldError+b.rankVariance(l, newRank))
+	margin := b.margin(c.forecast, oldVariance+b.rankVariance(l, newRank))
 	if moves == 0 || saving <= margin {
 		copy(d.Map.Layer(c.layer), current.Layer(c.layer))
 		return 0
@@ -216,7 +216,7 @@
 	d.Moves += moves
 	d.Saving += saving * b.config.TokenTime
 	d.Margin += margin * b.config.TokenTime
-	return oldError * c.forecast.Drift() * b.config.TokenTime * b.config.TokenTime
+	return oldVariance * c.forecast.Drift() * b.config.TokenTime * b.config.TokenTime
 }
 
 // rankVariance returns the variance of a rank's load for a unit variance of the
@@ -233,15 +233,17 @@
 
 // margin returns the largest apparent saving that forecast error alone is expected to
 // cause: the largest of n errors is about sqrt(2 ln n) standard errors, and there is one
-// error for every rank, layer and decision during the maximum lifetime.
-func (b *Balancer) margin(f *Forecaster, errors float64) float64 {
+// error for every rank, layer and decision during the maximum lifetime. rankVariances is
+// the sum of the results of rankVariance for the busiest rank before a change and, if there
+// is one yet, the busiest rank after it.
+func (b *Balancer) margin(f *Forecaster, rankVariances float64) float64 {
 	if b.config.Ablation.NoMargin {
 		return 0
 	}
 	ahead := float64(b.config.Lag) / float64(b.config.Interval)
 	decisions := float64(b.config.MaxLifetime) / float64(b.config.Interval)
 	samples := decisions * float64(b.config.Shape.Ranks*b.config.Shape.Layers)
-	return math.Sqrt(errors*f.Variance(ahead)) * math.Sqrt(2*math.Log(samples))
+	return math.Sqrt(rankVariances*f.Variance(ahead)) * math.Sqrt(2*math.Log(samples))
 }
 
 // expectedLifetime returns the time in seconds after which drift alone has changed the
--- a/group/balance/evaluate.go
+++ b/group/balance/evaluate.go
@@ -17,7 +17,8 @@
 	stepBenefit float64
 }
 
-// evaluate returns what a map saves and costs.
+// evaluate returns what a map saves and costs. before and mean are the results of StepLoad
+// for the current map.
 func (f *Follower) evaluate(current, next group.Map, before, mean float64) option {
 	after, _ := StepLoad(f.config.Shape, next, f.load, f.cost)
 	moves, most := 0, 0
@@ -43,7 +44,7 @@
 		return (before - after) / before
 	}
 	stepTime := func(relative float64) time.Duration { return time.Duration(relative * float64(f.unitTime)) }
-	saved := weightedStepTime(stepTime(before), f.maxPause) - weightedStepTime(stepTime(after), f.maxPause)
+	saved := weightedStepTime(stepTime(before), f.maxGap) - weightedStepTime(stepTime(after), f.maxGap)
 	return saved / stepTime(before).Seconds()
 }
 
--- a/group/balance/follow.go
+++ b/group/balance/follow.go
@@ -48,8 +48,8 @@
 	lastRejection rejection
 	// stall is the cost set by SetStall.
 	stall float64
-	// unitTime and maxPause are the times set by SetStepTime.
-	unitTime, maxPause time.Duration
+	// unitTime and maxGap are the times set by SetStepTime.
+	unitTime, maxGap time.Duration
 	// changedLayers is the number of layers whose demand jumped in the last observation.
 	changedLayers int
 }
@@ -99,10 +99,10 @@
 func (f *Follower) SetStall(seconds float64) { f.stall = seconds }
 
 // SetStepTime sets unit, the step time per unit of relative step time, as StepTimeEstimator
-// estimates it, and pause, the longest pause between two steps that callers were promised, zero
-// for none. While unit is zero, which means unknown, a shorter step is worth exactly
-// the time that it saves.
-func (f *Follower) SetStepTime(unit, pause time.Duration) { f.unitTime, f.maxPause = unit, pause }
+// estimates it, and maxGap, the longest gap between two tokens that the group's streams were
+// promised, zero for none. While unit is zero, which means unknown, a shorter step is worth
+// exactly the time that it saves.
+func (f *Follower) SetStepTime(unit, maxGap time.Duration) { f.unitTime, f.maxGap = unit, maxGap }
 
 // RelativeStepTime returns the time of a step under a map, relative to the mean time that a
 // rank spends on experts.
@@ -140,9 +140,9 @@
 	return false
 }
 
-// minNextShare is the share of the new demand in a mixture below which what remains
+// minNewShare is the share of the new demand in a mixture below which what remains
 // after subtracting the old demand cannot be told from noise.
-const minNextShare = 0.2
+const minNewShare = 0.2
 
 // subtractDemand returns what remains of a mixture after subtracting the old demand.
 // The share of the old demand is estimated by how much the load of its busiest expert
@@ -155,7 +155,7 @@
 		}
 	}
 	oldShare := min(mixture[busiest]/old[busiest], 1)
-	if 1-oldShare < minNextShare {
+	if 1-oldShare < minNewShare {
 		return mixture
 	}
 	rest := make([]float64, len(mixture))
--- a/group/balance/improve.go
+++ b/group/balance/improve.go
@@ -9,13 +9,14 @@
 	expert      uint16
 	swap        bool
 	moves       int
-	// peak is the highest load among the ranks touched and the next busiest.
+	// peak is the highest load, after the change, among the ranks that it affects and the
+	// second busiest rank.
 	peak float64
 }
 
-// improveLayer changes a layer by the replicas and swaps that lower its busiest
-// rank most per move, until a move gains no more than minGain or the moves are
-// used up. It returns the number of moves.
+// improveLayer applies the changes that reduce the load of a layer's busiest rank most
+// per move, until a move gains no more than minGain or the given number of moves is used
+// up. It returns the number of moves made.
 func improveLayer(l *layer, minGain float64, moves int) int {
 	used := 0
 	for used < moves {
@@ -82,15 +83,15 @@
 		}
 		peak := max(reduced, load, second)
 		if old != group.Empty {
-			peak = max(peak, l.withoutReplica(old, target, rank, reduced))
+			peak = max(peak, l.peakWithoutReplica(old, target, rank, reduced))
 		}
 		consider(change{slot: slot, expert: expert, moves: 1, peak: peak + l.zonePenalty(expert, target)})
 	}
 }
 
-// withoutReplica returns the highest load among the other ranks that hold an
+// peakWithoutReplica returns the highest load among the other ranks that hold an
 // expert, once its replica on the rank from is removed.
-func (l *layer) withoutReplica(expert uint16, from, busiest int, reduced float64) float64 {
+func (l *layer) peakWithoutReplica(expert uint16, from, busiest int, reduced float64) float64 {
 	extra := l.extraLoad(expert)
 	var highest float64
 	for _, rank := range l.holders[expert] {
@@ -106,32 +107,32 @@
 	return highest
 }
 
-// considerSwaps considers exchanging an expert of the busiest rank with a lighter
-// one of another rank.
+// considerSwaps considers exchanging an expert of the busiest rank with one of another
+// rank that has less load per replica.
 func (l *layer) considerSwaps(rank, slot int, second float64, consider func(change)) {
 	expert := l.slots[slot]
 	share := l.replicaLoad(expert)
-	for other, back := range l.slots {
+	for other, targetExpert := range l.slots {
 		target := other / l.shape.Slots
 		if l.rankLoads[target] >= l.rankLoads[rank] {
 			continue
 		}
-		difference := share - l.replicaLoad(back)
+		difference := share - l.replicaLoad(targetExpert)
 		if difference <= 0 {
 			continue
 		}
 		load := l.rankLoads[target] + difference*l.cost[target]
-		if load >= l.rankLoads[rank] || !l.canSwap(rank, expert, target, back) {
+		if load >= l.rankLoads[rank] || !l.canSwap(rank, expert, target, targetExpert) {
 			continue
 		}
 		reduced := l.rankLoads[rank] - difference*l.cost[rank]
-		consider(change{slot: slot, other: other, expert: back, swap: true, moves: 2, peak: max(reduced, load, second)})
+		consider(change{slot: slot, other: other, expert: targetExpert, swap: true, moves: 2, peak: max(reduced, load, second)})
 	}
 }
 
 // zonePenaltyShare is the share of a rank's load that is added to the score of a replica
-// in a zone that already has one, so that an otherwise equal one is preferred: tokens of
-// every zone should find replicas of hot experts in their own zone.
+// in a zone that already has one, so that an otherwise equal replica in another zone is
+// preferred: tokens of every zone should find replicas of hot experts in their own zone.
 const zonePenaltyShare = 1e-3
 
 func (l *layer) zonePenalty(expert uint16, target int) float64 {
@@ -146,8 +147,8 @@
 	return 0
 }
 
-// Improve returns the map that results from at most the given number of best changes,
-// regardless of the cost of the moves.
+// Improve returns the map that results from applying the best changes, with at most the
+// given number of moves, regardless of their cost.
 func Improve(shape group.Shape, m group.Map, load, cost []float64, moves int) group.Map {
 	m = m.Clone()
 	for n := range shape.Layers {
--- a/group/balance/layer.go
+++ b/group/balance/layer.go
@@ -97,10 +97,10 @@
 // empty, or its expert has another replica.
 func (l *layer) replaceable(old uint16) bool { return old == group.Empty || l.replicas[old] >= 2 }
 
-// canSwap reports whether a rank and a target rank may swap an expert of the rank with the
-// expert back of the target.
-func (l *layer) canSwap(rank int, expert uint16, target int, back uint16) bool {
-	return target != rank && back != group.Empty && !l.holds(rank, back) && !l.holds(target, expert)
+// canSwap reports whether an expert of a rank and targetExpert of the rank target may be
+// exchanged.
+func (l *layer) canSwap(rank int, expert uint16, target int, targetExpert uint16) bool {
+	return target != rank && targetExpert != group.Empty && !l.holds(rank, targetExpert) && !l.holds(target, expert)
 }
 
 // extraLoad returns the load that each other replica of an expert gains when one replica is
--- a/group/balance/plan.go
+++ b/group/balance/plan.go
@@ -16,9 +16,9 @@
 	MinGain float64
 }
 
-// minRelativeGain ends the search when gains are no larger than the rounding error of the
-// sums, which the search could otherwise keep gaining forever; relative to the mean load
-// of a rank.
+// minRelativeGain is the gain, relative to the mean load of a rank, at which the search
+// ends. Smaller gains may be rounding errors of the sums, with which the search could
+// continue forever.
 const minRelativeGain = 1e-4
 
 // plan is a map that is improved by the best moves, one at a time over all layers, with a
@@ -261,8 +261,8 @@
 	return sum
 }
 
-// scoreSwaps evaluates the exchange of the expert in a slot of the busiest rank with a
-// lighter one of another rank.
+// scoreSwaps evaluates the exchange of the expert in a slot of the busiest rank with each
+// expert of another rank that has less load per replica.
 func (s *search) scoreSwaps(rank, slot int) {
 	expert := s.slots[slot]
 	share := s.replicaLoads[expert]
@@ -272,17 +272,17 @@
 			continue // taking load from the busiest rank would make this one the busiest
 		}
 		for other := target * s.shape.Slots; other < (target+1)*s.shape.Slots; other++ {
-			back := s.slots[other]
-			if back == group.Empty || s.replicaLoads[back] >= share {
+			targetExpert := s.slots[other]
+			if targetExpert == group.Empty || s.replicaLoads[targetExpert] >= share {
 				continue
 			}
-			difference := share - s.replicaLoads[back]
+			difference := share - s.replicaLoads[targetExpert]
 			reduced, raised := s.rankLoads[rank]-difference*s.cost[rank], load+difference*s.cost[target]
 			sum := othersTotal + power16(reduced/s.meanLoad) - s.powers[target] + power16(raised/s.meanLoad)
-			if !s.improves(2, sum) || !s.canSwap(rank, expert, target, back) || !s.withinBudget(rank, back) || !s.withinBudget(target, expert) {
+			if !s.improves(2, sum) || !s.canSwap(rank, expert, target, targetExpert) || !s.withinBudget(rank, targetExpert) || !s.withinBudget(target, expert) {
 				continue
 			}
-			s.keep(change{slot: slot, other: other, expert: back, swap: true, moves: 2}, sum)
+			s.keep(change{slot: slot, other: other, expert: targetExpert, swap: true, moves: 2}, sum)
 		}
 	}
 }
--- a/group/balance/stalls.go
+++ b/group/balance/stalls.go
@@ -19,7 +19,7 @@
 
 const (
 	// toleratedStall is how long a group may wait without its streams being late: about
-	// what remains of the promised maximum pause after a step.
+	// what remains of the promised maximum gap between tokens after a step.
 	toleratedStall = 40 * time.Millisecond
 	// lostStreamTime is the work that is lost by a longer wait: about that of one stream.
 	lostStreamTime = 1200 * time.Millisecond
--- a/group/balance/steptime.go
+++ b/group/balance/steptime.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// StepTimeEstimator estimates the step time of a group. Compared with the maximum pause
-// that its streams were promised, it determines what a shorter step is worth to callers.
+// StepTimeEstimator estimates the step time of a group. Compared with the maximum gap
+// between tokens that its streams were promised, it determines what a shorter step is worth to callers.
 // It is not safe for concurrent use. The zero value has no estimate.
 //
-// If a step is well within the promised pause, making it shorter does not help any caller,
+// If a step is well within the promised gap, making it shorter does not help any caller,
 // while the map switch that does so costs copies and makes the group wait at a step. On a
 // day of low load, two thirds of the switches of two groups of 32 ranks were made because
 // of a skew below 1.25, and no caller was late with or without them.
@@ -55,11 +55,11 @@
 func (e *StepTimeEstimator) UnitTime() time.Duration { return e.unitTime }
 
 const (
-	// safePauseShare is the share of the promised maximum pause up to which a mean step time
-	// keeps every step within the pause: single steps, in which a rank prefills prompts, take
+	// safeGapShare is the share of the promised maximum gap up to which a mean step time
+	// keeps every step within the gap: single steps, in which a rank prefills prompts, take
 	// up to 1.6 times the mean.
-	safePauseShare = 0.6
-	// minBenefitWeight is the value of time saved below safePauseShare, relative to time
+	safeGapShare = 0.6
+	// minBenefitWeight is the value of time saved below safeGapShare, relative to time
 	// saved above it. It is not zero because requests are admitted earlier and first tokens
 	// arrive earlier.
 	minBenefitWeight = 0.2
@@ -67,21 +67,21 @@
 
 // weightedStepTime returns a step time in seconds, weighted by the benefit that callers
 // have from shortening it.
-func weightedStepTime(stepTime, maxPause time.Duration) float64 {
+func weightedStepTime(stepTime, maxGap time.Duration) float64 {
 	seconds := stepTime.Seconds()
-	if maxPause <= 0 {
+	if maxGap <= 0 {
 		return seconds
 	}
-	excess := max(seconds-safePauseShare*maxPause.Seconds(), 0)
+	excess := max(seconds-safeGapShare*maxGap.Seconds(), 0)
 	return minBenefitWeight*seconds + (1-minBenefitWeight)*excess
 }
 
 // LateShare returns the share of the streams that are late at a mean step time: none up to
-// safePauseShare of the promised maximum pause, and all from the full pause on. It is zero
+// safeGapShare of the promised maximum gap, and all from the full gap on. It is zero
 // if either time is not known.
-func LateShare(stepTime, maxPause time.Duration) float64 {
-	if maxPause <= 0 {
+func LateShare(stepTime, maxGap time.Duration) float64 {
+	if maxGap <= 0 {
 		return 0
 	}
-	return min(max((stepTime.Seconds()/maxPause.Seconds()-safePauseShare)/(1-safePauseShare), 0), 1)
+	return min(max((stepTime.Seconds()/maxGap.Seconds()-safeGapShare)/(1-safeGapShare), 0), 1)
 }
--- a/group/balance/steptime_test.go
+++ b/group/balance/steptime_test.go
@@ -47,10 +47,10 @@
 }
 
 // TestShorterStepsAreValuedByTheirBenefit compares the same demand in a group with short
-// steps and in one whose step time is close to the promised maximum pause.
+// steps and in one whose step time is close to the promised maximum gap between tokens.
 func TestShorterStepsAreValuedByTheirBenefit(t *testing.T) {
 	is := is.New(t)
-	const pause = 120 * time.Millisecond
+	const maxGap = 120 * time.Millisecond
 	switches := func(stepTime time.Duration) (count int) {
 		rng := rand.New(rand.NewPCG(11, 12))
 		config := followConfig()
@@ -59,7 +59,7 @@
 		for range 10 {
 			load := zipfLoad(followShape, rng)
 			for range 20 {
-				f.SetStepTime(time.Duration(float64(stepTime)/(config.FixedRatio+1)), pause)
+				f.SetStepTime(time.Duration(float64(stepTime)/(config.FixedRatio+1)), maxGap)
 				if follow(f, &current, noisy(load, rng)) {
 					count++
 				}
@@ -71,15 +71,15 @@
 	t.Logf("switches after ten jumps: %d with unknown step time, %d at low load, %d at high load", unknown, calm, busy)
 	is.True(calm >= 10)           // each jump is followed
 	is.True(calm*3 < busy*2)      // with few further switches
-	is.True(busy*10 >= unknown*9) // close to the promised pause about as many as with unknown step time
+	is.True(busy*10 >= unknown*9) // close to the promised gap about as many as with unknown step time
 }
 
 func TestLateShareGrowsWithStepTime(t *testing.T) {
 	is := is.New(t)
-	const pause = 120 * time.Millisecond
-	is.Equal(LateShare(60*time.Millisecond, pause), 0.0)
-	is.Equal(LateShare(pause, pause), 1.0)
-	is.Equal(LateShare(3*pause, pause), 1.0)
-	is.True(LateShare(96*time.Millisecond, pause) > 0.4 && LateShare(96*time.Millisecond, pause) < 0.6)
+	const maxGap = 120 * time.Millisecond
+	is.Equal(LateShare(60*time.Millisecond, maxGap), 0.0)
+	is.Equal(LateShare(maxGap, maxGap), 1.0)
+	is.Equal(LateShare(3*maxGap, maxGap), 1.0)
+	is.True(LateShare(96*time.Millisecond, maxGap) > 0.4 && LateShare(96*time.Millisecond, maxGap) < 0.6)
 	is.Equal(LateShare(time.Second, 0), 0.0)
 }
