--- a/group/mapswitch/coordinator.go
+++ b/group/mapswitch/coordinator.go
@@ -129,8 +129,8 @@
 	return overrun, ok
 }
 
-// Unacknowledged returns the ranks that have not acknowledged the newest decision. A
-// switch begun before they have acknowledged it could not end before they do.
+// Unacknowledged returns the ranks that have not acknowledged the newest record. A switch
+// that is begun now could not be completed before they have done so.
 func (c *Coordinator) Unacknowledged() []int {
 	var ranks []int
 	for rank, member := range c.members {
@@ -145,10 +145,10 @@
 // the epoch of the returned entry together with the entry.
 func (c *Coordinator) Propose(now time.Duration, m group.Map) ([]Effect, error) {
 	if c.phase == PhaseDeposed {
-		return nil, fault.New(fault.Fenced, "another coordinator has taken over group "+c.group, "propose to the current leader")
+		return nil, fault.New(fault.Fenced, "another coordinator has taken over group "+c.group, "retry on the current leader")
 	}
 	if c.phase != PhaseIdle || c.record.PendingEpoch != 0 {
-		return nil, fault.New(fault.Conflict, "group "+c.group+" has a switch in progress", "propose again once it is decided")
+		return nil, fault.New(fault.Conflict, "group "+c.group+" has a switch in progress", "retry once it is decided")
 	}
 	entry := Entry{Kind: EntryBegin, Epoch: c.record.LastEpoch + 1, Digest: m.Digest()}
 	return c.commit(now, PhaseBeginning, entry), nil
--- a/group/mapswitch/lead_test.go
+++ b/group/mapswitch/lead_test.go
@@ -12,35 +12,35 @@
 func TestTheLeadFollowsTheAgreementTime(t *testing.T) {
 	is := is.New(t)
 	o := Options{StepTime: 50 * time.Millisecond, MaxLead: 8}
-	a := leadEstimator{expectedTime: initialAgreementTime}
+	e := leadEstimator{expectedTime: initialAgreementTime}
 	now, step := time.Duration(0), uint64(100)
 	switches := func(took time.Duration, times int) {
 		for range times {
-			a.plannedTime = time.Duration(a.lead(now, step, o)) * o.StepTime
-			a.start(now, step)
-			a.finish(now + took)
-			is.True(a.overrunReady)
-			a.overrunReady = false
+			e.plannedTime = time.Duration(e.lead(now, step, o)) * o.StepTime
+			e.start(now, step)
+			e.finish(now + took)
+			is.True(e.overrunReady)
+			e.overrunReady = false
 			now += time.Second
 			step += 20 // steps of 50 ms
 		}
 	}
 	switches(30*time.Millisecond, 40)
-	is.Equal(a.lead(now, step, o), uint64(minLead))
-	is.Equal(a.overrun, time.Duration(0))
+	is.Equal(e.lead(now, step, o), uint64(minLead))
+	is.Equal(e.overrun, time.Duration(0))
 	switches(260*time.Millisecond, 1)
-	is.True(a.overrun > 100*time.Millisecond) // the first slow switch was not expected
+	is.True(e.overrun > 100*time.Millisecond) // the first slow switch was not expected
 	switches(260*time.Millisecond, 4)
-	is.True(a.lead(now, step, o) >= 6)
-	is.Equal(a.overrun, time.Duration(0)) // by now it is
+	is.True(e.lead(now, step, o) >= 6)
+	is.Equal(e.overrun, time.Duration(0)) // the lead now covers slow switches
 	switches(30*time.Millisecond, 40)
-	is.Equal(a.lead(now, step, o), uint64(minLead))
+	is.Equal(e.lead(now, step, o), uint64(minLead))
 	for range 10 {
-		a.fail()
-		is.True(a.overrunReady)
-		a.overrunReady = false
+		e.fail()
+		is.True(e.overrunReady)
+		e.overrunReady = false
 	}
-	is.Equal(a.lead(now, step, o), o.MaxLead) // bounded by MaxLead
+	is.Equal(e.lead(now, step, o), o.MaxLead) // bounded by MaxLead
 }
 
 func TestEachOverrunIsReportedOnce(t *testing.T) {
@@ -61,10 +61,10 @@
 // ran none or nearly none for a while.
 func TestStepTimeIsMeasured(t *testing.T) {
 	is := is.New(t)
-	var a leadEstimator
-	a.start(0, 100)
-	is.Equal(a.stepTime(time.Second, 110, 50*time.Millisecond), 100*time.Millisecond)
-	is.Equal(a.stepTime(time.Second, 101, 50*time.Millisecond), maxStepTimeFactor*50*time.Millisecond)
-	is.Equal(a.stepTime(time.Second, 100, 50*time.Millisecond), 50*time.Millisecond)
-	is.Equal(a.stepTime(time.Second, 150, 50*time.Millisecond), 50*time.Millisecond)
+	var e leadEstimator
+	e.start(0, 100)
+	is.Equal(e.stepTime(time.Second, 110, 50*time.Millisecond), 100*time.Millisecond)
+	is.Equal(e.stepTime(time.Second, 101, 50*time.Millisecond), maxStepTimeFactor*50*time.Millisecond)
+	is.Equal(e.stepTime(time.Second, 100, 50*time.Millisecond), 50*time.Millisecond)
+	is.Equal(e.stepTime(time.Second, 150, 50*time.Millisecond), 50*time.Millisecond)
 }
--- a/group/mapswitch/options.go
+++ b/group/mapswitch/options.go
@@ -14,10 +14,10 @@
 	DecisionTime time.Duration
 	// PrepareTimeout is how long all ranks have to load the weights.
 	PrepareTimeout time.Duration
-	// ResendInterval is the time after which unanswered messages are repeated.
+	// ResendInterval is the time after which unanswered messages are sent again.
 	ResendInterval time.Duration
-	// MaxStepRaises is how often the coordinator chooses a higher step because a rank
-	// had already passed the chosen one.
+	// MaxStepRaises is how often, in one switch, the coordinator may choose a higher step
+	// because a rank had already passed the chosen one. After that it aborts the switch.
 	MaxStepRaises int
 	// LeadSteps, if not zero, overrides the computed Lead.
 	LeadSteps uint64
@@ -86,23 +86,23 @@
 }
 
 // start records that promises are requested while the furthest rank is at the given step.
-func (a *leadEstimator) start(now time.Duration, step uint64) {
-	a.startedAt, a.running, a.heldAt = now, true, 0
-	a.sampleStep, a.sampleTime = step, now
+func (e *leadEstimator) start(now time.Duration, step uint64) {
+	e.startedAt, e.running, e.heldAt = now, true, 0
+	e.sampleStep, e.sampleTime = step, now
 }
 
 // recordHold records that a rank waits at the step.
-func (a *leadEstimator) recordHold(now time.Duration) { a.heldAt = now }
+func (e *leadEstimator) recordHold(now time.Duration) { e.heldAt = now }
 
 // promiseLimit returns how long ranks have to promise after they were asked at the given
 // time: until maxHoldTime after the step is expected to be reached, or after a rank
 // reported that it was reached. The report is needed because the step time is known only
 // from the past: a host that was killed while it was asked for its promise made a group
 // of 192 ranks wait for half a second.
-func (a *leadEstimator) promiseLimit(since time.Duration) time.Duration {
-	limit := a.plannedTime + maxHoldTime
-	if a.heldAt > 0 {
-		limit = min(limit, a.heldAt+maxHoldTime-since)
+func (e *leadEstimator) promiseLimit(since time.Duration) time.Duration {
+	limit := e.plannedTime + maxHoldTime
+	if e.heldAt > 0 {
+		limit = min(limit, e.heldAt+maxHoldTime-since)
 	}
 	return limit
 }
@@ -112,34 +112,34 @@
 const maxStepTimeFactor = 3
 
 // stepTime returns the mean time of a step since promises were last requested.
-func (a *leadEstimator) stepTime(now time.Duration, step uint64, shortest time.Duration) time.Duration {
-	if a.sampleStep == 0 || step <= a.sampleStep {
+func (e *leadEstimator) stepTime(now time.Duration, step uint64, shortest time.Duration) time.Duration {
+	if e.sampleStep == 0 || step <= e.sampleStep {
 		return shortest
 	}
-	mean := (now - a.sampleTime) / time.Duration(step-a.sampleStep)
+	mean := (now - e.sampleTime) / time.Duration(step-e.sampleStep)
 	return min(max(mean, shortest), maxStepTimeFactor*shortest)
 }
 
 // finish records that every rank is ready.
-func (a *leadEstimator) finish(now time.Duration) {
-	if !a.running {
+func (e *leadEstimator) finish(now time.Duration) {
+	if !e.running {
 		return
 	}
-	a.running = false
-	took := now - a.startedAt
-	a.overrun, a.overrunReady = max(took-a.plannedTime, 0), true
+	e.running = false
+	took := now - e.startedAt
+	e.overrun, e.overrunReady = max(took-e.plannedTime, 0), true
 	weight := decreaseWeight
-	if took > a.expectedTime {
+	if took > e.expectedTime {
 		weight = increaseWeight
 	}
-	a.expectedTime += time.Duration(weight * float64(took-a.expectedTime))
+	e.expectedTime += time.Duration(weight * float64(took-e.expectedTime))
 }
 
 // fail records that the ranks did not agree in time.
-func (a *leadEstimator) fail() {
-	a.running = false
-	a.overrun, a.overrunReady = maxHoldTime, true
-	a.expectedTime += a.expectedTime / 2
+func (e *leadEstimator) fail() {
+	e.running = false
+	e.overrun, e.overrunReady = maxHoldTime, true
+	e.expectedTime += e.expectedTime / 2
 }
 
 // maxHoldTime is how long a group with a learned lead may wait at the step for promises.
@@ -148,9 +148,9 @@
 // lead returns the smallest distance in steps that lets ranks agree before they reach the
 // step. If it is too short, the group waits at the step and all its streams are late; each
 // additional step keeps the old map in force longer and delays the next switch.
-func (a *leadEstimator) lead(now time.Duration, step uint64, o Options) uint64 {
-	stepTime := a.stepTime(now, step, o.StepTime)
-	steps := uint64((a.expectedTime+stepTime-1)/stepTime) + 1
+func (e *leadEstimator) lead(now time.Duration, step uint64, o Options) uint64 {
+	stepTime := e.stepTime(now, step, o.StepTime)
+	steps := uint64((e.expectedTime+stepTime-1)/stepTime) + 1
 	return min(max(steps, minLead), o.MaxLead)
 }
 
--- a/group/mapswitch/record.go
+++ b/group/mapswitch/record.go
@@ -112,7 +112,7 @@
 
 func applyBegin(old, next Record, e Entry) (Record, error) {
 	if old.PendingEpoch != 0 || e.Epoch != old.LastEpoch+1 {
-		return old, fault.Newf(fault.Conflict, "read the record and propose again",
+		return old, fault.Newf(fault.Conflict, "read the record and retry",
 			"group %s cannot begin epoch %d: last epoch is %d, pending epoch is %d", e.Group, e.Epoch, old.LastEpoch, old.PendingEpoch)
 	}
 	next.PendingEpoch, next.PendingDigest, next.LastEpoch = e.Epoch, e.Digest, e.Epoch
