--- a/setting/parse.go
+++ b/setting/parse.go
@@ -15,22 +15,22 @@
 type Errors []*fault.Error
 
 // Error lists all errors, one per line.
-func (f Errors) Error() string {
-	lines := make([]string, 0, len(f)+1)
-	lines = append(lines, fmt.Sprintf("%d errors in the settings", len(f)))
-	if len(f) == 1 {
+func (e Errors) Error() string {
+	lines := make([]string, 0, len(e)+1)
+	lines = append(lines, fmt.Sprintf("%d errors in the settings", len(e)))
+	if len(e) == 1 {
 		lines[0] = "1 error in the settings"
 	}
-	for _, each := range f {
+	for _, each := range e {
 		lines = append(lines, "  "+each.Error())
 	}
 	return strings.Join(lines, "\n")
 }
 
 // Unwrap returns the individual errors.
-func (f Errors) Unwrap() []error {
-	errs := make([]error, len(f))
-	for i, each := range f {
+func (e Errors) Unwrap() []error {
+	errs := make([]error, len(e))
+	for i, each := range e {
 		errs[i] = each
 	}
 	return errs
