--- a/control/expertmap/balancing.go
+++ b/control/expertmap/balancing.go
@@ -47,7 +47,7 @@
 
 // Switched implements Proposer. It ignores the time waited: the cost of a switch is a setting
 // of these groups, whose ranks request permission for each step.
-func (b *BalancingProposer) Switched(time.Duration, string, time.Duration) {}
+func (b *BalancingProposer) RecordSwitch(time.Duration, string, time.Duration) {}
 
 // Propose implements Proposer.
 func (b *BalancingProposer) Propose(now time.Duration, name string, current group.Map) (next group.Map, ok bool) {
--- a/control/expertmap/driver.go
+++ b/control/expertmap/driver.go
@@ -40,7 +40,7 @@
 	// Observe records what the ranks of a group have counted.
 	Observe(now time.Duration, load *agentv1.ExpertLoad)
 	// Switched records how long a group may have waited at the step of a switch.
-	Switched(now time.Duration, group string, overrun time.Duration)
+	RecordSwitch(now time.Duration, group string, overrun time.Duration)
 }
 
 // Config configures a Driver for one term.
@@ -68,7 +68,7 @@
 	// Options returns the options of a group's coordinator; nil for the defaults.
 	Options func(group string) mapswitch.Options
 	// Rescue may be zero; the driver then waits for unresponsive hosts.
-	Rescue Rescue
+	Rescue RescueConfig
 	// Logger must be set.
 	Logger *slog.Logger
 }
@@ -276,7 +276,7 @@
 		return
 	}
 	if overrun, ok := g.coordinator.TakeOverrun(); ok {
-		d.cfg.Proposer.Switched(d.now(), g.name, overrun)
+		d.cfg.Proposer.RecordSwitch(d.now(), g.name, overrun)
 	}
 	current, err := d.currentMap(g)
 	if err != nil {
--- a/control/expertmap/driver_test.go
+++ b/control/expertmap/driver_test.go
@@ -169,7 +169,7 @@
 
 func (p shuffleProposer) Observe(time.Duration, *agentv1.ExpertLoad) {}
 
-func (p shuffleProposer) Switched(time.Duration, string, time.Duration) {}
+func (p shuffleProposer) RecordSwitch(time.Duration, string, time.Duration) {}
 
 func (p shuffleProposer) Propose(_ time.Duration, _ string, current group.Map) (group.Map, bool) {
 	next := current.Clone()
--- a/control/expertmap/following.go
+++ b/control/expertmap/following.go
@@ -65,7 +65,7 @@
 }
 
 // Switched implements Proposer.
-func (f *FollowingProposer) Switched(now time.Duration, name string, overrun time.Duration) {
+func (f *FollowingProposer) RecordSwitch(now time.Duration, name string, overrun time.Duration) {
 	if g := f.group(name); g != nil {
 		g.stalls.RecordSwitch(now, overrun)
 	}
--- a/control/expertmap/following_test.go
+++ b/control/expertmap/following_test.go
@@ -62,8 +62,8 @@
 		for range 8 {
 			w.observe(pass)
 		}
-		w.following.Switched(w.now, "g", 300*time.Millisecond)
-		w.following.Switched(w.now, "g", 300*time.Millisecond)
+		w.following.RecordSwitch(w.now, "g", 300*time.Millisecond)
+		w.following.RecordSwitch(w.now, "g", 300*time.Millisecond)
 		return w.observe(pass)
 	}
 	is.True(!proposed(70 * time.Millisecond))
--- a/control/expertmap/rescue.go
+++ b/control/expertmap/rescue.go
@@ -25,7 +25,7 @@
 
 // Rescue lets a Driver act for unresponsive hosts of ranks whose engines hold a step, because
 // the whole group waits for them.
-type Rescue struct {
+type RescueConfig struct {
 	// Engine returns a client for the engine of a rank, by the endpoint ID of the rank; nil if
 	// the engine cannot be reached without its host.
 	Engine func(id string) rankhost.Engine
@@ -119,7 +119,7 @@
 		d.cfg.Logger.Error("the record of an expert map cannot be read", "group", name, "error", err)
 		return
 	}
-	order, ok := rankhost.Rescue(status, record)
+	order, ok := rankhost.RescueOrder(status, record)
 	if !ok {
 		return
 	}
--- a/control/expertmap/rescue_test.go
+++ b/control/expertmap/rescue_test.go
@@ -84,7 +84,7 @@
 		}
 		engine := &heldEngine{status: rankhost.Status{Group: "lilackeel-pool", Formation: 1, Rank: 2, Size: 4, Open: true, Step: 6, Held: 7, HasHeld: true}}
 		statusReadFirst := true
-		rescue := Rescue{
+		rescue := RescueConfig{
 			Engine: func(id string) rankhost.Engine {
 				if id == "engine-c" {
 					return engine
--- a/control/maps.go
+++ b/control/maps.go
@@ -57,11 +57,11 @@
 }
 
 // rescue configures how the leader acts for unresponsive hosts of ranks.
-func (m *mapDriver) rescue() expertmap.Rescue {
+func (m *mapDriver) rescue() expertmap.RescueConfig {
 	if m.engine == nil {
-		return expertmap.Rescue{}
+		return expertmap.RescueConfig{}
 	}
-	return expertmap.Rescue{
+	return expertmap.RescueConfig{
 		Engine: func(id string) rankhost.Engine {
 			if address, ok := rankhost.EngineAddr(id); ok {
 				return m.engine(address)
--- a/rankhost/rescue.go
+++ b/rankhost/rescue.go
@@ -11,7 +11,7 @@
 // held for a switch that has been decided since, and a host asks its engine to hold a step for one
 // switch only, so no later promise can depend on the hold. The engine is armed first if the
 // decision requires it, and released only once its status shows that it is armed.
-func Rescue(s Status, record mapswitch.Record) (o Order, ok bool) {
+func RescueOrder(s Status, record mapswitch.Record) (o Order, ok bool) {
 	if !s.Open || !s.HasHeld || record.Epoch == 0 || record.PendingEpoch != 0 {
 		return Order{}, false
 	}
--- a/rankhost/rescue_test.go
+++ b/rankhost/rescue_test.go
@@ -34,7 +34,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			o, ok := Rescue(test.status, test.record)
+			o, ok := RescueOrder(test.status, test.record)
 			is.Equal(o, test.want)
 			is.Equal(ok, test.want.Kind != 0)
 		})
--- a/rankhost/simulation_test.go
+++ b/rankhost/simulation_test.go
@@ -285,7 +285,7 @@
 func (sim *simulation) rescueEngine(e *fakeEngine) {
 	status := e.status()
 	sim.schedule(time.Duration(sim.rng.IntN(400))*time.Millisecond, func() {
-		o, ok := Rescue(status, sim.record)
+		o, ok := RescueOrder(status, sim.record)
 		if !ok {
 			return
 		}
