--- a/control/daemon.go
+++ b/control/daemon.go
@@ -100,8 +100,8 @@
 	return errors.Join(d.log.Err(), d.log.Close(), d.pool.Close())
 }
 
-// watchReady updates the readiness until ctx ends. The replica is not ready from the moment
-// shutdown ends.
+// watchReady updates the readiness until ctx ends. Once the shutdown context has ended, the
+// replica is not ready.
 func (d *Daemon) watchReady(ctx, shutdown context.Context) {
 	for ctx.Err() == nil {
 		_, at, ok := d.source.Freshness()
--- a/control/daemon_test.go
+++ b/control/daemon_test.go
@@ -25,15 +25,16 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// stubAgent is an agent with one engine that loses the response to its first order.
+// stubAgent is an agent with one engine. It carries out its first load order, but the response is
+// lost.
 type stubAgent struct {
 	agentv1.UnimplementedAgentServer
-	mu       sync.Mutex
-	engine   *fleetv1.Endpoint
-	fence    func() uint64
-	sent     int
-	roles    int
-	readBack bool
+	mu         sync.Mutex
+	engine     *fleetv1.Endpoint
+	fence      func() uint64
+	loadOrders int
+	roleOrders int
+	readBack   bool
 }
 
 func (a *stubAgent) Order(_ context.Context, request *agentv1.OrderRequest) (*agentv1.OrderResponse, error) {
@@ -43,15 +44,15 @@
 	case agentv1.OrderKind_ORDER_KIND_READ_BACK:
 		a.readBack = true
 	case agentv1.OrderKind_ORDER_KIND_LOAD_MODEL:
-		a.sent++
+		a.loadOrders++
 		a.engine.Model, a.engine.Version = request.GetModel(), request.GetVersion()
-		if a.sent == 1 {
+		if a.loadOrders == 1 {
 			a.readBack = false
 			return nil, status.Error(codes.Unknown, "the connection broke")
 		}
 	case agentv1.OrderKind_ORDER_KIND_CHANGE_ROLE:
 		a.engine.Role = request.GetRole()
-		a.roles++
+		a.roleOrders++
 	}
 	return &agentv1.OrderResponse{Observed: proto.CloneOf(a.engine), HighestFence: a.fence()}, nil
 }
@@ -71,8 +72,8 @@
 // The leader sends orders to load a confirmed model. An order whose response was lost is read
 // back instead of repeated, and the intent is done once the daemons have applied its revision.
 func TestLeaderCarriesOutIntent(t *testing.T) {
-	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.LostMessages}, Step: "answer to an order of an engine",
-		Guard: "reading back after an order was cut short"}.Log(t)
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.LostMessages}, Step: "response to an order to an engine",
+		Guard: "reading back after an interrupted order"}.Log(t)
 	is := is.New(t)
 	control := startCluster(t, 1)[0]
 	leaderOf(t, []*testReplica{control})
@@ -99,9 +100,9 @@
 	is.Equal(control.State().Endpoint("engine-1").GetVersion(), "2")
 	stub.mu.Lock()
 	defer stub.mu.Unlock()
-	is.Equal(stub.sent, 1) // the read-back showed that it had taken effect
+	is.Equal(stub.loadOrders, 1) // the read-back showed that it had taken effect
 	is.True(stub.readBack)
-	is.Equal(stub.roles, 1)
+	is.Equal(stub.roleOrders, 1)
 }
 
 // testTimeout bounds every wait of these tests; no test asserts a duration.
@@ -234,8 +235,8 @@
 // All three replicas answer alike, followers forward calls to the leader, a subscribed daemon
 // receives each revision, and a graceful shutdown of the leader loses nothing.
 func TestClusterDecidesAndPublishes(t *testing.T) {
-	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Restart, proof.ResentIntents}, Step: "planned stop of the leader, then a confirm sent again", Combined: true,
-		Guard: "a confirm sent again keeps its answer"}.Log(t)
+	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Restart, proof.ResentIntents}, Step: "planned stop of the leader, then a repeated confirm", Combined: true,
+		Guard: "a repeated confirm returns the first response"}.Log(t)
 	is := is.New(t)
 	replicas := startCluster(t, 3)
 	leader := leaderOf(t, replicas)
--- a/control/expertmap/balancing.go
+++ b/control/expertmap/balancing.go
@@ -45,7 +45,7 @@
 	g.counts.add(g.config.Shape, load)
 }
 
-// Switched implements Proposer. It ignores the time waited: the cost of a switch is a setting
+// RecordSwitch implements Proposer. It ignores the time waited: the cost of a switch is a setting
 // of these groups, whose ranks request permission for each step.
 func (b *BalancingProposer) RecordSwitch(time.Duration, string, time.Duration) {}
 
--- a/control/expertmap/calls.go
+++ b/control/expertmap/calls.go
@@ -18,7 +18,7 @@
 )
 
 // send calls the agents that have messages waiting and no call in progress, with one call per
-// branch. The coordinator asks again for anything that is not sent.
+// branch. The coordinator repeats any message that is not sent.
 func (d *Driver) send(ctx context.Context, out *outbox) {
 	due := func(addr string) bool { return out.byAddr[addr] != nil && !d.calling[addr] }
 	healthy := func(addr string) bool { return !d.failing[addr] }
--- a/control/expertmap/commands.go
+++ b/control/expertmap/commands.go
@@ -11,7 +11,7 @@
 	"github.com/lilackeel/lilackeel/group/mapwire"
 )
 
-// commit proposes an entry unless a proposal is in progress; the coordinator asks again.
+// commit proposes an entry, unless a proposal is in progress; the coordinator then retries.
 func (d *Driver) commit(ctx context.Context, g *groupState, entry mapswitch.Entry) {
 	if g.committing {
 		return
@@ -52,7 +52,7 @@
 	return true
 }
 
-// proposeAll proposes commands one after another and then notifies the coordinator.
+// proposeAll proposes commands one after another in the background and posts the result to Run.
 func (d *Driver) proposeAll(ctx context.Context, g *groupState, commands [][]byte, epoch uint64) {
 	g.committing = true
 	go func() {
--- a/control/expertmap/driver.go
+++ b/control/expertmap/driver.go
@@ -39,7 +39,7 @@
 	Propose(now time.Duration, group string, current group.Map) (next group.Map, ok bool)
 	// Observe records what the ranks of a group have counted.
 	Observe(now time.Duration, load *agentv1.ExpertLoad)
-	// Switched records how long a group may have waited at the step of a switch.
+	// RecordSwitch records how long a group may have waited at the step of a switch.
 	RecordSwitch(now time.Duration, group string, overrun time.Duration)
 }
 
@@ -61,7 +61,7 @@
 	// BranchSize is the number of agents that one call reaches through a relay, for agents that
 	// forward requests and count on request; zero for agents that do not.
 	BranchSize int
-	// Token is the fencing token that the log issued for the term.
+	// Token is the fencing token that the log issued at the beginning of the term.
 	Token uint64
 	// LogTime returns the log time of a command proposed now, in nanoseconds.
 	LogTime func() int64
--- a/control/expertmap/driver_test.go
+++ b/control/expertmap/driver_test.go
@@ -47,84 +47,84 @@
 	branch int
 }
 
-func (s *testCluster) now() time.Duration { return time.Since(s.began) }
+func (c *testCluster) now() time.Duration { return time.Since(c.began) }
 
 // Propose commits after a delay; the command or its response may be lost.
-func (s *testCluster) Propose(_ context.Context, data []byte) (any, error) {
-	s.mu.Lock()
+func (c *testCluster) Propose(_ context.Context, data []byte) (any, error) {
+	c.mu.Lock()
 	var delay time.Duration
-	if s.lossy {
-		delay = time.Duration(s.rng.IntN(150)) * time.Millisecond
+	if c.lossy {
+		delay = time.Duration(c.rng.IntN(150)) * time.Millisecond
 	}
-	s.mu.Unlock()
+	c.mu.Unlock()
 	time.Sleep(delay)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.lossy && s.rng.IntN(8) == 0 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.lossy && c.rng.IntN(8) == 0 {
 		return nil, fault.New(fault.Unavailable, "not proposed", "")
 	}
-	s.index++
-	result := s.state.Apply(s.index, 1, data)
-	if s.lossy && s.rng.IntN(8) == 0 {
+	c.index++
+	result := c.state.Apply(c.index, 1, data)
+	if c.lossy && c.rng.IntN(8) == 0 {
 		return nil, fault.New(fault.Unknown, "the answer was lost", "")
 	}
 	return result, nil
 }
 
 // Group delivers messages to the ranks; the request or the response may be lost.
-func (s *testCluster) Group(_ context.Context, _ string, request *agentv1.GroupRequest) (*agentv1.GroupResponse, error) {
+func (c *testCluster) Group(_ context.Context, _ string, request *agentv1.GroupRequest) (*agentv1.GroupResponse, error) {
 	time.Sleep(time.Millisecond)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.lossy && s.rng.IntN(6) == 0 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.lossy && c.rng.IntN(6) == 0 {
 		return nil, fault.New(fault.Unavailable, "not sent", "")
 	}
 	response := &agentv1.GroupResponse{}
-	if err := s.deliver(request, response); err != nil {
+	if err := c.deliver(request, response); err != nil {
 		return nil, err
 	}
 	for _, forward := range request.GetForwards() {
-		if s.lossy && s.rng.IntN(6) == 0 {
+		if c.lossy && c.rng.IntN(6) == 0 {
 			continue // the request did not reach the other host
 		}
 		forwarded := &agentv1.GroupResponse{Answered: []string{forward.GetAddr()}}
-		if err := s.deliver(forward.GetRequest(), forwarded); err != nil {
+		if err := c.deliver(forward.GetRequest(), forwarded); err != nil {
 			return nil, err
 		}
-		if !s.lossy || s.rng.IntN(6) > 0 {
+		if !c.lossy || c.rng.IntN(6) > 0 {
 			fanout.Merge(response, forwarded)
 		}
 	}
-	if s.lossy && s.rng.IntN(6) == 0 {
+	if c.lossy && c.rng.IntN(6) == 0 {
 		return nil, fault.New(fault.Unknown, "the answer was lost", "")
 	}
 	return response, nil
 }
 
 // deliver passes messages to the ranks.
-func (s *testCluster) deliver(request *agentv1.GroupRequest, response *agentv1.GroupResponse) error {
+func (c *testCluster) deliver(request *agentv1.GroupRequest, response *agentv1.GroupResponse) error {
 	for _, message := range request.GetMessages() {
 		m, err := mapwire.FromProto(message)
 		if err != nil {
 			return err
 		}
-		s.emit(s.ranks[m.Rank].Step(s.now(), m), response)
+		c.emit(c.ranks[m.Rank].Step(c.now(), m), response)
 	}
 	return nil
 }
 
 // emit handles the messages that a rank sends: its engine loads immediately, and reads of the
 // record return the committed one.
-func (s *testCluster) emit(out []mapswitch.Message, response *agentv1.GroupResponse) {
+func (c *testCluster) emit(out []mapswitch.Message, response *agentv1.GroupResponse) {
 	for _, m := range out {
 		switch m.Kind.Destination() {
 		case mapswitch.ToEngine:
 			m.Kind = mapswitch.KindLoaded
-			s.emit(s.ranks[m.Rank].Step(s.now(), m), response)
+			c.emit(c.ranks[m.Rank].Step(c.now(), m), response)
 		case mapswitch.ToControl:
-			record, err := mapwire.RecordOf(s.state.FencedMapRecord(testGroup))
+			record, err := mapwire.RecordOf(c.state.FencedMapRecord(testGroup))
 			if err == nil {
-				s.emit(s.ranks[m.Rank].Step(s.now(), mapswitch.AnswerRead(m, record, true)), response)
+				c.emit(c.ranks[m.Rank].Step(c.now(), mapswitch.AnswerRead(m, record, true)), response)
 			}
 		case mapswitch.ToCoordinator:
 			if response != nil {
@@ -135,33 +135,33 @@
 }
 
 // advance runs the group's next step if all ranks permit it.
-func (s *testCluster) advance() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (c *testCluster) advance() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	permits := map[uint64]bool{}
 	all := true
-	for _, rank := range s.ranks {
-		s.emit(rank.Tick(s.now()), nil)
-		epoch, ok := rank.MayRun(s.step)
+	for _, rank := range c.ranks {
+		c.emit(rank.Tick(c.now()), nil)
+		epoch, ok := rank.MayRun(c.step)
 		permits[epoch] = true
 		all = all && ok
 	}
 	if !all {
-		s.heldTicks++
+		c.heldTicks++
 		return
 	}
-	s.mixed = s.mixed || len(permits) != 1
+	c.mixed = c.mixed || len(permits) != 1
 	for epoch := range permits {
-		s.epochs[epoch] = true
+		c.epochs[epoch] = true
 	}
-	s.step++
+	c.step++
 }
 
 // restart replaces the process of a rank by a new one without state.
-func (s *testCluster) restart(rank int, incarnation uint64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.ranks[rank] = mapswitch.NewRank(rank, testGroup, incarnation)
+func (c *testCluster) restart(rank int, incarnation uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.ranks[rank] = mapswitch.NewRank(rank, testGroup, incarnation)
 }
 
 // shuffleProposer always proposes a different map.
@@ -180,17 +180,17 @@
 	return next, next.Validate(testShape) == nil && next.Digest() != current.Digest()
 }
 
-func (s *testCluster) lead(ctx context.Context, t *testing.T) {
+func (c *testCluster) lead(ctx context.Context, t *testing.T) {
 	data, err := contract.EncodeIssueFence(0)
 	is.New(t).NoErr(err)
-	s.mu.Lock()
-	s.index++
-	token := s.state.Apply(s.index, 1, data).(*contract.Result).Fence
-	s.mu.Unlock()
+	c.mu.Lock()
+	c.index++
+	token := c.state.Apply(c.index, 1, data).(*contract.Result).Fence
+	c.mu.Unlock()
 	driver := NewDriver(Config{
-		State: s.state, Log: s, Transport: s, Proposer: shuffleProposer{rand.New(rand.NewPCG(token, 1))},
+		State: c.state, Log: c, Transport: c, Proposer: shuffleProposer{rand.New(rand.NewPCG(token, 1))},
 		Shapes: func() map[string]group.Shape { return map[string]group.Shape{testGroup: testShape} }, Token: token,
-		LogTime: func() int64 { return 0 }, Logger: slog.New(slog.DiscardHandler), BranchSize: s.branch,
+		LogTime: func() int64 { return 0 }, Logger: slog.New(slog.DiscardHandler), BranchSize: c.branch,
 	})
 	go driver.Run(ctx)
 }
@@ -213,42 +213,42 @@
 
 func runCluster(t *testing.T, seed uint64, branch int) {
 	is := is.NewRelaxed(t)
-	s := &testCluster{
+	c := &testCluster{
 		rng: rand.New(rand.NewPCG(seed, 1)), state: contract.NewState(), step: 1,
 		epochs: map[uint64]bool{}, began: time.Now(), lossy: true, branch: branch,
 	}
 	for rank := range testShape.Ranks {
-		s.ranks = append(s.ranks, mapswitch.NewRank(rank, testGroup, 1))
+		c.ranks = append(c.ranks, mapswitch.NewRank(rank, testGroup, 1))
 		data, err := contract.EncodeAnnounce(0, announcement(rank))
 		is.NoErr(err)
-		s.index++
-		is.True(s.state.Apply(s.index, 1, data).(*contract.Result).Err == nil)
+		c.index++
+		is.True(c.state.Apply(c.index, 1, data).(*contract.Result).Err == nil)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	s.lead(ctx, t)
+	c.lead(ctx, t)
 	rng := rand.New(rand.NewPCG(seed, 2))
 	for tick := range 4000 {
 		time.Sleep(5 * time.Millisecond)
-		s.advance()
+		c.advance()
 		if tick < 3000 && rng.IntN(300) == 0 {
-			s.lead(ctx, t) // the previous leader continues as well
+			c.lead(ctx, t) // the previous leader continues as well
 		}
 		if tick < 3000 && rng.IntN(300) == 0 {
-			s.restart(rng.IntN(len(s.ranks)), uint64(tick+2))
+			c.restart(rng.IntN(len(c.ranks)), uint64(tick+2))
 		}
 		if tick == 3000 {
-			s.mu.Lock()
-			s.lossy, s.heldTicks = false, 0
-			s.mu.Unlock()
+			c.mu.Lock()
+			c.lossy, c.heldTicks = false, 0
+			c.mu.Unlock()
 		}
 	}
 	cancel()
 	time.Sleep(time.Second) // calls in progress end
-	is.True(!s.mixed)
-	is.True(len(s.epochs) > 5) // maps were switched
-	is.True(s.heldTicks < 500) // the group continued
-	t.Logf("seed %d: %d steps, %d epochs, %d holds at the end", seed, s.step, len(s.epochs), s.heldTicks)
+	is.True(!c.mixed)
+	is.True(len(c.epochs) > 5) // maps were switched
+	is.True(c.heldTicks < 500) // the group continued
+	t.Logf("seed %d: %d steps, %d epochs, %d holds at the end", seed, c.step, len(c.epochs), c.heldTicks)
 }
 
 func announcement(rank int) *controlv1.AnnounceRequest {
--- a/control/expertmap/following.go
+++ b/control/expertmap/following.go
@@ -9,8 +9,8 @@
 	"github.com/lilackeel/lilackeel/group/balance"
 )
 
-// FollowingProposer proposes maps with one balance.Follower for each group whose demand shifts
-// within seconds.
+// FollowingProposer proposes maps for groups whose demand shifts within seconds, with one
+// balance.Follower per group.
 type FollowingProposer struct {
 	// Config returns the follower configuration of a group; ok is false for a group that has
 	// none.
@@ -35,13 +35,13 @@
 	// until a decision has been made on it.
 	lastObservation time.Duration
 	undecided       bool
-	// shiftInterval estimates how long demand stays the same.
-	shiftInterval balance.DemandLifetime
+	// demandLifetime estimates how long demand stays the same.
+	demandLifetime balance.DemandLifetime
 	// stalls estimates the cost of switches apart from their copies.
 	stalls balance.StallEstimator
-	// pace estimates the duration of a forward pass. maxStep is the highest step counted so far.
-	pace    balance.StepTimeEstimator
-	maxStep uint64
+	// stepTime estimates the duration of a step. maxStep is the highest step counted so far.
+	stepTime balance.StepTimeEstimator
+	maxStep  uint64
 }
 
 // Observe implements Proposer. It follows demand during a switch as well, so that the next
@@ -60,11 +60,11 @@
 	g.follower.Observe(g.totals.tokens)
 	g.totals = newTotals(g.shape)
 	if g.follower.Jumped() {
-		g.shiftInterval.RecordJump(now)
+		g.demandLifetime.RecordJump(now)
 	}
 }
 
-// Switched implements Proposer.
+// RecordSwitch implements Proposer.
 func (f *FollowingProposer) RecordSwitch(now time.Duration, name string, overrun time.Duration) {
 	if g := f.group(name); g != nil {
 		g.stalls.RecordSwitch(now, overrun)
@@ -78,12 +78,12 @@
 		return group.Map{}, false
 	}
 	g.undecided = false
-	g.pace.Observe(now, g.maxStep, g.follower.RelativeStepTime(current))
-	g.follower.SetStepTime(g.pace.UnitTime(), f.maxGap(name))
-	g.follower.SetLifetime(g.shiftInterval.Remaining(now).Seconds())
+	g.stepTime.Observe(now, g.maxStep, g.follower.RelativeStepTime(current))
+	g.follower.SetStepTime(g.stepTime.UnitTime(), f.maxGap(name))
+	g.follower.SetLifetime(g.demandLifetime.Remaining(now).Seconds())
 	// A held step delays only the streams that are on time. If all are already late with the
 	// map in force, a switch that may be held costs nothing.
-	onTimeShare := 1 - balance.LateShare(g.passTime(current), f.maxGap(name))
+	onTimeShare := 1 - balance.LateShare(g.expectedStepTime(current), f.maxGap(name))
 	g.follower.SetStall(g.stalls.ExpectedCost(now).Seconds() * onTimeShare)
 	decision := g.follower.Decide(current)
 	if !decision.Switch {
@@ -91,7 +91,7 @@
 	}
 	f.Logger.Info("switching an expert map", slog.String("group", name),
 		slog.Float64("skew", g.follower.Skew(current)), slog.Float64("expected", g.follower.Skew(decision.Map)), slog.Int("moves", decision.Moves),
-		slog.Float64("saving", decision.Saving), slog.Duration("pass", g.passTime(current)),
+		slog.Float64("saving", decision.Saving), slog.Duration("pass", g.expectedStepTime(current)),
 		slog.Float64("gain_s", decision.Gain), slog.Float64("cost_s", decision.Cost))
 	return decision.Map, true
 }
@@ -103,9 +103,9 @@
 	return f.MaxGap(name)
 }
 
-// passTime returns the expected duration of a forward pass with a map; zero if it is not known.
-func (g *followerState) passTime(m group.Map) time.Duration {
-	return time.Duration(g.follower.RelativeStepTime(m) * float64(g.pace.UnitTime()))
+// expectedStepTime returns the expected duration of a step with a map; zero if it is not known.
+func (g *followerState) expectedStepTime(m group.Map) time.Duration {
+	return time.Duration(g.follower.RelativeStepTime(m) * float64(g.stepTime.UnitTime()))
 }
 
 // group returns the follower of a group and creates it on first use. It returns nil for a group
--- a/control/expertmap/following_test.go
+++ b/control/expertmap/following_test.go
@@ -14,7 +14,7 @@
 	"github.com/lilackeel/lilackeel/group/balance"
 )
 
-// followHarness observes a group of 16 ranks every 150 ms, with passes of a given duration. The
+// followHarness observes a group of 16 ranks every 150 ms, with steps of a given duration. The
 // initial map has a skew of about three.
 type followHarness struct {
 	following *FollowingProposer
@@ -36,35 +36,35 @@
 }
 
 // observe advances the time by 150 ms and reports whether a switch is proposed.
-func (w *followHarness) observe(pass time.Duration) bool {
-	w.now += 150 * time.Millisecond
-	w.passes += float64(150*time.Millisecond) / float64(pass)
-	tokens := make([]uint64, w.shape.Layers*w.shape.Experts)
+func (h *followHarness) observe(pass time.Duration) bool {
+	h.now += 150 * time.Millisecond
+	h.passes += float64(150*time.Millisecond) / float64(pass)
+	tokens := make([]uint64, h.shape.Layers*h.shape.Experts)
 	for i := range tokens {
-		tokens[i] = uint64(1000 / math.Pow(float64(i%w.shape.Experts+1), 1.08))
+		tokens[i] = uint64(1000 / math.Pow(float64(i%h.shape.Experts+1), 1.08))
 	}
-	for rank := range w.shape.Ranks {
-		w.following.Observe(w.now, &agentv1.ExpertLoad{
-			Group: "g", Layer: tally.AllLayers, Rank: int32(rank), Tokens: tokens, ToStep: uint64(w.passes),
+	for rank := range h.shape.Ranks {
+		h.following.Observe(h.now, &agentv1.ExpertLoad{
+			Group: "g", Layer: tally.AllLayers, Rank: int32(rank), Tokens: tokens, ToStep: uint64(h.passes),
 		})
 	}
-	_, ok := w.following.Propose(w.now, "g", group.RoundRobin(w.shape))
+	_, ok := h.following.Propose(h.now, "g", group.RoundRobin(h.shape))
 	return ok
 }
 
-// The steps of a group were held for a long time at its last two switches. While its passes are
+// The steps of a group were held for a long time at its last two switches. While its steps are
 // shorter than the promised gap, the next switch is postponed. If they are longer, all streams
 // are late anyway and the switch is proposed.
 func TestFollowingSwitchesWhileStreamsAreLate(t *testing.T) {
 	is := is.New(t)
 	proposed := func(pass time.Duration) bool {
-		w := newFollowHarness(120 * time.Millisecond)
+		h := newFollowHarness(120 * time.Millisecond)
 		for range 8 {
-			w.observe(pass)
+			h.observe(pass)
 		}
-		w.following.RecordSwitch(w.now, "g", 300*time.Millisecond)
-		w.following.RecordSwitch(w.now, "g", 300*time.Millisecond)
-		return w.observe(pass)
+		h.following.RecordSwitch(h.now, "g", 300*time.Millisecond)
+		h.following.RecordSwitch(h.now, "g", 300*time.Millisecond)
+		return h.observe(pass)
 	}
 	is.True(!proposed(70 * time.Millisecond))
 	is.True(proposed(140 * time.Millisecond))
--- a/control/expertmap/outbox.go
+++ b/control/expertmap/outbox.go
@@ -59,8 +59,8 @@
 	return &outbox{agents: agents, byAddr: map[string]*agentv1.GroupRequest{}, counting: map[string]bool{}, preparing: map[string]bool{}}
 }
 
-// add adds a message. A message for a rank without an agent is dropped; the coordinator sends
-// it again.
+// add adds a message. A message for a rank without an agent is dropped; the coordinator
+// repeats it.
 func (o *outbox) add(m mapswitch.Message) {
 	request := o.request(rankID{m.Group, m.Rank})
 	if request == nil {
--- a/control/expertmap/phases.go
+++ b/control/expertmap/phases.go
@@ -24,31 +24,31 @@
 
 // record records the phase after the answer of a rank, or after another event if rank is
 // negative.
-func (s *phaseTimes) record(now time.Duration, phase mapswitch.Phase, rank int) {
-	if phase == s.phase {
+func (p *phaseTimes) record(now time.Duration, phase mapswitch.Phase, rank int) {
+	if phase == p.phase {
 		return
 	}
-	s.took[s.phase] += now - s.since
+	p.took[p.phase] += now - p.since
 	if rank >= 0 {
-		s.last[s.phase] = rank
+		p.last[p.phase] = rank
 	}
-	s.phase, s.since = phase, now
+	p.phase, p.since = phase, now
 }
 
 // LogValue implements slog.LogValuer. It returns the duration of each phase and the ranks that
 // answered last, or an empty group for a switch that another leader began.
-func (s *phaseTimes) LogValue() slog.Value {
-	if s == nil {
+func (p *phaseTimes) LogValue() slog.Value {
+	if p == nil {
 		return slog.GroupValue()
 	}
 	attributes := []slog.Attr{
-		slog.Duration("beginning", s.took[mapswitch.PhaseBeginning]), slog.Duration("preparing", s.took[mapswitch.PhasePreparing]),
-		slog.Duration("promising", s.took[mapswitch.PhasePromising]), slog.Duration("deciding", s.took[mapswitch.PhaseDeciding]),
+		slog.Duration("beginning", p.took[mapswitch.PhaseBeginning]), slog.Duration("preparing", p.took[mapswitch.PhasePreparing]),
+		slog.Duration("promising", p.took[mapswitch.PhasePromising]), slog.Duration("deciding", p.took[mapswitch.PhaseDeciding]),
 	}
-	if rank, ok := s.last[mapswitch.PhasePreparing]; ok {
+	if rank, ok := p.last[mapswitch.PhasePreparing]; ok {
 		attributes = append(attributes, slog.Int("last_prepared", rank))
 	}
-	if rank, ok := s.last[mapswitch.PhasePromising]; ok {
+	if rank, ok := p.last[mapswitch.PhasePromising]; ok {
 		attributes = append(attributes, slog.Int("last_promised", rank))
 	}
 	return slog.GroupValue(attributes...)
--- a/control/expertmap/rescue.go
+++ b/control/expertmap/rescue.go
@@ -23,7 +23,7 @@
 	rescueTimeout = time.Second
 )
 
-// Rescue lets a Driver act for unresponsive hosts of ranks whose engines hold a step, because
+// RescueConfig lets a Driver act for unresponsive hosts of ranks whose engines hold a step, because
 // the whole group waits for them.
 type RescueConfig struct {
 	// Engine returns a client for the engine of a rank, by the endpoint ID of the rank; nil if
@@ -90,7 +90,7 @@
 }
 
 // rescueRank gives the engine of one rank the order that its host would give. The record must
-// be read after the engine's status: see rankhost.Rescue. Failures are logged only on the first
+// be read after the engine's status: see rankhost.RescueOrder. Failures are logged only on the first
 // attempt since the host became unresponsive.
 func (d *Driver) rescueRank(ctx context.Context, name string, rank int, engine rankhost.Engine, firstAttempt bool) {
 	ctx, cancel := context.WithTimeout(ctx, rescueTimeout)
--- a/control/expertmap/rescue_test.go
+++ b/control/expertmap/rescue_test.go
@@ -21,17 +21,17 @@
 	"github.com/lilackeel/lilackeel/rankhost"
 )
 
-// partitionedTransport is the cluster's transport without the host of one rank.
+// partitionedTransport is the cluster's transport, except that the host of one rank is unreachable.
 type partitionedTransport struct {
 	*testCluster
 	addr string
 }
 
-func (d partitionedTransport) Group(ctx context.Context, addr string, request *agentv1.GroupRequest) (*agentv1.GroupResponse, error) {
-	if addr == d.addr {
+func (p partitionedTransport) Group(ctx context.Context, addr string, request *agentv1.GroupRequest) (*agentv1.GroupResponse, error) {
+	if addr == p.addr {
 		return nil, fault.New(fault.Unavailable, "the host is frozen", "")
 	}
-	return d.testCluster.Group(ctx, addr, request)
+	return p.testCluster.Group(ctx, addr, request)
 }
 
 // heldEngine holds a step until it is released.
@@ -74,13 +74,13 @@
 		Guard: "Driver.rescue; the record is read after the status"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &testCluster{rng: rand.New(rand.NewPCG(1, 1)), state: contract.NewState(), epochs: map[uint64]bool{}, began: time.Now()}
+		c := &testCluster{rng: rand.New(rand.NewPCG(1, 1)), state: contract.NewState(), epochs: map[uint64]bool{}, began: time.Now()}
 		for rank := range testShape.Ranks {
-			s.ranks = append(s.ranks, mapswitch.NewRank(rank, testGroup, 1))
+			c.ranks = append(c.ranks, mapswitch.NewRank(rank, testGroup, 1))
 			data, err := contract.EncodeAnnounce(0, announcement(rank))
 			is.NoErr(err)
-			s.index++
-			is.True(s.state.Apply(s.index, 1, data).(*contract.Result).Err == nil)
+			c.index++
+			is.True(c.state.Apply(c.index, 1, data).(*contract.Result).Err == nil)
 		}
 		engine := &heldEngine{status: rankhost.Status{Group: "lilackeel-pool", Formation: 1, Rank: 2, Size: 4, Open: true, Step: 6, Held: 7, HasHeld: true}}
 		statusReadFirst := true
@@ -96,16 +96,16 @@
 				statusReadFirst = statusReadFirst && engine.read
 				engine.read = false
 				engine.mu.Unlock()
-				stored, fence := s.state.FencedMapRecord(testGroup)
+				stored, fence := c.state.FencedMapRecord(testGroup)
 				return stored, fence, nil
 			},
 		}
 		data, err := contract.EncodeIssueFence(0)
 		is.NoErr(err)
-		s.index++
-		token := s.state.Apply(s.index, 1, data).(*contract.Result).Fence
+		c.index++
+		token := c.state.Apply(c.index, 1, data).(*contract.Result).Fence
 		driver := NewDriver(Config{
-			State: s.state, Log: s, Transport: partitionedTransport{s, "10.0.0.1:3"}, Rescue: rescue,
+			State: c.state, Log: c, Transport: partitionedTransport{c, "10.0.0.1:3"}, Rescue: rescue,
 			Shapes: func() map[string]group.Shape { return map[string]group.Shape{testGroup: testShape} }, Token: token,
 			LogTime: func() int64 { return 0 }, Logger: slog.New(slog.DiscardHandler),
 		})
--- a/control/expertmap/settings.go
+++ b/control/expertmap/settings.go
@@ -14,12 +14,12 @@
 
 // Defaults of a group's settings.
 const (
-	defaultStepTime  = 4500 * time.Microsecond
-	defaultInterval  = 10 * time.Second
-	defaultLag       = time.Second
-	defaultMaxHold   = 30 * time.Minute
-	defaultMaxMoves  = 8
-	defaultLoadShare = 0.05
+	defaultStepTime    = 4500 * time.Microsecond
+	defaultInterval    = 10 * time.Second
+	defaultLag         = time.Second
+	defaultMaxLifetime = 30 * time.Minute
+	defaultMaxMoves    = 8
+	defaultLoadShare   = 0.05
 )
 
 // GroupSettings are the settings of one group of ranks in the groups file.
@@ -93,7 +93,7 @@
 		StoreRate:   s.StoreBytesPerSecond,
 		LoadShare:   defaultLoadShare,
 		MaxMoves:    defaultMaxMoves,
-		MaxLifetime: defaultMaxHold,
+		MaxLifetime: defaultMaxLifetime,
 	}
 	for _, field := range []struct {
 		target   *time.Duration
--- a/control/formations.go
+++ b/control/formations.go
@@ -22,9 +22,9 @@
 	// the counts of the others, 4 KB each at 10 layers of 384 experts: for eight ranks that is
 	// about 0.2 MB/s, a quarter of a 6 Mbit/s link.
 	branchSize = 8
-	// followOrderTime is the duration of a switch that copies no experts: two synced log
+	// followCoordinationTime is the duration of a switch that copies no experts: two synced log
 	// entries and three calls to every rank. 85 to 90 ms were measured with 8 and 16 ranks.
-	followOrderTime = 90 * time.Millisecond
+	followCoordinationTime = 90 * time.Millisecond
 	// followStallTime is the mean cost of a switch apart from the copies: in some switches an
 	// order stays unanswered and makes ranks wait for others.
 	followStallTime = 5 * time.Millisecond
@@ -57,7 +57,8 @@
 // formation.
 type formations struct {
 	state *contract.State
-	// copyPrice is the step time of a group that copying one gigabyte is worth.
+	// copyPrice is the cost of copying one gigabyte of experts, as an equivalent amount of step
+	// time.
 	copyPrice time.Duration
 	revision  uint64
 	shapes    map[string]group.Shape
@@ -119,7 +120,7 @@
 	return balance.FollowConfig{
 		Shape: shape, Limits: balance.MoveLimits{PerLayer: max(int(engine.GetSpare()), 1), Total: followMaxCopies},
 		FixedRatio: fixedTimeRatio(engine), CopySeconds: copySeconds, CopySlowdown: copySlowdown,
-		CoordinationSeconds: followOrderTime.Seconds(), StallSeconds: followStallTime.Seconds(),
+		CoordinationSeconds: followCoordinationTime.Seconds(), StallSeconds: followStallTime.Seconds(),
 		MoveSeconds: copyPrice.Seconds() * engine.GetExpertBytes() / gigabyte, Smoothing: followSmoothing, JumpThreshold: followJumpThreshold,
 	}
 }
@@ -142,7 +143,7 @@
 	return (engine.GetStepMs() + (1-share)*tokens) / (share * tokens)
 }
 
-// minStepTime returns the shortest step time of a group, with few calls on every rank.
+// minStepTime returns the shortest step time of a group, with few requests on every rank.
 func minStepTime(engine *fleetv1.EngineModel) time.Duration {
 	step := engine.GetStepMs() + engine.GetPerRequestMs()*float64(engine.GetSlots())/4
 	return time.Duration(step * float64(max(engine.GetStride(), 1)) * float64(time.Millisecond))
@@ -153,7 +154,7 @@
 	groups := &formations{state: m.state, copyPrice: m.copyPrice}
 	return expertmap.Config{
 		State: m.state, Log: m.log, Transport: agentTransport{m.pool}, Shapes: groups.groupShapes, Token: l.fence, LogTime: l.logTime, Logger: m.logger,
-		Rescue:          m.rescue(),
+		Rescue:          m.rescueConfig(),
 		BranchSize:      branchSize,
 		Proposer:        &expertmap.FollowingProposer{Config: groups.followConfig, MaxGap: groups.maxGap, Interval: followInterval, Logger: m.logger},
 		ObserveInterval: func(string) time.Duration { return followInterval },
--- a/control/forward.go
+++ b/control/forward.go
@@ -50,11 +50,11 @@
 	remote clientMethod[Request, Response],
 	local func(context.Context, *leadership) (*Response, error),
 ) (*Response, error) {
-	d := leaderCall[Request, Response]{service: s, request: request, remote: remote, local: local}
-	return d.run(ctx)
+	c := leaderCall[Request, Response]{service: s, request: request, remote: remote, local: local}
+	return c.run(ctx)
 }
 
-func (d leaderCall[Request, Response]) run(ctx context.Context) (*Response, error) {
+func (c leaderCall[Request, Response]) run(ctx context.Context) (*Response, error) {
 	if _, hasDeadline := ctx.Deadline(); !hasDeadline {
 		withTimeout, cancel := context.WithTimeout(ctx, decideTimeout)
 		defer cancel()
@@ -62,15 +62,15 @@
 	}
 	var uncertain error
 	for started := time.Now(); ; {
-		changed := d.service.log.LeaderChanged()
-		response, err := d.try(ctx, changed)
+		changed := c.service.log.LeaderChanged()
+		response, err := c.try(ctx, changed)
 		if err == nil {
 			return response, nil
 		}
 		if fault.Is(err, fault.Unknown) {
 			uncertain = err
 		}
-		if !d.retryable(err) || ctx.Err() != nil || hasMetadata(ctx, forwardedKey) || time.Since(started) > failoverTimeout {
+		if !c.retryable(err) || ctx.Err() != nil || hasMetadata(ctx, forwardedKey) || time.Since(started) > failoverTimeout {
 			return nil, finalError(err, uncertain)
 		}
 		waitForLeaderChange(ctx, changed)
@@ -79,16 +79,16 @@
 
 // try makes one attempt, here or at the leader. It stops waiting for a leader that has been
 // replaced.
-func (d leaderCall[Request, Response]) try(ctx context.Context, changed <-chan struct{}) (*Response, error) {
-	log := d.service.log
-	if current := d.service.leadership.current(); current != nil {
-		return d.local(ctx, current)
+func (c leaderCall[Request, Response]) try(ctx context.Context, changed <-chan struct{}) (*Response, error) {
+	log := c.service.log
+	if current := c.service.leadership.current(); current != nil {
+		return c.local(ctx, current)
 	}
 	id, addr, _, self := log.Leader()
-	if id == 0 || self || d.redirect || hasMetadata(ctx, forwardedKey) {
+	if id == 0 || self || c.redirect || hasMetadata(ctx, forwardedKey) {
 		return nil, notLeading(log)
 	}
-	conn, err := d.service.pool.Get(addr)
+	conn, err := c.service.pool.Get(addr)
 	if err != nil {
 		return nil, err
 	}
@@ -101,18 +101,18 @@
 		case <-ctx.Done():
 		}
 	}()
-	return d.remote(controlv1.NewControlClient(conn), ctx, d.request)
+	return c.remote(controlv1.NewControlClient(conn), ctx, c.request)
 }
 
 // retryable reports whether another attempt may succeed and can do no harm.
-func (d leaderCall[Request, Response]) retryable(err error) bool {
+func (c leaderCall[Request, Response]) retryable(err error) bool {
 	switch fault.KindOf(err) {
 	case fault.NotLeader:
-		return !d.redirect
+		return !c.redirect
 	case fault.NoQuorum, fault.Unavailable:
 		return true
 	case fault.Unknown:
-		return !d.atMostOnce
+		return !c.atMostOnce
 	}
 	return false
 }
--- a/control/forward_test.go
+++ b/control/forward_test.go
@@ -30,8 +30,8 @@
 // A call waits for the end of an election, is retried if its outcome is unknown and it carries
 // an ID, and never reports that it was not decided if it may have been.
 func TestCallsRetryAcrossLeaderChange(t *testing.T) {
-	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.LostMessages}, Step: "decision whose leader is lost under way",
-		Guard: "an earlier open outcome outweighs a later refusal; calls without an id are tried once; each alone"}.Log(t)
+	proof.Cell{Promise: proof.NotRun, Faults: []proof.Fault{proof.LostMessages}, Step: "decision whose leader is lost before it answers",
+		Guard: "an earlier unknown outcome outweighs a later refusal; calls without an ID are not retried; each alone"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := &fakeLog{state: contract.NewState()}
@@ -40,13 +40,13 @@
 		notLeader := fault.New(fault.NotLeader, "this replica does not lead", "")
 		call := func(readyAfter time.Duration, atMostOnce bool, results ...error) (attempts int, err error) {
 			s := &service{log: log, leadership: delayedLeadership{time.Now().Add(readyAfter), leader}}
-			d := leaderCall[controlv1.ClaimRequest, controlv1.ClaimResponse]{service: s, atMostOnce: atMostOnce}
-			d.local = func(context.Context, *leadership) (*controlv1.ClaimResponse, error) {
+			c := leaderCall[controlv1.ClaimRequest, controlv1.ClaimResponse]{service: s, atMostOnce: atMostOnce}
+			c.local = func(context.Context, *leadership) (*controlv1.ClaimResponse, error) {
 				result := results[min(attempts, len(results)-1)]
 				attempts++
 				return &controlv1.ClaimResponse{}, result
 			}
-			_, err = d.run(t.Context())
+			_, err = c.run(t.Context())
 			return attempts, err
 		}
 		attempts, err := call(2*time.Second, false, nil)
@@ -60,7 +60,7 @@
 		is.Equal(attempts, 1)
 		_, err = call(0, false, lost, notLeader)
 		is.True(fault.Is(err, fault.Unknown)) // the first attempt may have been decided
-		_, err = call(0, false, fault.New(fault.Conflict, "the state has moved", ""))
+		_, err = call(0, false, fault.New(fault.Conflict, "the state has changed", ""))
 		is.True(fault.Is(err, fault.Conflict))
 		_, err = call(time.Hour, false, nil)
 		is.True(fault.Is(err, fault.NotLeader)) // timed out
--- a/control/leadership_test.go
+++ b/control/leadership_test.go
@@ -123,8 +123,8 @@
 
 // The age of a slow quorum read counts from when the read was requested.
 func TestReplicaDoesNotOverstateItsFreshness(t *testing.T) {
-	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.DelayedMessages}, Step: "reading through a quorum that takes long",
-		Guard: "the time of a reading is taken before it is asked for"}.Log(t)
+	proof.Cell{Promise: proof.Leaving, Faults: []proof.Fault{proof.DelayedMessages}, Step: "slow quorum read",
+		Guard: "the time of a read is taken before it is requested"}.Log(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m := newStateMachine()
--- a/control/maps.go
+++ b/control/maps.go
@@ -24,7 +24,8 @@
 	// engine returns a client for the engine at an address that does not depend on the rank's
 	// host; nil if there is no such access.
 	engine func(address string) rankhost.Engine
-	// copyPrice is the step time of a group that copying one gigabyte of experts is worth.
+	// copyPrice is the cost of copying one gigabyte of experts, as an equivalent amount of step
+	// time.
 	copyPrice time.Duration
 	logger    *slog.Logger
 }
@@ -56,8 +57,8 @@
 	}
 }
 
-// rescue configures how the leader acts for unresponsive hosts of ranks.
-func (m *mapDriver) rescue() expertmap.RescueConfig {
+// rescueConfig configures how the leader acts for unresponsive hosts of ranks.
+func (m *mapDriver) rescueConfig() expertmap.RescueConfig {
 	if m.engine == nil {
 		return expertmap.RescueConfig{}
 	}
--- a/control/orders.go
+++ b/control/orders.go
@@ -163,7 +163,7 @@
 	return agentv1.NewAgentClient(conn).Order(ctx, action.Request)
 }
 
-// outcomeOf tells an order that was rejected from one that may have been carried out.
+// outcomeOf distinguishes an order that was rejected from one that may have been carried out.
 func outcomeOf(err error) reconcile.Outcome {
 	if err == nil {
 		return reconcile.Done
@@ -186,7 +186,7 @@
 		d.logger.Warn("order to an endpoint failed", "endpoint", endpoint.ID,
 			"kind", result.action.Request.GetKind().String(), "error", result.err)
 	}
-	// What the state holds of an endpoint is in part the wanted state, so a read-back that
+	// The recorded state of an endpoint is in part the wanted state, so a read-back that
 	// matches it is skipped only if no order is pending.
 	if !accepted || observed == nil || endpoint.Order == nil && d.matchesState(observed) {
 		return
--- a/control/providers.go
+++ b/control/providers.go
@@ -56,7 +56,7 @@
 }
 
 // newDrivers returns the leader's background work.
-func newDrivers(s *Settings, log Log, state *contract.State, pool *link.Pool, r *statusCollector, logger *slog.Logger) []driver {
+func newDrivers(s *Settings, log Log, state *contract.State, pool *link.Pool, collector *statusCollector, logger *slog.Logger) []driver {
 	limits := reconcile.Limits{
 		MaxLoads:       s.Loads,
 		MaxLoadShare:   s.LoadShare,
@@ -65,13 +65,13 @@
 		AuditInterval:  reconcile.DefaultAuditInterval,
 	}
 	orders := &orderDriver{state: state, log: log, pool: pool, limits: limits, logger: logger}
-	finish := &intentFinisher{state: state, log: log, status: r, logger: logger}
+	finish := &intentFinisher{state: state, log: log, status: collector, logger: logger}
 	maps := &mapDriver{state: state, log: log, pool: pool, groups: s.Groups, engine: s.Engine, copyPrice: s.CopyPrice, logger: logger}
 	return []driver{orders.drive, finish.drive, maps.drive}
 }
 
-func newService(log *server.Server, state *contract.State, t *termManager, pool *link.Pool, r *statusCollector, published *feedSource) *service {
-	return &service{log: log, state: state, leadership: t, pool: pool, members: membershipService{log: log}, status: r, feedSource: published}
+func newService(log *server.Server, state *contract.State, t *termManager, pool *link.Pool, collector *statusCollector, published *feedSource) *service {
+	return &service{log: log, state: state, leadership: t, pool: pool, members: membershipService{log: log}, status: collector, feedSource: published}
 }
 
 func newCallTracker() *callTracker { return &callTracker{} }
--- a/control/publish.go
+++ b/control/publish.go
@@ -10,7 +10,7 @@
 )
 
 // publish puts a site in force. A site that the committed state has already superseded needs no
-// log entry. A leader whose state is behind may at most log one needlessly.
+// log entry. If the leader's own state lags behind, the only effect is a redundant log entry.
 func (l *leadership) publish(ctx context.Context, site *fleetv1.Site) (*controlv1.PublishResponse, error) {
 	if l.state.SiteSuperseded(site.GetVersion()) {
 		return &controlv1.PublishResponse{Version: l.state.Site().GetVersion()}, nil
--- a/control/reconcile/loads.go
+++ b/control/reconcile/loads.go
@@ -16,9 +16,9 @@
 	for pool, size := range sizes {
 		budget.pools[pool] = max(1, int(r.limits.MaxLoadShare*float64(size)))
 	}
-	for _, w := range r.endpoints {
-		if w.loading {
-			budget.take(w.pool)
+	for _, state := range r.endpoints {
+		if state.loading {
+			budget.take(state.pool)
 		}
 	}
 	return budget
--- a/control/reconcile/reconciler.go
+++ b/control/reconcile/reconciler.go
@@ -34,8 +34,8 @@
 type Endpoint struct {
 	// ID and Pool are as announced by the agent.
 	ID, Pool string
-	// Addr is the address of the endpoint's agent, and Incarnation the incarnation of the agent
-	// that gates it.
+	// Addr is the address of the endpoint's agent, and Incarnation the incarnation of that
+	// agent.
 	Addr        string
 	Incarnation uint64
 	// Order is the next order that the state requires, or nil.
@@ -88,7 +88,7 @@
 	retryAt, auditAt time.Duration
 }
 
-// Reconciler holds the actions of one leader.
+// Reconciler decides which actions to start during one term of a leader.
 type Reconciler struct {
 	limits    Limits
 	rng       *rand.Rand
@@ -125,19 +125,19 @@
 func (r *Reconciler) readBacks(now time.Duration, endpoints []Endpoint) []Action {
 	var actions []Action
 	for _, endpoint := range endpoints {
-		w := r.stateOf(now, endpoint)
-		if w.busy || now < w.retryAt {
+		state := r.stateOf(now, endpoint)
+		if state.busy || now < state.retryAt {
 			continue
 		}
-		urgent := w.uncertain && (endpoint.Order != nil || w.loading)
-		if !urgent && now < w.auditAt {
+		urgent := state.uncertain && (endpoint.Order != nil || state.loading)
+		if !urgent && now < state.auditAt {
 			continue
 		}
-		w.busy = true
+		state.busy = true
 		request := &agentv1.OrderRequest{
 			Endpoint: endpoint.ID, Incarnation: endpoint.Incarnation, Kind: agentv1.OrderKind_ORDER_KIND_READ_BACK,
 		}
-		actions = append(actions, Action{Endpoint: endpoint, Request: request, minSeenFence: w.minSeenFence})
+		actions = append(actions, Action{Endpoint: endpoint, Request: request, minSeenFence: state.minSeenFence})
 	}
 	return actions
 }
@@ -150,8 +150,8 @@
 	slices.SortStableFunc(pending, func(a, b Endpoint) int { return r.endpoints[a.ID].failures - r.endpoints[b.ID].failures })
 	var ready []Endpoint
 	for _, endpoint := range pending {
-		w := r.endpoints[endpoint.ID]
-		if w.busy || w.uncertain || now < w.retryAt {
+		state := r.endpoints[endpoint.ID]
+		if state.busy || state.uncertain || now < state.retryAt {
 			continue
 		}
 		if isLoad(endpoint.Order) && !budget.take(endpoint.Pool) {
@@ -164,10 +164,10 @@
 
 // startOrder starts the pending order of an endpoint with a fencing token.
 func (r *Reconciler) startOrder(endpoint Endpoint, fence uint64) Action {
-	w := r.endpoints[endpoint.ID]
-	w.busy = true
-	w.minSeenFence = fence + 1
-	w.loading = isLoad(endpoint.Order)
+	state := r.endpoints[endpoint.ID]
+	state.busy = true
+	state.minSeenFence = fence + 1
+	state.loading = isLoad(endpoint.Order)
 	request := &agentv1.OrderRequest{
 		Endpoint: endpoint.ID, Incarnation: endpoint.Incarnation, Fence: fence,
 		Kind: endpoint.Order.GetKind(), Model: endpoint.Order.GetModel(), Version: endpoint.Order.GetVersion(),
@@ -177,21 +177,21 @@
 }
 
 func (r *Reconciler) stateOf(now time.Duration, endpoint Endpoint) *endpointState {
-	w := r.endpoints[endpoint.ID]
-	if w == nil {
-		w = &endpointState{uncertain: true, minSeenFence: r.termFence, auditAt: now + time.Duration(r.rng.Int64N(int64(r.limits.AuditInterval)+1))}
-		r.endpoints[endpoint.ID] = w
+	state := r.endpoints[endpoint.ID]
+	if state == nil {
+		state = &endpointState{uncertain: true, minSeenFence: r.termFence, auditAt: now + time.Duration(r.rng.Int64N(int64(r.limits.AuditInterval)+1))}
+		r.endpoints[endpoint.ID] = state
 	}
-	w.pool = endpoint.Pool
-	return w
+	state.pool = endpoint.Pool
+	return state
 }
 
 // NeedsToken reports whether an order waits for a fencing token newer than latest to be issued:
 // an endpoint counts as read back only after its agent has seen a token newer than that of the
 // interrupted order.
 func (r *Reconciler) NeedsToken(latest uint64) bool {
-	for _, w := range r.endpoints {
-		if w.uncertain && w.minSeenFence > latest {
+	for _, state := range r.endpoints {
+		if state.uncertain && state.minSeenFence > latest {
 			return true
 		}
 	}
@@ -202,26 +202,26 @@
 // agent had seen, which it reports with Done. It reports whether the state that was read back
 // may be recorded.
 func (r *Reconciler) RecordOutcome(now time.Duration, action Action, outcome Outcome, highest uint64) (accepted bool) {
-	w := r.endpoints[action.Endpoint.ID]
-	if w == nil || !w.busy {
+	state := r.endpoints[action.Endpoint.ID]
+	if state == nil || !state.busy {
 		return false
 	}
-	w.busy = false
+	state.busy = false
 	if outcome == Done && (!action.ReadBack() || highest >= action.minSeenFence) {
-		w.uncertain, w.loading = false, false
-		w.failures, w.retryAt = 0, 0
-		w.auditAt = now + r.jitter(r.limits.AuditInterval)
+		state.uncertain, state.loading = false, false
+		state.failures, state.retryAt = 0, 0
+		state.auditAt = now + r.jitter(r.limits.AuditInterval)
 		return true
 	}
 	if outcome == Interrupted && !action.ReadBack() {
-		w.uncertain = true
-		w.auditAt = now
+		state.uncertain = true
+		state.auditAt = now
 	}
 	if outcome == NotRun && !action.ReadBack() {
-		w.loading = false
+		state.loading = false
 	}
-	w.retryAt = now + r.jitter(min(r.limits.InitialBackoff<<min(w.failures, 16), r.limits.MaxBackoff))
-	w.failures++
+	state.retryAt = now + r.jitter(min(r.limits.InitialBackoff<<min(state.failures, 16), r.limits.MaxBackoff))
+	state.failures++
 	return false
 }
 
@@ -233,17 +233,17 @@
 // Progress describes what the reconciler is doing about an endpoint, or returns an empty
 // string.
 func (r *Reconciler) Progress(endpoint string) string {
-	w := r.endpoints[endpoint]
+	state := r.endpoints[endpoint]
 	switch {
-	case w == nil:
+	case state == nil:
 		return ""
-	case w.busy && w.uncertain:
+	case state.busy && state.uncertain:
 		return "being read back"
-	case w.busy:
+	case state.busy:
 		return "an order is in progress"
-	case w.uncertain && w.failures > 0:
+	case state.uncertain && state.failures > 0:
 		return "waiting to read back after a failure"
-	case w.failures > 0:
+	case state.failures > 0:
 		return "waiting to retry after a failure"
 	}
 	return ""
--- a/control/reconcile/reconciler_test.go
+++ b/control/reconcile/reconciler_test.go
@@ -44,7 +44,7 @@
 // endpoints load concurrently than allowed.
 func TestReconcilerReadsBackBeforeRetry(t *testing.T) {
 	proof.Cell{Promise: proof.DurableConfiguration, Faults: []proof.Fault{proof.Kill, proof.Freeze, proof.DelayedMessages, proof.LostMessages}, Step: "orders to engines", Combined: true,
-		Guard: "each alone: reading back after a cut and at a new leader, a reading counts only after a younger token"}.Log(t)
+		Guard: "each alone: reading back after an interrupted order and at a new leader; a read-back counts only after a newer token"}.Log(t)
 	for seed := uint64(1); seed <= 60; seed++ {
 		runTrial(t, seed)
 		if t.Failed() {
--- a/control/service.go
+++ b/control/service.go
@@ -72,7 +72,7 @@
 
 // Announce implements controlv1.ControlServer.
 func (s *service) Announce(ctx context.Context, request *controlv1.AnnounceRequest) (*controlv1.AnnounceResponse, error) {
-	d := leaderCall[controlv1.AnnounceRequest, controlv1.AnnounceResponse]{
+	c := leaderCall[controlv1.AnnounceRequest, controlv1.AnnounceResponse]{
 		service: s,
 		request: request,
 		local: func(ctx context.Context, l *leadership) (*controlv1.AnnounceResponse, error) {
@@ -83,7 +83,7 @@
 		// for the leader, so its call is forwarded.
 		redirect: request.GetAddr() != "",
 	}
-	response, err := d.run(ctx)
+	response, err := c.run(ctx)
 	if err == nil && s.feedSource != nil {
 		response.Replicas = s.feedSource.Replicas()
 	}
@@ -168,7 +168,7 @@
 
 // Members implements controlv1.ControlServer.
 func (s *service) Members(ctx context.Context, request *controlv1.MembersRequest) (*controlv1.MembersResponse, error) {
-	d := leaderCall[controlv1.MembersRequest, controlv1.MembersResponse]{
+	c := leaderCall[controlv1.MembersRequest, controlv1.MembersResponse]{
 		service: s,
 		request: request,
 		remote:  controlv1.ControlClient.Members,
@@ -177,7 +177,7 @@
 		},
 		atMostOnce: true,
 	}
-	return d.run(ctx)
+	return c.run(ctx)
 }
 
 // Status implements controlv1.ControlServer. The leader's view is the most complete, so a
--- a/control/settings.go
+++ b/control/settings.go
@@ -53,8 +53,8 @@
 	Lease time.Duration
 	// ReadInterval is the time between two quorum reads.
 	ReadInterval time.Duration
-	// CopyPrice is the cost of copying one gigabyte of experts between ranks, expressed as the
-	// step time of the group that is worth as much.
+	// CopyPrice is the cost of copying one gigabyte of experts between ranks, expressed as an
+	// equivalent amount of the group's step time.
 	CopyPrice time.Duration
 	// StopLimit bounds the graceful shutdown.
 	StopLimit time.Duration
@@ -114,7 +114,7 @@
 	set.Duration(&s.HeartbeatInterval, "heartbeat-interval", replica.DefaultHeartbeatInterval, "time between two heartbeats of the leader", millisecond)
 	set.Duration(&s.RepairAfter, "repair-after", 0, "how long a voter must be silent before a replica with a blank disk replaces it; 0 for ten election timeouts", setting.Min(time.Duration(0)))
 	set.Duration(&s.Lease, "lease", 5*time.Second, "how long an agent counts as live without an announcement", setting.Min(100*time.Millisecond))
-	set.Duration(&s.CopyPrice, "copy-price", time.Millisecond, "cost of copying a gigabyte of experts between the ranks of a group, as the step time that it is worth", setting.Min(time.Duration(0)))
+	set.Duration(&s.CopyPrice, "copy-price", time.Millisecond, "cost of copying a gigabyte of experts between the ranks of a group, as an equivalent amount of step time", setting.Min(time.Duration(0)))
 	set.Duration(&s.ReadInterval, "read-interval", 150*time.Millisecond, "time between two quorum reads, which determine the freshness of the feed", millisecond)
 	set.Duration(&s.StopLimit, "stop-limit", 10*time.Second, "limit on the duration of a graceful shutdown", millisecond)
 }
--- a/control/source.go
+++ b/control/source.go
@@ -64,19 +64,19 @@
 	ok       bool
 }
 
-func (c *quorumRead) set(revision uint64, at time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.ok && !at.After(c.at) {
+func (q *quorumRead) set(revision uint64, at time.Time) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.ok && !at.After(q.at) {
 		return
 	}
-	c.revision, c.at, c.ok = revision, at, true
+	q.revision, q.at, q.ok = revision, at, true
 }
 
-func (c *quorumRead) get() (revision uint64, at time.Time, ok bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.revision, c.at, c.ok
+func (q *quorumRead) get() (revision uint64, at time.Time, ok bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.revision, q.at, q.ok
 }
 
 func newFeedSource(m *stateMachine) *feedSource { return &feedSource{stateMachine: m} }
--- a/control/status.go
+++ b/control/status.go
@@ -37,41 +37,41 @@
 
 // status returns the status of the whole fleet. An unreachable replica is left out; daemons
 // that report only to it are then missing or out of date.
-func (r *statusCollector) status(ctx context.Context, current *leadership) *controlv1.StatusResponse {
+func (c *statusCollector) status(ctx context.Context, current *leadership) *controlv1.StatusResponse {
 	if hasMetadata(ctx, localKey) {
-		return r.localStatus()
+		return c.localStatus()
 	}
-	response, _ := r.fleetStatus(ctx)
+	response, _ := c.fleetStatus(ctx)
 	response.SlowestRevision, response.SlowestDaemon = slowestDaemon(response.GetDaemons())
-	response.Intents = r.intentProgress(response.GetDaemons(), current)
+	response.Intents = c.intentProgress(response.GetDaemons(), current)
 	return response
 }
 
 // fleetStatus merges the status of all replicas. It reports whether all have answered.
-func (r *statusCollector) fleetStatus(ctx context.Context) (response *controlv1.StatusResponse, complete bool) {
-	response = r.localStatus()
-	others := r.queryPeers(ctx)
+func (c *statusCollector) fleetStatus(ctx context.Context) (response *controlv1.StatusResponse, complete bool) {
+	response = c.localStatus()
+	others := c.queryPeers(ctx)
 	mergeStatus(response, others)
 	return response, len(others) >= len(response.GetReplicas())-1
 }
 
 // localStatus returns the status as known to this replica alone.
-func (r *statusCollector) localStatus() *controlv1.StatusResponse {
-	leader, _, term, _ := r.log.Leader()
+func (c *statusCollector) localStatus() *controlv1.StatusResponse {
+	leader, _, term, _ := c.log.Leader()
 	response := &controlv1.StatusResponse{
-		Revision: r.state.Revision(),
+		Revision: c.state.Revision(),
 		Term:     term,
 		Leader:   leader,
-		Daemons:  r.daemons.List(time.Now()),
+		Daemons:  c.daemons.List(time.Now()),
 	}
-	status := r.members.Status()
+	status := c.members.Status()
 	for _, member := range status.Membership.GetMembers() {
 		replica := &controlv1.ReplicaStatus{
 			Id:    member.GetId(),
 			Addr:  member.GetAddr(),
 			Voter: member.GetRole() == replicav1.Role_ROLE_VOTER,
 		}
-		if member.GetId() == r.id {
+		if member.GetId() == c.id {
 			replica.Applied = status.Applied
 		}
 		response.Replicas = append(response.Replicas, replica)
@@ -80,7 +80,7 @@
 }
 
 // queryPeers asks the other replicas for their local status.
-func (r *statusCollector) queryPeers(ctx context.Context) []*controlv1.StatusResponse {
+func (c *statusCollector) queryPeers(ctx context.Context) []*controlv1.StatusResponse {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	ctx = metadata.AppendToOutgoingContext(ctx, localKey, metadataSet)
@@ -89,12 +89,12 @@
 		responses []*controlv1.StatusResponse
 		group     sync.WaitGroup
 	)
-	for _, member := range r.members.Status().Membership.GetMembers() {
-		if member.GetId() == r.id {
+	for _, member := range c.members.Status().Membership.GetMembers() {
+		if member.GetId() == c.id {
 			continue
 		}
 		group.Go(func() {
-			conn, err := r.pool.Get(member.GetAddr())
+			conn, err := c.pool.Get(member.GetAddr())
 			if err != nil {
 				return
 			}
@@ -152,8 +152,8 @@
 
 // intentProgress returns what each confirmed intent still waits for, including the daemons that
 // have not applied its revision.
-func (r *statusCollector) intentProgress(daemons []*controlv1.DaemonStatus, current *leadership) []*controlv1.IntentProgress {
-	intents := r.state.Progress()
+func (c *statusCollector) intentProgress(daemons []*controlv1.DaemonStatus, current *leadership) []*controlv1.IntentProgress {
+	intents := c.state.Progress()
 	for _, intent := range intents {
 		intent.WaitingFor = append(intent.WaitingFor, daemonsBehind(daemons, intent.GetRevision())...)
 	}
