--- a/rankhost/announce.go
+++ b/rankhost/announce.go
@@ -39,7 +39,7 @@
 		err := a.announce(ctx)
 		if (err != nil) != a.lastFailed && ctx.Err() == nil {
 			a.lastFailed = err != nil
-			a.logger.Info("announcing the rank", slog.Bool("works", err == nil), slog.Any("error", err))
+			a.logger.Info("announcements of the rank started or stopped working", slog.Bool("works", err == nil), slog.Any("error", err))
 		}
 		if err != nil {
 			pause = announceRetryInterval
--- a/rankhost/controller.go
+++ b/rankhost/controller.go
@@ -133,7 +133,7 @@
 
 // filterOutgoing withholds messages that must not be sent as they are: a load of a map, which is
 // left to NextOrder; an acknowledgement while the engine is not ready; and the message that a map
-// is prepared while no step could be promised, upon which the coordinator asks again.
+// is prepared while no step could be promised, after which the coordinator asks again.
 func (c *Controller) filterOutgoing(messages []mapswitch.Message) []mapswitch.Message {
 	kept := messages[:0]
 	for _, m := range messages {
--- a/rankhost/controller_test.go
+++ b/rankhost/controller_test.go
@@ -24,7 +24,7 @@
 				sim.lossRate, sim.lateRate = 0.05, 0.05
 				sim.run(20*time.Second, true)
 				sim.lossRate, sim.lateRate = 0, 0
-				clear(sim.cutUntil)
+				clear(sim.partitionedUntil)
 				sim.run(26*time.Second, false)
 				step, epoch := sim.step, sim.record.Epoch
 				sim.run(32*time.Second, false)
@@ -59,7 +59,7 @@
 }
 
 // Sends rescue orders that are late and based on outdated status while the hosts work, freeze and
-// restart. This test does not fail without the guard in Rescue, which
+// restart. This test does not fail without the guard in RescueOrder, which
 // TestRescueOrdersOnlyDecidedSwitch checks: a host holds a step that was released too early again
 // within milliseconds.
 func TestConcurrentRescueIsSafe(t *testing.T) {
@@ -77,7 +77,7 @@
 // The host of one rank is lost permanently while its engine holds a step.
 func TestGroupContinuesAfterHostLossDuringHold(t *testing.T) {
 	proof.Cell{Promise: proof.OneMapPerStep, Faults: []proof.Fault{proof.Kill}, Step: "host permanently lost while its engine holds a step",
-		Guard: "Rescue"}.Log(t)
+		Guard: "RescueOrder"}.Log(t)
 	is := is.New(t)
 	for seed := range uint64(20) {
 		sim := newSimulation(t, seed, 3)
--- a/rankhost/doc.go
+++ b/rankhost/doc.go
@@ -17,9 +17,9 @@
 // cannot lift the hold of another promise, since each step is requested of an engine for one switch
 // only.
 //
-// A decision is acknowledged only once the engine is armed. From this the coordinator learns how
-// many steps ahead a switch has to be for the group not to wait at it, and it begins no other
-// switch before.
+// A decision is acknowledged only once the engine is armed. From the acknowledgements the
+// coordinator learns how many steps ahead a switch has to be for the group not to wait at it. It
+// begins no other switch before all of them have arrived.
 //
 // A group that fails forms again, with its first map and nothing prepared, armed or held. Each
 // formation counts as a group with a name of its own.
--- a/rankhost/group.go
+++ b/rankhost/group.go
@@ -67,7 +67,7 @@
 
 // applyMapChange passes a map that the leader sends as a change of an earlier one to the
 // controller. A map whose change cannot be applied is read from the control replicas when it is
-// needed. The lock is held.
+// needed. The caller must hold the lock.
 func (h *Host) applyMapChange(change *agentv1.MapChange) {
 	if change.GetGroup() != h.controller.Group() {
 		return
@@ -101,7 +101,7 @@
 }
 
 // dispatch queues messages for the coordinator, and starts the reads from the control replicas that
-// the controller needs. The lock is held.
+// the controller needs. The caller must hold the lock.
 func (h *Host) dispatch(ctx context.Context, messages []mapswitch.Message) {
 	for _, m := range messages {
 		switch m.Kind.Destination() {
@@ -119,7 +119,7 @@
 }
 
 // readRecord reads the group's record for the controller in the background, one read at a time. The
-// lock is held.
+// caller must hold the lock.
 func (h *Host) readRecord(ctx context.Context, m mapswitch.Message) {
 	if h.readingRecord {
 		return
@@ -143,8 +143,8 @@
 	}()
 }
 
-// fetchMap reads a map that is to be prepared, in the background, one read at a time. The lock is
-// held.
+// fetchMap reads a map that is to be prepared, in the background, one read at a time. The caller
+// must hold the lock.
 func (h *Host) fetchMap(ctx context.Context, epoch, digest uint64) {
 	if h.fetchingMap {
 		return
--- a/rankhost/host.go
+++ b/rankhost/host.go
@@ -44,7 +44,7 @@
 	ReadMap(ctx context.Context, group string) (record *fleetv1.MapRecord, fence uint64, err error)
 }
 
-// Config sets up a Host.
+// Config configures a Host.
 type Config struct {
 	// Engine is the engine to control; MapReader reads the decided records.
 	Engine    Engine
@@ -154,7 +154,7 @@
 	sentAt := time.Now()
 	err = h.cfg.Engine.SendOrder(callCtx, order)
 	h.recordOrderTime(time.Since(sentAt), err)
-	h.cfg.Logger.Info("gave an order to the engine", slog.String("order", order.Kind.String()),
+	h.cfg.Logger.Info("sent an order to the engine", slog.String("order", order.Kind.String()),
 		slog.Uint64("version", order.Version), slog.Uint64("step", order.Step), slog.Uint64("formation", order.Formation), slog.Any("error", err))
 	h.mu.Lock()
 	h.lastAnswered = err == nil
@@ -209,7 +209,7 @@
 }
 
 // recordStatus stores a status. A rank that has changed its group, formation or engine start gets a
-// new controller. The lock is held.
+// new controller. The caller must hold the lock.
 func (h *Host) recordStatus(status Status, readAt time.Time) {
 	previous := h.status
 	h.status, h.statusAt, h.statusMalformed = status, readAt, false
@@ -292,8 +292,8 @@
 	return order, true
 }
 
-// minRepeatInterval returns the least time between two identical orders of a kind. The lock is
-// held.
+// minRepeatInterval returns the least time between two identical orders of a kind. The caller
+// must hold the lock.
 func (h *Host) minRepeatInterval(kind OrderKind) time.Duration {
 	if kind == Prepare && h.lastAnswered {
 		return prepareRetryInterval
--- a/rankhost/relay.go
+++ b/rankhost/relay.go
@@ -17,8 +17,8 @@
 	relayTimeout = 60 * time.Millisecond
 	// forwardTimeout bounds a call to another host.
 	forwardTimeout = time.Second
-	// maxLateResponses bounds the late responses that are kept; the leader asks again for those
-	// that are dropped.
+	// maxLateResponses bounds the late responses that are kept; the leader repeats the
+	// requests of those that are dropped.
 	maxLateResponses = 32
 )
 
@@ -95,7 +95,7 @@
 }
 
 // addResponse adds a response to the round, or to the late responses if the round has finished. The
-// relay's lock is held.
+// caller must hold the relay's lock.
 func (r *round) addResponse(response *agentv1.GroupResponse) {
 	if !r.finished {
 		fanout.Merge(r.merged, response)
--- a/rankhost/rescue.go
+++ b/rankhost/rescue.go
@@ -2,7 +2,7 @@
 
 import "github.com/lilackeel/lilackeel/group/mapswitch"
 
-// Rescue returns the next order for a running engine that holds a step while its host is
+// RescueOrder returns the next order for a running engine that holds a step while its host is
 // unreachable, so that its group does not wait forever. ok is false if no step is held or the
 // switch is undecided.
 //
--- a/rankhost/simulation_test.go
+++ b/rankhost/simulation_test.go
@@ -78,7 +78,7 @@
 	coordinator        *mapswitch.Coordinator
 	token              uint64
 	proposed           group.Map
-	cutUntil           map[int]time.Duration
+	partitionedUntil   map[int]time.Duration
 	lossRate, lateRate float64
 	// idleRate is the probability that the group has no work, and begins no step, for up to two
 	// seconds after a step.
@@ -100,7 +100,7 @@
 }
 
 func newSimulation(t *testing.T, seed uint64, ranks int) *simulation {
-	sim := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), maps: map[uint64]group.Map{}, cutUntil: map[int]time.Duration{}, token: 1, maxOrderDelay: 4200 * time.Millisecond}
+	sim := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), maps: map[uint64]group.Map{}, partitionedUntil: map[int]time.Duration{}, token: 1, maxOrderDelay: 4200 * time.Millisecond}
 	shape := group.Shape{Layers: 1, Experts: 4, Ranks: ranks, Slots: 4}
 	initial := group.RoundRobin(shape)
 	sim.maps[1] = initial
@@ -132,7 +132,7 @@
 
 // sendMessage delivers a message, possibly late or not at all.
 func (sim *simulation) sendMessage(rank int, run func()) {
-	if sim.cutUntil[rank] > sim.now || sim.rng.Float64() < sim.lossRate {
+	if sim.partitionedUntil[rank] > sim.now || sim.rng.Float64() < sim.lossRate {
 		return
 	}
 	delay := time.Duration(1+sim.rng.IntN(6)) * time.Millisecond
@@ -327,7 +327,7 @@
 	case 1: // the host is frozen
 		e.frozenUntil = sim.now + time.Duration(sim.rng.IntN(1500))*time.Millisecond
 	case 2: // the host is partitioned from the control replicas
-		sim.cutUntil[e.rank] = sim.now + time.Duration(sim.rng.IntN(1500))*time.Millisecond
+		sim.partitionedUntil[e.rank] = sim.now + time.Duration(sim.rng.IntN(1500))*time.Millisecond
 	case 3: // another replica becomes the leader
 		sim.replaceCoordinator()
 	}
