--- a/agent/announce.go
+++ b/agent/announce.go
@@ -129,7 +129,7 @@
 }
 
 // nextInterval returns the time until the next announcement: the configured interval, or the longer
-// one that the leader asks for, but short enough to keep the lease.
+// one that the leader requests, but short enough to keep the lease.
 func nextInterval(interval time.Duration, response *controlv1.AnnounceResponse) time.Duration {
 	if response.GetSendFull() {
 		return time.Millisecond
@@ -141,8 +141,8 @@
 	return max(interval, time.Millisecond)
 }
 
-// handleResponse records that an announcement was accepted. Changes is the change count for which it
-// was made.
+// handleResponse records that an announcement was accepted. changes is the sum of the change counters
+// when the request was built.
 func (a *announcer) handleResponse(request *controlv1.AnnounceRequest, changes uint64, response *controlv1.AnnounceResponse) {
 	a.mu.Lock()
 	a.sendFull = response.GetSendFull() || (a.stopping.Load() && !request.GetStopping())
--- a/agent/answer.go
+++ b/agent/answer.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// judge reports at the end of the body whether the answer is complete.
+// judge returns an error if the answer is incomplete. It is called at the end of the body.
 func (a *answer) judge() error {
 	if !a.framed {
 		return errNoFraming
@@ -123,7 +123,8 @@
 	return a.response.Header.Get(engineapi.HeaderResumeOffset) == strconv.FormatUint(offset, 10)
 }
 
-// recording keeps the answer to a claimed call. A nil recording keeps nothing.
+// recording collects the answer to a claimed call. A body of more than gate.AnswerLimit bytes is dropped
+// and the answer marked as truncated. A nil recording collects nothing.
 type recording struct {
 	answer controlv1.Answer
 }
--- a/agent/claim_test.go
+++ b/agent/claim_test.go
@@ -44,13 +44,13 @@
 	service.SetFaults(standin.Faults{Stall: true})
 	claim := s.claimedCall(gate.ClaimID("k", s.daemon.lockedGate.ticket()))
 	claim.ClaimTicketNs = 0
-	is.Equal(s.dispatch(claim).refused.GetKind(), string(fault.Invalid)) // the claim id is of another ticket: not run
+	is.Equal(s.dispatch(claim).refused.GetKind(), string(fault.Invalid)) // the claim id belongs to another ticket: not run
 	claim = s.claimedCall("claim")
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	first := make(chan reply, 1)
 	go func() { first <- s.dispatchContext(ctx, claim, nil) }()
 	s.waitUntil("the call runs", func() bool { return len(service.Effects()) == 1 })
-	leave()
+	disconnect()
 	is.True((<-first).err != nil)
 	repeated := make(chan reply, 1)
 	go func() { repeated <- s.dispatch(s.claimedCall("claim")) }()
--- a/agent/client.go
+++ b/agent/client.go
@@ -48,7 +48,7 @@
 	// sent on a connection that the endpoint is closing, and is never retried by the transport.
 	singleUse *http.Transport
 	dialer    *net.Dialer
-	// lockedGate is told the rate limits, pauses and announced stops that responses carry.
+	// lockedGate records the rate limits, pauses and announced stops that responses carry.
 	lockedGate *lockedGate
 }
 
@@ -153,8 +153,8 @@
 	}
 }
 
-// countPushback counts a response that asks for a pause; countPaused counts a request that is not
-// sent because of such a pause.
+// countPushback counts a response that requests a pause; countPaused counts a request that is not sent
+// because of such a pause.
 func countPushback(endpoint string) {
 	metrics.GetOrCreateCounter(`lilackeel_agent_pushbacks_total{endpoint="` + endpoint + `"}`).Inc()
 }
--- a/agent/clock.go
+++ b/agent/clock.go
@@ -8,8 +8,8 @@
 // clockRange is the upper bound of the random start of a clock, in nanoseconds: 73 years.
 const clockRange = int64(1) << 61
 
-// clock is the agent's own monotonic clock, which tickets are read from. It starts at a random
-// value, so that a ticket of an earlier incarnation is very unlikely to look recent to this one.
+// clock is the agent's own monotonic clock; a ticket is a reading of it. It starts at a random value,
+// so that a ticket of an earlier incarnation is very unlikely to look recent to this one.
 type clock struct {
 	started time.Time
 	start   time.Duration
--- a/agent/daemon.go
+++ b/agent/daemon.go
@@ -173,7 +173,7 @@
 	d.ready.Set(false, stoppingReason)
 	d.logger.Info("stopping", slog.Int("in_flight", d.lockedGate.inFlight()))
 	d.lockedGate.stop()
-	ctx, cancel := d.stopLimit()
+	ctx, cancel := d.stopContext()
 	defer cancel()
 	acknowledged := d.announcer.stop()
 	d.awaitDrain(ctx, acknowledged)
@@ -223,7 +223,8 @@
 	}
 }
 
-func (d *Daemon) stopLimit() (context.Context, context.CancelFunc) {
+// stopContext returns a context that ends after the stop limit, if there is one.
+func (d *Daemon) stopContext() (context.Context, context.CancelFunc) {
 	if d.settings.StopLimit == 0 {
 		return context.WithCancel(context.Background())
 	}
--- a/agent/daemon_test.go
+++ b/agent/daemon_test.go
@@ -168,10 +168,10 @@
 	is := is.New(t)
 	engine := standin.NewEngine(standin.EngineConfig{Slots: 1, TokenTime: time.Millisecond})
 	s := newFixture(t, map[string]http.Handler{"engine": engine})
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	got := s.dispatchContext(ctx, completion(true, "5000"), func(r *agentv1.DispatchResponse) {
 		if r.GetChunk() != nil {
-			leave()
+			disconnect()
 		}
 	})
 	is.True(errors.Is(got.err, context.Canceled))
@@ -196,19 +196,19 @@
 			}
 		}
 	})})
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	d := &agentv1.DispatchRequest{Endpoint: "service", Method: http.MethodGet, Path: "/", Incarnation: s.daemon.lockedGate.incarnation()}
 	must(s.client.Dispatch(ctx, d))
 	const stallSamples = 100 // consecutive samples without progress
 	for last, unchanged := int64(0), 0; unchanged < stallSamples; time.Sleep(time.Millisecond) {
-		present := written.Load()
+		current := written.Load()
 		unchanged++
-		if present != last || present == 0 {
-			last, unchanged = present, 0
+		if current != last || current == 0 {
+			last, unchanged = current, 0
 		}
 	}
 	is.True(written.Load() < bound)
-	leave()
+	disconnect()
 	<-ended
 	is.True(written.Load() < bound)
 	s.waitUntil("nothing is in flight", func() bool { return s.daemon.lockedGate.inFlight() == 0 })
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -99,7 +99,7 @@
 }
 
 // run sends the call to the endpoint and forwards its answer. The outcome is recorded before the last
-// message is sent, so that a revocation sent after that message finds it.
+// message is sent, so that a revocation that follows this message finds the outcome.
 func (p *dispatcher) run(ctx context.Context, d *agentv1.DispatchRequest, out *sender) error {
 	ctx, cancel := p.callContext(ctx, d)
 	defer cancel()
@@ -202,7 +202,7 @@
 }
 
 func errNoResume() *fault.Error {
-	return fault.New(fault.NotFound, "the stream cannot be resumed here", "start the call again from the beginning")
+	return fault.New(fault.NotFound, "the stream cannot be resumed here", "retry the call from the beginning")
 }
 
 // forward sends an answer to the caller. The answer to a claimed call is read to its end even if the
--- a/agent/engineapi/engineapi.go
+++ b/agent/engineapi/engineapi.go
@@ -3,21 +3,21 @@
 //
 //	GET  /load                   load figures (Load), with their age
 //	GET  /cache/events?after=N   cache events (CacheEvents) with a number above N
-//	POST /orders                 carries out an Order; answers State
+//	POST /orders                 carries out an Order; returns State
 //	GET  /orders                 reads back State
 //
-// An engine that checks fencing rejects an order with an old token by status 409. An engine that does
-// not support one of the paths answers 404, and the agent works without it.
+// An engine that checks fencing rejects an order that has an old token with status 409. An engine that
+// does not support one of the paths returns status 404, and the agent works without it.
 //
 // Answers to model calls may carry the header X-Stream-Id. An answer that was interrupted is resumed by
 // sending the call again with that header and X-Resume-Offset; the engine repeats X-Resume-Offset when
-// it resumes, and answers 404 when it no longer knows the stream. X-Priority orders the calls that wait
-// in the engine, highest first.
+// it resumes, and returns status 404 when it no longer knows the stream. X-Priority orders the calls
+// that wait in the engine, highest first.
 //
 // The responses of any endpoint may carry these headers. Lilackeel-Rate-Limit advertises the number of
 // requests per second that the endpoint accepts, and applies for as long as its responses carry it.
-// Retry-After with status 503 rejects the request and asks the sender for a pause of that time, during
-// which it must send nothing to the endpoint; Lilackeel-Not-Run then says that the request has not run.
+// Retry-After with status 503 rejects the request and requests a pause of that time, during which the
+// sender must send nothing to the endpoint; Lilackeel-Not-Run then says that the request has not run.
 // Lilackeel-Leaving announces that the endpoint is about to stop and must get no new calls.
 package engineapi
 
--- a/agent/engineapi/ranks.go
+++ b/agent/engineapi/ranks.go
@@ -2,7 +2,7 @@
 
 // PathSteps is served by the agent, for engines that are ranks of a group:
 //
-//	POST /steps    StepRequest; answers StepGrant
+//	POST /steps    StepRequest; returns StepGrant
 //
 // A rank does not begin a step without a grant for it. It has at most one request open, discards the
 // answer to a request that it has abandoned, and keeps its grants for as long as its process runs.
@@ -13,8 +13,8 @@
 //	GET /experts   ExpertCounts
 const PathExperts = "/experts"
 
-// OrderLoadMap is the kind of Order that makes a rank load the weights of an epoch's map. It is
-// answered once they are loaded. Only a StepGrant changes the map in use.
+// OrderLoadMap is the kind of Order that makes a rank load the weights of an epoch's map. The rank
+// responds once they are loaded. Only a StepGrant changes the map in use.
 const OrderLoadMap = "load_map"
 
 // StepRequest requests a grant of further steps.
--- a/agent/hopbyhop/hopbyhop.go
+++ b/agent/hopbyhop/hopbyhop.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// always holds the canonical names of the headers that are hop-by-hop in every message.
-var always = map[string]bool{
+// hopByHopHeaders holds the canonical names of the headers that are hop-by-hop in every message.
+var hopByHopHeaders = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
 	"Proxy-Authenticate":  true,
@@ -22,21 +22,21 @@
 }
 
 // Is reports whether a header is hop-by-hop in every message, whatever its Connection header lists.
-func Is(name string) bool { return always[textproto.CanonicalMIMEHeaderKey(name)] }
+func Is(name string) bool { return hopByHopHeaders[textproto.CanonicalMIMEHeaderKey(name)] }
 
 // ConnectionOptions returns the canonical names of the headers that the Connection header of the
 // message lists as hop-by-hop; nil if there are none.
 func ConnectionOptions(header http.Header) map[string]bool {
-	var named map[string]bool
+	var options map[string]bool
 	for _, value := range header.Values("Connection") {
 		for name := range strings.SplitSeq(value, ",") {
-			if named == nil {
-				named = make(map[string]bool)
+			if options == nil {
+				options = make(map[string]bool)
 			}
-			named[textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name))] = true
+			options[textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
-	return named
+	return options
 }
 
 // Remove deletes the hop-by-hop headers of a message.
@@ -44,7 +44,7 @@
 	for name := range ConnectionOptions(header) {
 		header.Del(name)
 	}
-	for name := range always {
+	for name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
--- a/agent/load_test.go
+++ b/agent/load_test.go
@@ -21,8 +21,8 @@
 	engine := standin.NewEngine(cfg)
 	cfg.CountsOnly = true
 	s := newFixture(t, map[string]http.Handler{"engine": engine, "engine-plain": standin.NewEngine(cfg)})
-	ask := completion(true, "1000")
-	go s.dispatch(ask)
+	request := completion(true, "1000")
+	go s.dispatch(request)
 	plain := completion(true, "1000")
 	plain.Endpoint = "engine-plain"
 	go s.dispatch(plain)
--- a/agent/lockedgate.go
+++ b/agent/lockedgate.go
@@ -20,8 +20,8 @@
 	Freshness() (revision uint64, at time.Time, ok bool)
 }
 
-// lockedGate makes the gate safe for concurrent use and passes it the time of the clock. The mutex is
-// held for one decision at a time.
+// lockedGate makes the gate safe for concurrent use and passes it the readings of the agent's clock. The
+// mutex is held for one decision at a time.
 type lockedGate struct {
 	clock     *clock
 	agent     string
@@ -89,7 +89,7 @@
 	g.gate.LearnRateLimit(now, endpoint, ratelimit.Limit{Rate: rate, SentAt: sent, ReceivedAt: now})
 }
 
-// recordPushback records that an endpoint has asked for a pause.
+// recordPushback records that an endpoint has requested a pause.
 func (g *lockedGate) recordPushback(endpoint string, pause time.Duration) {
 	countPushback(endpoint)
 	g.mu.Lock()
@@ -144,20 +144,20 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.gate.Finish(g.clock.now(), d, outcome, answer)
-	if end, waited := g.claimDone[d.GetClaimId()]; waited {
-		close(end)
+	if done, waited := g.claimDone[d.GetClaimId()]; waited {
+		close(done)
 		delete(g.claimDone, d.GetClaimId())
 	}
 }
 
 // awaitClaim waits until the claim of a dispatch is no longer running, or until ctx ends.
 func (g *lockedGate) awaitClaim(ctx context.Context, d *agentv1.DispatchRequest) error {
-	end := g.doneChannel(d)
-	if end == nil {
+	done := g.doneChannel(d)
+	if done == nil {
 		return nil
 	}
 	select {
-	case <-end:
+	case <-done:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -172,12 +172,12 @@
 	if !g.gate.Running(d.GetClaimId()) {
 		return nil
 	}
-	end := g.claimDone[d.GetClaimId()]
-	if end == nil {
-		end = make(chan struct{})
-		g.claimDone[d.GetClaimId()] = end
+	done := g.claimDone[d.GetClaimId()]
+	if done == nil {
+		done = make(chan struct{})
+		g.claimDone[d.GetClaimId()] = done
 	}
-	return end
+	return done
 }
 
 func (g *lockedGate) revoke(r *agentv1.RevokeRequest) *agentv1.RevokeResponse {
--- a/agent/order.go
+++ b/agent/order.go
@@ -100,7 +100,7 @@
 	return o.post(ctx, e, order)
 }
 
-// post sends an order to an engine.
+// post sends an order to an engine and converts its response to an error.
 func (o *orderer) post(ctx context.Context, e Endpoint, order engineapi.Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -112,13 +112,13 @@
 	case errors.As(err, &notSent):
 		return notSent.cause
 	case err != nil:
-		return fault.Newf(fault.Unknown, "read the endpoint back before repeating the order",
+		return fault.Newf(fault.Unknown, "read back the endpoint's state before retrying the order",
 			"endpoint %q may have carried out the order", e.ID).WithCause(err)
 	case status == http.StatusConflict:
 		return fault.Newf(fault.Fenced, "only the current control leader may send orders; read the control state again",
 			"endpoint %q has seen a fencing token higher than %d", e.ID, order.Fence)
 	case status >= http.StatusInternalServerError:
-		return fault.Newf(fault.Unknown, "read the endpoint back before repeating the order",
+		return fault.Newf(fault.Unknown, "read back the endpoint's state before retrying the order",
 			"endpoint %q answered the order with status %d", e.ID, status)
 	case status != http.StatusOK:
 		return fault.Newf(fault.Invalid, "correct the order", "endpoint %q answered the order with status %d", e.ID, status)
@@ -129,7 +129,7 @@
 func (o *orderer) readBack(ctx context.Context, e Endpoint) (*agentv1.OrderResponse, error) {
 	_, status, err := o.client.readLoaded(ctx, e, o.loaded)
 	if err != nil || status != http.StatusOK {
-		return nil, fault.Newf(fault.Unknown, "read back the endpoint again",
+		return nil, fault.Newf(fault.Unknown, "retry the read-back",
 			"the state of endpoint %q cannot be read back (status %d)", e.ID, status).WithCause(err)
 	}
 	observed := e.toProto(o.settings)
--- a/agent/pushback_test.go
+++ b/agent/pushback_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// retryAfterPause is the pause that the endpoints ask for. Requests that were already under way may
-	// arrive during the first pauseGrace of it; in the rest an endpoint may get at most
+	// retryAfterPause is the pause that the endpoints request. Requests that were already in flight may
+	// arrive during its first part, pauseGrace; in the rest an endpoint may get at most
 	// maxRequestsInPause.
 	retryAfterPause    = 3 * time.Second
 	pauseGrace         = 500 * time.Millisecond
@@ -35,7 +35,7 @@
 }
 
 // Guards against an agent that continues to send calls, polls, read-backs or orders to an endpoint that
-// has rejected a request and asked for a pause.
+// has rejected a request and requested a pause.
 func TestRetryAfterPauseIsKept(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(standin.EngineConfig{Slots: 64})
@@ -53,7 +53,7 @@
 			OrderId: fmt.Sprint("o", number), Endpoint: "engine", Kind: agentv1.OrderKind_ORDER_KIND_LOAD_MODEL, Model: "draft", Fence: 5,
 		})
 	})
-	// Both endpoints have asked for a pause that covers this time.
+	// From known on, both endpoints have requested a pause, which covers the rest.
 	known, rest := began.Add(pauseGrace), retryAfterPause-pauseGrace
 	for name, got := range map[string]int{"engine": engine.MaxArrivals(known, rest), "service": service.MaxArrivals(known, rest)} {
 		t.Logf("the %s got %d", name, got)
--- a/agent/ranks/ranks.go
+++ b/agent/ranks/ranks.go
@@ -144,12 +144,12 @@
 		}
 		r.deliver(driver.step(r.now(), m))
 	}
-	response := &agentv1.GroupResponse{Loads: r.expertLoads()}
+	response := &agentv1.GroupResponse{Loads: r.takeExpertLoads()}
 	for key, m := range r.outbox {
 		response.Messages = append(response.Messages, mapwire.ToProto(m))
 		delete(r.outbox, key)
 	}
-	r.readExperts()
+	r.startExpertReads()
 	return response, nil
 }
 
--- a/agent/report_test.go
+++ b/agent/report_test.go
@@ -107,7 +107,7 @@
 func TestAnnouncerFollowsTheLeaderAndStopsWhenReplaced(t *testing.T) {
 	is := is.New(t)
 	follower := newFakeReplica(t)
-	follower.refusal = fault.New(fault.NotLeader, "not the leader", "ask the leader")
+	follower.refusal = fault.New(fault.NotLeader, "not the leader", "retry at the leader")
 	s := newFixture(t, map[string]http.Handler{"service": standin.NewService(0)}, follower.addr, "127.0.0.1:1")
 	is.True(s.replica.last() != nil)
 	s.replica.mu.Lock()
@@ -124,13 +124,13 @@
 	engine := standin.NewEngine(standin.EngineConfig{Slots: 2, CacheBlocks: 8})
 	s := newFixture(t, map[string]http.Handler{"engine": http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		present := engine
+		current := engine
 		mu.Unlock()
-		present.ServeHTTP(w, r)
+		current.ServeHTTP(w, r)
 	})})
 	prompt := string(bytes.Repeat([]byte("a"), 2*standin.BlockBytes))
-	ask := completion(false, "1")
-	ask.Body = []byte(`{"prompt":"` + prompt + `"}`)
+	request := completion(false, "1")
+	request.Body = []byte(`{"prompt":"` + prompt + `"}`)
 	stream := must(s.client.Reports(t.Context(), &agentv1.ReportsRequest{IntervalMs: 20}))
 	var events []*agentv1.CacheEvent
 	read := func(count int) {
@@ -141,13 +141,13 @@
 			events = append(events, report.GetEvents()...)
 		}
 	}
-	is.True(s.dispatch(ask).end != nil)
+	is.True(s.dispatch(request).end != nil)
 	read(1)
 	is.Equal(events[0].GetStored(), standin.PromptBlocks(prompt))
 	mu.Lock()
 	engine = standin.NewEngine(standin.EngineConfig{Slots: 2, CacheBlocks: 8})
 	mu.Unlock()
-	is.True(s.dispatch(ask).end != nil)
+	is.True(s.dispatch(request).end != nil)
 	read(3)
 	is.True(events[1].GetCleared())
 	is.Equal(events[2].GetStored(), standin.PromptBlocks(prompt))
