--- a/operator/client.go
+++ b/operator/client.go
@@ -136,7 +136,7 @@
 		return fault.Newf(fault.Unknown, "run the same command again: the same request gets the same response",
 			"a response from the control replicas (%s) was lost; the request may have been executed", tried).WithCause(lastErr)
 	}
-	return fault.Newf(fault.Unavailable, "check that a majority of the control replicas is running and that -control lists them, then try again",
+	return fault.Newf(fault.Unavailable, "check that a majority of the control replicas is running and that -control lists them, then retry",
 		"none of the control replicas (%s) could process the request; nothing was done", tried).WithCause(lastErr)
 }
 
--- a/operator/explainrequest_test.go
+++ b/operator/explainrequest_test.go
@@ -12,8 +12,8 @@
 )
 
 // recordedLog holds abridged log lines of two entries and a control replica: about a
-// request that was refused, one whose answer was cut and that was retried, and one
-// answered with the configuration before a change.
+// request that was refused, one whose answer was truncated and that was retried, and
+// one that was handled with the configuration before a change.
 const recordedLog = `-1.2 front-a {"time":"2026-09-24T18:45:44.100000000Z","level":"INFO","msg":"limited the calls of a pool","daemon":"lilackeel-entry","host":"front-a","pool":"p","limit":58.2,"running":61.5,"slots":192}
 front-a {"time":"2026-09-24T18:45:44.300000000Z","level":"INFO","msg":"ended a request","daemon":"lilackeel-entry","host":"front-a","request_id":"refused1","route":"r","version":3,"workspace":"w","pool":"p","endpoint":"","attempts":0,"outcome":"not-run","status":503,"placed":0,"took":1200000,"left":7998800000,"reason":"overloaded: not run: workspace w would wait about 396ms"}
 {"time":"2026-09-24T18:45:50.000000000Z","level":"INFO","msg":"published a site","daemon":"lilackeel-control","host":"control-1","version":4,"revision":70}
--- a/operator/status.go
+++ b/operator/status.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// printOverview prints the parts of the status that do not change all the time.
+// printOverview prints the status without the figures that change at every poll, such as the time since
+// a daemon was last heard from.
 func (s *session) printOverview(ctx context.Context) error {
 	status, err := s.client.Status(ctx)
 	if err != nil {
--- a/telemetry/config.go
+++ b/telemetry/config.go
@@ -11,9 +11,9 @@
 	ExporterOff = "off"
 	// ExporterStdout writes spans as JSON lines to standard output.
 	ExporterStdout = "stdout"
-	// ExporterFile appends spans as JSON lines to the file that trace-endpoint names.
+	// ExporterFile appends spans as JSON lines to the file named by -trace-endpoint.
 	ExporterFile = "file"
-	// ExporterOTLP sends spans to the OTLP/HTTP collector at trace-endpoint.
+	// ExporterOTLP sends spans to the OTLP/HTTP collector at -trace-endpoint.
 	ExporterOTLP = "otlp"
 )
 
