--- a/e2e/log_test.go
+++ b/e2e/log_test.go
@@ -18,9 +18,9 @@
 var commonFields = []string{"time", "level", "msg", "daemon", "host", "request_id", "workspace", "endpoint", "attempt", "trace_id", "replica", "term", "library", "left_out"}
 
 // listedEvents are the events of docs/LOGS.md.
-var listedEvents = sync.OnceValues(func() (map[string]logspage.Entry, error) {
+var listedEvents = sync.OnceValues(func() (map[string]logspage.PageEntry, error) {
 	text, err := os.ReadFile("../docs/LOGS.md")
-	return logspage.Listed(string(text)), err
+	return logspage.ParsePage(string(text)), err
 })
 
 // checkLog fails the test if a daemon has written a line that is not as
@@ -48,7 +48,7 @@
 }
 
 // faultOf says what is wrong with a line, nothing if it is as documented.
-func faultOf(line []byte, events map[string]logspage.Entry) string {
+func faultOf(line []byte, events map[string]logspage.PageEntry) string {
 	var fields map[string]any
 	if err := json.Unmarshal(line, &fields); err != nil {
 		return err.Error()
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return &reply{err: err}
 	}
-	request.Header.Set("Authorization", "Bearer "+overhead.Key)
+	request.Header.Set("Authorization", "Bearer "+overhead.WorkspaceKey)
 	for i := 0; i+1 < len(headers); i += 2 {
 		request.Header.Del(headers[i])
 		for value := range strings.SplitSeq(headers[i+1], "|") {
@@ -86,7 +86,7 @@
 // TestInvalidRequests sends each kind of invalid request that the entry detects. Each gets its own
 // status and a typed error with a remedy, and nothing is run.
 func TestInvalidRequests(t *testing.T) {
-	f := start(t, overhead.FleetConfig{Configure: func(c *entry.Config) { c.MaxBodyBytes, c.BodyTimeout = 4096, 200*time.Millisecond }})
+	f := start(t, overhead.FleetConfig{ConfigureEntry: func(c *entry.Config) { c.MaxBodyBytes, c.BodyTimeout = 4096, 200*time.Millisecond }})
 	runs, _ := f.Engine.Counts()
 	effects := len(f.Service.Effects())
 	const completions, swap = "/v1/chat/completions", overhead.ServicePrefix + "/swap"
@@ -141,7 +141,7 @@
 			is.NoErr(err)
 			defer func() { _ = connection.Close() }()
 			is.NoErr(connection.SetDeadline(time.Now().Add(waitTimeout)))
-			fmt.Fprintf(connection, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n%s", swap, overhead.Key, body)
+			fmt.Fprintf(connection, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n%s", swap, overhead.WorkspaceKey, body)
 			response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 			is.NoErr(err)
 			is.True(response.StatusCode == 400 || response.StatusCode == 413)
@@ -260,7 +260,7 @@
 	if err != nil {
 		return err
 	}
-	request.Header.Set("Authorization", "Bearer "+overhead.Key)
+	request.Header.Set("Authorization", "Bearer "+overhead.WorkspaceKey)
 	response, err := http.DefaultClient.Do(request)
 	begun <- struct{}{}
 	if err != nil {
--- a/entry/signals_test.go
+++ b/entry/signals_test.go
@@ -18,8 +18,8 @@
 // startEngines starts a fleet of separate engines with short polling and report intervals.
 func startEngines(t *testing.T, count int, cfg standin.EngineConfig) *overhead.Fleet {
 	return start(t, overhead.FleetConfig{
-		Engine: cfg, Endpoints: count, Separate: true, PollInterval: 10 * time.Millisecond,
-		Configure: func(c *entry.Config) { c.ReportInterval = 10 * time.Millisecond },
+		Engine: cfg, Endpoints: count, SeparateEngines: true, PollInterval: 10 * time.Millisecond,
+		ConfigureEntry: func(c *entry.Config) { c.ReportInterval = 10 * time.Millisecond },
 	})
 }
 
--- a/measure/fanout/announce.go
+++ b/measure/fanout/announce.go
@@ -54,7 +54,7 @@
 	fmt.Fprintf(w, "\nRenewals of leases by agents, one each %v, at the leader of %d replicas; processor time of both ends together.\n\n", heartbeat, replicas)
 	fmt.Fprintln(w, "| agents | announcements/s | CPU µs per announcement | bytes per announcement |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- |")
-	for _, agents := range p.Fleets {
+	for _, agents := range p.FleetSizes {
 		result, err := measureAnnouncing(agents)
 		if err != nil {
 			return err
--- a/measure/fanout/run.go
+++ b/measure/fanout/run.go
@@ -21,17 +21,17 @@
 // Plan says how much is measured.
 type Plan struct {
 	// Fleets are the numbers of daemons.
-	Fleets []int
+	FleetSizes []int
 	// Workspaces are the sizes at which a return is timed, Missed the numbers of
 	// changes that the daemon was away for.
-	Workspaces, Missed []int
+	WorkspaceCounts, MissedChanges []int
 }
 
 // Full is the plan of Run.
-var Full = Plan{
-	Fleets:     []int{4, 16, 64, 256},
-	Workspaces: []int{1000, 37_000},
-	Missed:     []int{100, 1000, 10_000},
+var FullPlan = Plan{
+	FleetSizes:      []int{4, 16, 64, 256},
+	WorkspaceCounts: []int{1000, 37_000},
+	MissedChanges:   []int{100, 1000, 10_000},
 }
 
 // figures is everything that was measured.
@@ -47,7 +47,7 @@
 // Run measures everything, prints the tables as Markdown to w and stores the
 // figures in outDir. Nothing in it is random; the seed is only printed.
 func Run(w io.Writer, seed uint64, outDir string) error {
-	return Full.Run(w, seed, outDir)
+	return FullPlan.Run(w, seed, outDir)
 }
 
 // Run measures what the plan says.
@@ -74,7 +74,7 @@
 	fmt.Fprintln(w, "| daemons | relays | rest: publisher B/s | rest: B/s per daemon | rest: CPU µs/s per daemon | change: publisher B | change: B per daemon | change: CPU µs per daemon | in force p50 ms | max ms |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, relayed := range []bool{false, true} {
-		for _, daemons := range p.Fleets {
+		for _, daemons := range p.FleetSizes {
 			s, err := measureSlope(daemons, relayed)
 			if err != nil {
 				return err
@@ -93,7 +93,7 @@
 	fmt.Fprintln(w, "| daemons | relays | confirm answered p50 ms | in force p50 ms | in force max ms |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- |")
 	for _, relayed := range []bool{false, true} {
-		for _, daemons := range p.Fleets {
+		for _, daemons := range p.FleetSizes {
 			result, err := measureInForce(daemons, relayed)
 			if err != nil {
 				return err
@@ -109,8 +109,8 @@
 	fmt.Fprintf(w, "\nA daemon that was away, from its start until it acts on the latest revision.\n\n")
 	fmt.Fprintln(w, "| workspaces | missed changes | ms | bytes |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- |")
-	for _, workspaces := range p.Workspaces {
-		for _, missed := range p.Missed {
+	for _, workspaces := range p.WorkspaceCounts {
+		for _, missed := range p.MissedChanges {
 			result, err := measureCatchUp(workspaces, missed)
 			if err != nil {
 				return err
--- a/measure/fanout/run_test.go
+++ b/measure/fanout/run_test.go
@@ -14,7 +14,7 @@
 	is := is.New(t)
 	var page strings.Builder
 	dir := t.TempDir()
-	plan := Plan{Fleets: []int{4}, Workspaces: []int{100}, Missed: []int{20}}
+	plan := Plan{FleetSizes: []int{4}, WorkspaceCounts: []int{100}, MissedChanges: []int{20}}
 	is.NoErr(plan.Run(&page, 1, dir))
 	is.True(strings.Contains(page.String(), "| 100 | 20 |"))
 	stored, err := os.ReadFile(filepath.Join(dir, figuresFile))
--- a/measure/following/bench_test.go
+++ b/measure/following/bench_test.go
@@ -11,9 +11,9 @@
 // BenchmarkDecide is one decision after a jump, by shape: the time that the leader's
 // processor adds to each switch.
 func BenchmarkDecide(b *testing.B) {
-	for _, site := range append(Sites(), Large(0)) {
+	for _, site := range append(Deployments(), LargeDeployment(0)) {
 		b.Run(site.Name, func(b *testing.B) {
-			d := newDemand(site.Shape, site.Popularity, rand.New(rand.NewPCG(1, 1)))
+			d := newDemand(site.Shape, site.PopularityExponent, rand.New(rand.NewPCG(1, 1)))
 			first := group.RoundRobin(site.Shape)
 			var skew float64
 			for b.Loop() {
--- a/measure/following/run.go
+++ b/measure/following/run.go
@@ -11,19 +11,19 @@
 )
 
 // Site is a group of a shape and what its engines state.
-type Site struct {
+type Deployment struct {
 	Name  string
 	Shape group.Shape
 	// Popularity is the power by which shares of experts fall with their place.
-	Popularity float64
+	PopularityExponent float64
 	// Orders is the part of a switch in which nothing is copied.
-	Orders time.Duration
+	CoordinationTime time.Duration
 	// Config is how the group is followed.
 	Config balance.FollowConfig
 	// Pause is the longest pause that streams are promised, and Filled the part of it that
 	// a pass of even ranks takes at the present load; zero where passes are not looked at.
-	Pause  time.Duration
-	Filled float64
+	MaxPause          time.Duration
+	BalancedPassShare float64
 }
 
 // orderSeconds is the part of a switch in which nothing is copied, and observe and lag the
@@ -36,8 +36,8 @@
 
 // site returns a site whose ranks copy an expert in the given seconds; fixed is the part
 // of a step that no map changes.
-func site(name string, shape group.Shape, popularity, copySeconds, fixed float64, spare int, orders time.Duration) Site {
-	return Site{Name: name, Shape: shape, Popularity: popularity, Orders: orders, Config: balance.FollowConfig{
+func site(name string, shape group.Shape, popularity, copySeconds, fixed float64, spare int, orders time.Duration) Deployment {
+	return Deployment{Name: name, Shape: shape, PopularityExponent: popularity, CoordinationTime: orders, Config: balance.FollowConfig{
 		Shape: shape, Reach: balance.Reach{Spare: spare, Copies: 10}, Fixed: fixed, CopySeconds: copySeconds, CopySlow: 0.15,
 		OrderSeconds: orderSeconds, StallSeconds: 0.005, MoveSeconds: 0.001, HoldSeconds: 2, Smoothing: 0.3, Jump: 0.12,
 	}}
@@ -46,8 +46,8 @@
 // Sites are the shapes that deployments publish: few ranks with many places, the middle,
 // and large groups whose experts are small. Copy times are the bytes of an expert over the
 // rate of a rank's link.
-func Sites() []Site {
-	return []Site{
+func Deployments() []Deployment {
+	return []Deployment{
 		site("8 ranks x 6 layers x 64 experts", group.Shape{Layers: 6, Experts: 64, Ranks: 8, Slots: 11}, 1.6, 0.148, 2.8, 4, 90*time.Millisecond),
 		site("16 ranks x 4 layers x 64 experts", group.Shape{Layers: 4, Experts: 64, Ranks: 16, Slots: 5}, 1.08, 0.111, 1.2, 2, 90*time.Millisecond),
 		site("32 ranks x 12 layers x 128 experts", group.Shape{Layers: 12, Experts: 128, Ranks: 32, Slots: 5}, 0.82, 0.037, 2.8, 2, 90*time.Millisecond),
@@ -56,32 +56,32 @@
 
 // Large is one group of 192 ranks, whose orders take some time. Popularity is such that the
 // first map leaves a skew of 3.4, as on the played days, and half of the slots are taken.
-func Large(orders time.Duration) Site {
+func LargeDeployment(orders time.Duration) Deployment {
 	return site("192 ranks x 10 layers x 384 experts", group.Shape{Layers: 10, Experts: 384, Ranks: 192, Slots: 3}, 0.43, 0.0076, 1.5, 2, orders)
 }
 
 // Bound is a planner that knows demand at once, and has to copy and to agree like any other.
-func (s Site) Bound() Policy {
-	return Policy{Name: "knowing demand at once", Config: &s.Config, Interval: 10 * time.Millisecond, Knowing: true}
+func (s Deployment) OraclePolicy() Policy {
+	return Policy{Name: "knowing demand at once", Config: &s.Config, Interval: 10 * time.Millisecond, Oracle: true}
 }
 
 // InForce is what the control leader does.
-func (s Site) InForce() Policy {
-	return Policy{Name: "in force", Config: &s.Config, Interval: observe, Delay: lag, Blind: true}
+func (s Deployment) LeaderPolicy() Policy {
+	return Policy{Name: "in force", Config: &s.Config, Interval: observe, ObservationDelay: lag, SkipDuringSwitch: true}
 }
 
 // Loaded is the site at a load: streams are promised a pause, of which a pass of even ranks
 // takes a part.
-func (s Site) Loaded(filled float64) Site {
-	s.Pause, s.Filled = 120*time.Millisecond, filled
+func (s Deployment) WithLoad(filled float64) Deployment {
+	s.MaxPause, s.BalancedPassShare = 120*time.Millisecond, filled
 	return s
 }
 
 // ByPace is what the control leader does that weighs a shorter pass by the pause that is
 // promised.
-func (s Site) ByPace() Policy {
-	p := s.InForce()
-	p.Name, p.Paced = "by the pace", true
+func (s Deployment) PauseAwarePolicy() Policy {
+	p := s.LeaderPolicy()
+	p.Name, p.PauseAware = "by the pace", true
 	return p
 }
 
@@ -91,27 +91,27 @@
 	// Config is the follower's; a nil one never switches.
 	Config *balance.FollowConfig
 	// Interval is the time between two observations, Delay how old they are.
-	Interval, Delay time.Duration
+	Interval, ObservationDelay time.Duration
 	// Blind leaves out the observations during a switch: what was counted then is
 	// seen as one, at its end.
-	Blind bool
+	SkipDuringSwitch bool
 	// Knowing sees the demand as it is, at once.
-	Knowing bool
+	Oracle bool
 	// Paced weighs a shorter pass by the pause that is promised.
-	Paced bool
+	PauseAware bool
 }
 
 // Result is what came of a policy.
 type Result struct {
 	// Step is the mean time of a step over that of a group with even ranks.
-	Step float64
+	StepTime float64
 	// Skew is the mean skew, Late the part of the time in which it is so high that
 	// full ranks make their streams late.
-	Skew, Late float64
+	Skew, LateShare float64
 	// Beyond is the part of the time in which passes take longer than the promised pause.
-	Beyond float64
+	OverPauseShare float64
 	// Copies are the experts copied per second, Switches the switches.
-	Copies, Switches float64
+	CopiesPerSecond, SwitchesPerSecond float64
 }
 
 const (
@@ -149,13 +149,13 @@
 }
 
 // Run plays a policy for a time.
-func Run(policy Policy, site Site, seed uint64, length time.Duration) Result {
+func Run(policy Policy, site Deployment, seed uint64, length time.Duration) Result {
 	shape, fixed, slow := site.Shape, site.Config.Fixed, site.Config.CopySlow
 	w := &world{
-		policy: policy, shape: shape, demand: newDemand(shape, site.Popularity, rand.New(rand.NewPCG(seed, 1))), current: group.RoundRobin(shape),
-		seen: make([]float64, shape.Layers*shape.Experts), noise: rand.New(rand.NewPCG(seed, 2)), orders: site.Orders,
+		policy: policy, shape: shape, demand: newDemand(shape, site.PopularityExponent, rand.New(rand.NewPCG(seed, 1))), current: group.RoundRobin(shape),
+		seen: make([]float64, shape.Layers*shape.Experts), noise: rand.New(rand.NewPCG(seed, 2)), orders: site.CoordinationTime,
 	}
-	w.unit, w.pause = time.Duration(site.Filled*float64(site.Pause)/(fixed+1)), site.Pause
+	w.unit, w.pause = time.Duration(site.BalancedPassShare*float64(site.MaxPause)/(fixed+1)), site.MaxPause
 	if policy.Config != nil {
 		w.follower = balance.NewFollower(*policy.Config)
 	}
@@ -175,23 +175,23 @@
 		if w.switchEnds > 0 {
 			step *= 1 + slow
 		}
-		r.Step += step
+		r.StepTime += step
 		pass := time.Duration(step * (fixed + 1) * float64(w.unit))
-		if pass > site.Pause {
-			r.Beyond++
+		if pass > site.MaxPause {
+			r.OverPauseShare++
 		}
 		w.passed += float64(tick) / float64(max(pass, tick))
 		if skew > lateSkew {
-			r.Late++
+			r.LateShare++
 		}
 		steps++
 	}
-	r.Step /= float64(steps)
+	r.StepTime /= float64(steps)
 	r.Skew /= float64(steps)
-	r.Late /= float64(steps)
-	r.Beyond /= float64(steps)
-	r.Copies = float64(w.copies) / length.Seconds()
-	r.Switches = float64(w.counted) / length.Seconds()
+	r.LateShare /= float64(steps)
+	r.OverPauseShare /= float64(steps)
+	r.CopiesPerSecond = float64(w.copies) / length.Seconds()
+	r.SwitchesPerSecond = float64(w.counted) / length.Seconds()
 	return r
 }
 
@@ -205,10 +205,10 @@
 		w.current, w.switchEnds = w.next, 0
 	}
 	due := now%w.policy.Interval == 0 && now > 0
-	if !due || w.policy.Blind && w.switchEnds > 0 {
+	if !due || w.policy.SkipDuringSwitch && w.switchEnds > 0 {
 		return
 	}
-	if w.policy.Knowing {
+	if w.policy.Oracle {
 		w.follower.Observe(load)
 	} else {
 		w.follower.Observe(w.noisy())
@@ -221,7 +221,7 @@
 		w.spell.Jumped(now)
 	}
 	w.follower.SetHold(w.spell.Left(now).Seconds())
-	if w.policy.Paced {
+	if w.policy.PauseAware {
 		w.pace.Counted(now, uint64(w.passed), w.follower.Relative(w.current))
 		w.follower.SetPace(w.pace.Unit(), w.pause)
 	}
@@ -240,7 +240,7 @@
 // count takes in what is counted now, which is known after the delay.
 func (w *world) count(load []float64) {
 	w.past = append(w.past, slices.Clone(load))
-	if len(w.past) <= int(w.policy.Delay/tick) {
+	if len(w.past) <= int(w.policy.ObservationDelay/tick) {
 		return
 	}
 	for i, tokens := range w.past[0] {
--- a/measure/logspage/events.go
+++ b/measure/logspage/events.go
@@ -19,10 +19,10 @@
 	Message, Level string
 	// Fields are the fields that the call names besides, in order of the alphabet.
 	// Open says that more may follow, which the call does not name.
-	Fields []string
-	Open   bool
+	Fields           []string
+	HasUnnamedFields bool
 	// At is the file and line of the call.
-	At string
+	Position string
 }
 
 // levels are the methods of slog.Logger that write a line, and what its level is.
@@ -74,7 +74,7 @@
 			return true
 		}
 		if event, ok := eventOf(call); ok {
-			event.At = local + ":" + strconv.Itoa(files.Position(call.Pos()).Line)
+			event.Position = local + ":" + strconv.Itoa(files.Position(call.Pos()).Line)
 			events = append(events, event)
 		}
 		return true
@@ -108,7 +108,7 @@
 		return Event{}, false
 	}
 	event.Message = message
-	event.Open = call.Ellipsis.IsValid() || event.Level == ""
+	event.HasUnnamedFields = call.Ellipsis.IsValid() || event.Level == ""
 	event.Fields = fields(args[1:])
 	return event, true
 }
--- a/measure/logspage/logspage_test.go
+++ b/measure/logspage/logspage_test.go
@@ -22,7 +22,7 @@
 	is.True(len(events) > 50)
 	text, err := os.ReadFile(page)
 	is.NoErr(err)
-	is.Equal(strings.Join(Differences(events, Listed(string(text))), "\n"), "")
+	is.Equal(strings.Join(Differences(events, ParsePage(string(text))), "\n"), "")
 }
 
 // Each kind of disagreement is reported.
@@ -33,9 +33,9 @@
 		{Message: "leading", Level: "INFO", Fields: []string{"fence"}},
 		{Message: "lost", Level: "WARN", Fields: []string{"error"}},
 		{Message: "new", Level: "INFO"},
-		{Message: "open", Level: "", Open: true},
+		{Message: "open", Level: "", HasUnnamedFields: true},
 	}
-	listed := Listed("| `leading` | `INFO` | control | `fence`, `term` | x |\n| `lost` | `INFO` | control | `error`, `peer` | x |\n" +
+	listed := ParsePage("| `leading` | `INFO` | control | `fence`, `term` | x |\n| `lost` | `INFO` | control | `error`, `peer` | x |\n" +
 		"| `gone` | `INFO` | control | | x |\n| `open` | `WARN`, `INFO` | entry | `a` | x |\n")
 	is.Equal(Differences(events, listed), []string{
 		`"lost" has the levels [WARN] in the code and [INFO] on the page`,
--- a/measure/logspage/page.go
+++ b/measure/logspage/page.go
@@ -8,7 +8,7 @@
 )
 
 // Entry is what the page says of one message.
-type Entry struct {
+type PageEntry struct {
 	// Levels are the levels at which it is logged, Fields what its lines may have
 	// besides the common fields.
 	Levels, Fields []string
@@ -19,14 +19,14 @@
 
 // Listed returns the entries of a page, by message. A row is | `message` | levels |
 // programs | fields | what it says |.
-func Listed(page string) map[string]Entry {
-	entries := map[string]Entry{}
+func ParsePage(page string) map[string]PageEntry {
+	entries := map[string]PageEntry{}
 	for line := range strings.SplitSeq(page, "\n") {
 		cells := strings.Split(strings.Trim(strings.TrimSpace(line), "|"), "|")
 		if len(cells) != columns || !strings.Contains(cells[0], "`") {
 			continue
 		}
-		entries[names(cells[0])[0]] = Entry{Levels: names(cells[1]), Fields: names(cells[3])}
+		entries[names(cells[0])[0]] = PageEntry{Levels: names(cells[1]), Fields: names(cells[3])}
 	}
 	return entries
 }
@@ -43,8 +43,8 @@
 
 // Declared adds up the events of each message. Open says which messages have
 // fields that their calls do not name.
-func Declared(events []Event) (entries map[string]Entry, open map[string]bool) {
-	entries, open = map[string]Entry{}, map[string]bool{}
+func MergeEvents(events []Event) (entries map[string]PageEntry, open map[string]bool) {
+	entries, open = map[string]PageEntry{}, map[string]bool{}
 	for _, event := range events {
 		entry := entries[event.Message]
 		if event.Level != "" {
@@ -54,7 +54,7 @@
 			entry.Fields = add(entry.Fields, field)
 		}
 		entries[event.Message] = entry
-		open[event.Message] = open[event.Message] || event.Open
+		open[event.Message] = open[event.Message] || event.HasUnnamedFields
 	}
 	return entries, open
 }
@@ -68,8 +68,8 @@
 }
 
 // Differences returns what the page and the code do not agree on, a line each.
-func Differences(events []Event, listed map[string]Entry) []string {
-	declared, open := Declared(events)
+func Differences(events []Event, listed map[string]PageEntry) []string {
+	declared, open := MergeEvents(events)
 	var found []string
 	for _, message := range slices.Sorted(maps.Keys(declared)) {
 		entry, ok := listed[message]
--- a/measure/metricspage/metricspage.go
+++ b/measure/metricspage/metricspage.go
@@ -37,7 +37,7 @@
 
 // Declared returns the metrics in the string literals of the Go files under
 // root. Tests, generated messages and this package are left out.
-func Declared(root string) (Metrics, error) {
+func ParseSource(root string) (Metrics, error) {
 	found := Metrics{}
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -95,7 +95,7 @@
 }
 
 // Listed returns the metrics that the tables of a page list.
-func Listed(page string) Metrics {
+func ParsePage(page string) Metrics {
 	found := Metrics{}
 	for line := range strings.Lines(page) {
 		if match := tableRow.FindStringSubmatch(line); match != nil {
--- a/measure/metricspage/metricspage_test.go
+++ b/measure/metricspage/metricspage_test.go
@@ -16,12 +16,12 @@
 // The page lists every metric of the source tree with its labels, and no other.
 func TestPageListsWhatTheCodeDeclares(t *testing.T) {
 	is := is.New(t)
-	declared, err := Declared(root)
+	declared, err := ParseSource(root)
 	is.NoErr(err)
 	is.True(len(declared) > 0)
 	text, err := os.ReadFile(page)
 	is.NoErr(err)
-	is.Equal(strings.Join(Differences(declared, Listed(string(text))), "\n"), "")
+	is.Equal(strings.Join(Differences(declared, ParsePage(string(text))), "\n"), "")
 }
 
 // Each kind of disagreement is reported.
@@ -31,7 +31,7 @@
 	declared.addLiteral("`lilackeel_a_total{kind=\"`")
 	declared.addLiteral(`"lilackeel_b"`)
 	declared.addLiteral(`"no lilackeel_c metric"`)
-	listed := Listed("| `lilackeel_a_total` | counter | x | `other` | y |\n| `lilackeel_d` | gauge | x | | y |\n")
+	listed := ParsePage("| `lilackeel_a_total` | counter | x | `other` | y |\n| `lilackeel_d` | gauge | x | | y |\n")
 	is.Equal(Differences(declared, listed), []string{
 		"lilackeel_a_total has the labels [kind] in the code and [other] on the page",
 		"lilackeel_b is in the code and not on the page",
--- a/measure/overhead/calls.go
+++ b/measure/overhead/calls.go
@@ -32,10 +32,10 @@
 }
 
 // Act makes a call of the service that may not be repeated.
-func (f *Fleet) Act() error { return f.ActAt(f.EntryURL) }
+func (f *Fleet) CallNonIdempotent() error { return f.CallNonIdempotentAt(f.EntryURL) }
 
 // ActAt is Act at base, the entry or the service itself.
-func (f *Fleet) ActAt(base string) error {
+func (f *Fleet) CallNonIdempotentAt(base string) error {
 	response, err := f.post(base+ServicePrefix+"/swap", []byte(`{"crew":"AB","duty":7}`))
 	if err != nil {
 		return err
@@ -44,12 +44,12 @@
 }
 
 // Read makes a call of the service that may be repeated.
-func (f *Fleet) Read(base string) error {
+func (f *Fleet) CallIdempotent(base string) error {
 	request, err := http.NewRequest(http.MethodGet, base+ServicePrefix+"/duties", nil)
 	if err != nil {
 		return err
 	}
-	request.Header.Set("Authorization", "Bearer "+Key)
+	request.Header.Set("Authorization", "Bearer "+WorkspaceKey)
 	response, err := client.Do(request)
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request.Header.Set("Authorization", "Bearer "+Key)
+	request.Header.Set("Authorization", "Bearer "+WorkspaceKey)
 	request.Header.Set("Content-Type", "application/json")
 	return client.Do(request)
 }
--- a/measure/overhead/fleet.go
+++ b/measure/overhead/fleet.go
@@ -32,7 +32,7 @@
 // Names in the fleet.
 const (
 	// Key is the workspace key of the fleet's only workspace.
-	Key = "measure-key"
+	WorkspaceKey = "measure-key"
 	// Model is the model that the engines serve.
 	Model = "draft"
 	// ServicePrefix is the path prefix of the plain service.
@@ -57,7 +57,7 @@
 	// stand-in behind the same agent, under names of their own.
 	Endpoints int
 	// Separate gives each engine a stand-in of its own.
-	Separate bool
+	SeparateEngines bool
 	// PollInterval is the time between the agent's looks at an engine; zero keeps
 	// the looks of all engines at what a host of a real fleet has.
 	PollInterval time.Duration
@@ -65,7 +65,7 @@
 	// logs; without it the control state is in memory and not replicated.
 	DataDir string
 	// Configure changes the entry's settings, if set.
-	Configure func(*entry.Config)
+	ConfigureEntry func(*entry.Config)
 }
 
 // Fleet is one entry, one agent, stand-in engines and one stand-in service in this
@@ -149,7 +149,7 @@
 // are to be separate.
 func (f *Fleet) startEngines(cfg FleetConfig) {
 	for i := range max(cfg.Endpoints, 1) {
-		if i == 0 || cfg.Separate {
+		if i == 0 || cfg.SeparateEngines {
 			f.Engine = standin.NewEngine(cfg.Engine)
 			f.EngineURL = f.serve(f.Engine)
 		}
@@ -211,7 +211,7 @@
 
 // configure accepts the intent that puts everything in service.
 func (f *Fleet) configure(cfg FleetConfig, control controlSide) error {
-	digest := sha256.Sum256([]byte(Key))
+	digest := sha256.Sum256([]byte(WorkspaceKey))
 	intent := &controlv1.Intent{
 		Id: "serve", Operator: "measure",
 		Workspaces: []*fleetv1.Workspace{{Name: workspaceName, Importance: 1, KeyDigests: []string{hex.EncodeToString(digest[:])}, MaxQueue: slots}},
@@ -240,8 +240,8 @@
 	if _, err := set.Parse(args, nil); err != nil {
 		return err
 	}
-	if cfg.Configure != nil {
-		cfg.Configure(&settings)
+	if cfg.ConfigureEntry != nil {
+		cfg.ConfigureEntry(&settings)
 	}
 	daemon, err := entry.New(settings, quiet())
 	if err != nil {
@@ -259,7 +259,7 @@
 func (f *Fleet) await() error {
 	var last error
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		last = errors.Join(f.Complete(f.EntryURL, 1), f.Act())
+		last = errors.Join(f.Complete(f.EntryURL, 1), f.CallNonIdempotent())
 		if last == nil {
 			return nil
 		}
--- a/measure/overhead/hold.go
+++ b/measure/overhead/hold.go
@@ -46,7 +46,7 @@
 			cancel()
 			return 0, err
 		}
-		request.Header.Set("Authorization", "Bearer "+Key)
+		request.Header.Set("Authorization", "Bearer "+WorkspaceKey)
 		group.Go(func() {
 			if response, err := client.Do(request); err == nil {
 				_ = drain(response)
--- a/measure/overhead/run.go
+++ b/measure/overhead/run.go
@@ -37,13 +37,13 @@
 	// service that may be repeated, Claimed one that may not.
 	Streamed, Read, Claimed Comparison
 	// Load is the cost of a request under load.
-	Load Cost
+	Load RequestCost
 	// Streams is what held streams cost.
 	Streams StreamCost
 	// Claims is the time of a claimed call by the number at once.
-	Claims []AtOnce
+	Claims []ClaimLatency
 	// Growth is the time of a model call by the number of endpoints.
-	Growth []Growth
+	Growth []EndpointScaling
 	// Token is the cost of one streamed token.
 	Token TokenCost `json:"token"`
 }
@@ -60,7 +60,7 @@
 
 // Cost is what one request costs under load, for the whole process (caller,
 // entry, agent and stand-in) and beyond a direct call.
-type Cost struct {
+type RequestCost struct {
 	// RequestsPerSecond is the rate of completed requests.
 	RequestsPerSecond float64
 	// CPUMicros is the processor time of a request in microseconds, and
@@ -85,7 +85,7 @@
 }
 
 // AtOnce is the time of a claimed call when so many are under way at once.
-type AtOnce struct {
+type ClaimLatency struct {
 	// Calls is the number of calls under way at once.
 	Calls int
 	// P50 and P99 are quantiles of the time of a call.
@@ -98,7 +98,7 @@
 }
 
 // Growth is the time of a model call with a number of endpoints.
-type Growth struct {
+type EndpointScaling struct {
 	// Endpoints is the number of endpoints in the fleet.
 	Endpoints int
 	// P50 and P99 are quantiles of the time of a call.
@@ -138,8 +138,8 @@
 		direct, path func() error
 	}{
 		{"streamed completion", &figures.Streamed, func() error { return f.Complete(f.EngineURL, 1) }, func() error { return f.Complete(f.EntryURL, 1) }},
-		{"service read", &figures.Read, func() error { return f.Read(f.ServiceURL) }, func() error { return f.Read(f.EntryURL) }},
-		{"claimed call (claims in memory)", &figures.Claimed, func() error { return f.ActAt(f.ServiceURL) }, f.Act},
+		{"service read", &figures.Read, func() error { return f.CallIdempotent(f.ServiceURL) }, func() error { return f.CallIdempotent(f.EntryURL) }},
+		{"claimed call (claims in memory)", &figures.Claimed, func() error { return f.CallNonIdempotentAt(f.ServiceURL) }, f.CallNonIdempotent},
 	} {
 		if err := each.result.take(each.direct, each.path); err != nil {
 			return err
@@ -200,7 +200,7 @@
 }
 
 // load makes many calls by several workers.
-func load(do func() error) (Cost, error) {
+func load(do func() error) (RequestCost, error) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	cpu, begun := processorTime(), time.Now()
@@ -214,7 +214,7 @@
 	})
 	took, used := time.Since(begun), processorTime()-cpu
 	runtime.ReadMemStats(&after)
-	return Cost{
+	return RequestCost{
 		RequestsPerSecond: loadCalls / took.Seconds(),
 		CPUMicros:         float64(used.Microseconds()) / loadCalls,
 		Allocations:       float64(after.Mallocs-before.Mallocs) / loadCalls,
--- a/measure/overhead/run_test.go
+++ b/measure/overhead/run_test.go
@@ -27,10 +27,10 @@
 	for name, do := range map[string]func() error{
 		"completion/direct": func() error { return f.Complete(f.EngineURL, 1) },
 		"completion/path":   func() error { return f.Complete(f.EntryURL, 1) },
-		"read/direct":       func() error { return f.Read(f.ServiceURL) },
-		"read/path":         func() error { return f.Read(f.EntryURL) },
-		"claimed/direct":    func() error { return f.ActAt(f.ServiceURL) },
-		"claimed/path":      f.Act,
+		"read/direct":       func() error { return f.CallIdempotent(f.ServiceURL) },
+		"read/path":         func() error { return f.CallIdempotent(f.EntryURL) },
+		"claimed/direct":    func() error { return f.CallNonIdempotentAt(f.ServiceURL) },
+		"claimed/path":      f.CallNonIdempotent,
 	} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
--- a/measure/overhead/scale.go
+++ b/measure/overhead/scale.go
@@ -30,7 +30,7 @@
 	}
 	defer f.Close()
 	for _, calls := range []int{1, 16, 128} {
-		result, err := callsAtOnce(calls, f.Act)
+		result, err := callsAtOnce(calls, f.CallNonIdempotent)
 		if err != nil {
 			return err
 		}
@@ -47,7 +47,7 @@
 }
 
 // callsAtOnce makes calls, so many at a time.
-func callsAtOnce(calls int, do func() error) (AtOnce, error) {
+func callsAtOnce(calls int, do func() error) (ClaimLatency, error) {
 	var mu sync.Mutex
 	var times []time.Duration
 	begun := time.Now()
@@ -66,9 +66,9 @@
 		return nil
 	})
 	if err != nil {
-		return AtOnce{}, err
+		return ClaimLatency{}, err
 	}
-	result := AtOnce{Calls: calls, RequestsPerSecond: float64(len(times)) / time.Since(begun).Seconds()}
+	result := ClaimLatency{Calls: calls, RequestsPerSecond: float64(len(times)) / time.Since(begun).Seconds()}
 	result.P50, result.P99 = quantiles(times)
 	return result, nil
 }
@@ -87,23 +87,23 @@
 }
 
 // withEndpoints measures streamed completions, one at a time.
-func withEndpoints(endpoints int) (Growth, error) {
+func withEndpoints(endpoints int) (EndpointScaling, error) {
 	f, err := StartFleet(FleetConfig{Engine: standin.EngineConfig{Slots: slots}, Endpoints: endpoints})
 	if err != nil {
-		return Growth{}, err
+		return EndpointScaling{}, err
 	}
 	defer f.Close()
 	times := make([]time.Duration, 0, pickSamples)
 	for i := range warmups + pickSamples {
 		begun := time.Now()
 		if err := f.Complete(f.EntryURL, 1); err != nil {
-			return Growth{}, err
+			return EndpointScaling{}, err
 		}
 		if i >= warmups {
 			times = append(times, time.Since(begun))
 		}
 	}
-	result := Growth{Endpoints: endpoints}
+	result := EndpointScaling{Endpoints: endpoints}
 	result.P50, result.P99 = quantiles(times)
 	return result, nil
 }
