--- a/measure/fairness/doc.go
+++ b/measure/fairness/doc.go
@@ -1,7 +1,8 @@
-// Package fairness measures how the admission of package workspace shares slots
-// among workspaces, against plain first-come-first-served, in virtual time.
+// Package fairness compares how the admission control of package workspace and a
+// plain first-come-first-served queue share slots among workspaces. It is a
+// discrete-event simulation in virtual time.
 //
-// The same seed gives the same arrivals, run times and figures. Run times do not
-// depend on how many requests run, so the figures show the effect of admission
-// alone, not that of batching in the engines.
+// The same seed gives the same arrivals, run times and results. Run times do not
+// depend on the number of running requests, so the results show the effect of
+// admission control alone, not that of batching in the engines.
 package fairness
--- a/measure/fairness/fairness_test.go
+++ b/measure/fairness/fairness_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-func TestTheSameSeedGivesTheSameFigures(t *testing.T) {
+func TestSameSeedGivesSameResults(t *testing.T) {
 	is := is.New(t)
-	for _, scenario := range []func(uint64) *table{overload, deadlines, returning} {
+	for _, scenario := range []func(uint64) *table{measureOverload, measureDeadlines, measureRetries} {
 		var first, second, other bytes.Buffer
 		is.NoErr(scenario(7).writeMarkdown(&first))
 		is.NoErr(scenario(7).writeMarkdown(&second))
@@ -21,7 +21,7 @@
 	}
 }
 
-// BenchmarkScenarios prints the figures of all scenarios from seed 1.
+// BenchmarkScenarios prints the results of all scenarios for seed 1.
 func BenchmarkScenarios(b *testing.B) {
 	for b.Loop() {
 		if err := Run(os.Stdout, 1, b.TempDir()); err != nil {
--- a/measure/fairness/policy.go
+++ b/measure/fairness/policy.go
@@ -8,58 +8,61 @@
 	"github.com/lilackeel/lilackeel/workspace"
 )
 
-// refusal is a request that a policy turned away.
+// refusal is a request refused by a policy.
 type refusal struct {
 	id         string
 	retryAfter time.Duration
 }
 
-// policy decides which requests run.
+// policy is an admission policy: it decides when each request starts or is refused.
 type policy interface {
-	// arrive offers a request; it starts, waits or is refused.
+	// arrive submits a request, which is admitted, queued or refused. For a
+	// refusal it also returns the delay suggested before a retry.
 	arrive(now time.Duration, r workspace.Request) (workspace.Decision, time.Duration)
-	// done ends a request and returns those that start.
-	done(now time.Duration, id string) []string
-	// tick returns what became due by now.
+	// complete releases the slot of a request and returns the IDs of the requests
+	// that start as a result.
+	complete(now time.Duration, id string) []string
+	// tick returns the IDs of requests that start and the requests that are
+	// refused because of timers that have expired by now.
 	tick(now time.Duration) ([]string, []refusal)
-	// wake returns when tick has something to do.
-	wake(now time.Duration) (time.Duration, bool)
+	// nextWake returns when tick must be called next; false if no timer is set.
+	nextWake(now time.Duration) (time.Duration, bool)
 }
 
-// admission is the policy under test.
-type admission struct{ *workspace.Admission }
+// admissionPolicy adapts workspace.Admission, the implementation under test.
+type admissionPolicy struct{ *workspace.Admission }
 
-func newAdmission(config workspace.Config, slots int, limits map[string]workspace.Limits) policy {
+func newAdmissionPolicy(config workspace.Config, slots int, limits map[string]workspace.Limits) policy {
 	a := workspace.NewAdmission(config)
 	a.Configure(0, limits)
 	a.SetCapacity(0, slots)
-	return admission{a}
+	return admissionPolicy{a}
 }
 
-func (a admission) arrive(now time.Duration, r workspace.Request) (workspace.Decision, time.Duration) {
-	verdict, err := a.Arrive(now, r)
+func (a admissionPolicy) arrive(now time.Duration, r workspace.Request) (workspace.Decision, time.Duration) {
+	decision, err := a.Arrive(now, r)
 	if err != nil {
-		return verdict, fault.As(err).RetryAfter
+		return decision, fault.As(err).RetryAfter
 	}
-	return verdict, 0
+	return decision, 0
 }
 
-func (a admission) done(now time.Duration, id string) []string {
-	return granted(a.Done(now, id))
+func (a admissionPolicy) complete(now time.Duration, id string) []string {
+	return grantedIDs(a.Done(now, id))
 }
 
-func (a admission) tick(now time.Duration) ([]string, []refusal) {
+func (a admissionPolicy) tick(now time.Duration) ([]string, []refusal) {
 	grants, refusals := a.Tick(now)
 	refused := make([]refusal, len(refusals))
-	for i, each := range refusals {
-		refused[i] = refusal{each.ID, each.Fault.RetryAfter}
+	for i, item := range refusals {
+		refused[i] = refusal{item.ID, item.Fault.RetryAfter}
 	}
-	return granted(grants), refused
+	return grantedIDs(grants), refused
 }
 
-func (a admission) wake(now time.Duration) (time.Duration, bool) { return a.NextWake(now) }
+func (a admissionPolicy) nextWake(now time.Duration) (time.Duration, bool) { return a.NextWake(now) }
 
-func granted(grants []workspace.Grant) []string {
+func grantedIDs(grants []workspace.Grant) []string {
 	ids := make([]string, len(grants))
 	for i, grant := range grants {
 		ids[i] = grant.ID
@@ -67,30 +70,31 @@
 	return ids
 }
 
-// waiting is a request in the queue of firstCome.
-type waiting struct {
+// queuedRequest is a request in the queue of fifoPolicy.
+type queuedRequest struct {
 	id      string
 	expires time.Duration
 }
 
-// firstCome is one bounded first-come-first-served queue for all workspaces. A
-// request that has waited for maxWait or past its deadline leaves it.
-type firstCome struct {
-	free     int
-	queue    []waiting
-	maxQueue int
-	maxWait  time.Duration
-	// earliest is no later than the first expiry in the queue.
-	earliest time.Duration
+// fifoPolicy is the baseline: one bounded first-come-first-served queue for all
+// workspaces. A request is refused once it has waited for maxWait or its deadline
+// has passed.
+type fifoPolicy struct {
+	freeSlots int
+	queue     []queuedRequest
+	maxQueue  int
+	maxWait   time.Duration
+	// earliestExpiry is a lower bound of the expiry times in the queue.
+	earliestExpiry time.Duration
 }
 
-func newFirstCome(slots, maxQueue int, maxWait time.Duration) policy {
-	return &firstCome{free: slots, maxQueue: maxQueue, maxWait: maxWait}
+func newFIFOPolicy(slots, maxQueue int, maxWait time.Duration) policy {
+	return &fifoPolicy{freeSlots: slots, maxQueue: maxQueue, maxWait: maxWait}
 }
 
-func (f *firstCome) arrive(now time.Duration, r workspace.Request) (workspace.Decision, time.Duration) {
-	if f.free > 0 {
-		f.free--
+func (f *fifoPolicy) arrive(now time.Duration, r workspace.Request) (workspace.Decision, time.Duration) {
+	if f.freeSlots > 0 {
+		f.freeSlots--
 		return workspace.Admitted, 0
 	}
 	if len(f.queue) >= f.maxQueue {
@@ -100,17 +104,17 @@
 	if r.Deadline > 0 {
 		expires = min(expires, r.Deadline)
 	}
-	if len(f.queue) == 0 || expires < f.earliest {
-		f.earliest = expires
+	if len(f.queue) == 0 || expires < f.earliestExpiry {
+		f.earliestExpiry = expires
 	}
-	f.queue = append(f.queue, waiting{r.ID, expires})
+	f.queue = append(f.queue, queuedRequest{r.ID, expires})
 	return workspace.Queued, 0
 }
 
-// done gives the slot to the first in the queue.
-func (f *firstCome) done(time.Duration, string) []string {
+// complete passes the slot to the request at the head of the queue.
+func (f *fifoPolicy) complete(time.Duration, string) []string {
 	if len(f.queue) == 0 {
-		f.free++
+		f.freeSlots++
 		return nil
 	}
 	first := f.queue[0]
@@ -118,24 +122,24 @@
 	return []string{first.id}
 }
 
-func (f *firstCome) tick(now time.Duration) (started []string, refused []refusal) {
-	if len(f.queue) == 0 || f.earliest > now {
+func (f *fifoPolicy) tick(now time.Duration) (started []string, refused []refusal) {
+	if len(f.queue) == 0 || f.earliestExpiry > now {
 		return nil, nil
 	}
-	kept := f.queue[:0]
-	f.earliest = math.MaxInt64
-	for _, each := range f.queue {
-		if each.expires <= now {
-			refused = append(refused, refusal{each.id, time.Second})
+	remaining := f.queue[:0]
+	f.earliestExpiry = math.MaxInt64
+	for _, queued := range f.queue {
+		if queued.expires <= now {
+			refused = append(refused, refusal{queued.id, time.Second})
 			continue
 		}
-		f.earliest = min(f.earliest, each.expires)
-		kept = append(kept, each)
+		f.earliestExpiry = min(f.earliestExpiry, queued.expires)
+		remaining = append(remaining, queued)
 	}
-	f.queue = kept
+	f.queue = remaining
 	return nil, refused
 }
 
-func (f *firstCome) wake(time.Duration) (time.Duration, bool) {
-	return f.earliest, len(f.queue) > 0
+func (f *fifoPolicy) nextWake(time.Duration) (time.Duration, bool) {
+	return f.earliestExpiry, len(f.queue) > 0
 }
--- a/measure/fairness/report.go
+++ b/measure/fairness/report.go
@@ -19,7 +19,8 @@
 	rows    [][]string
 }
 
-// add appends a row; numbers are rounded to three digits.
+// add appends a row; floating-point numbers are rounded to three significant
+// digits.
 func (t *table) add(cells ...any) {
 	row := make([]string, len(cells))
 	for i, cell := range cells {
@@ -31,7 +32,7 @@
 	t.rows = append(t.rows, row)
 }
 
-// writeMarkdown prints the table for reading.
+// writeMarkdown writes the table to w in Markdown.
 func (t *table) writeMarkdown(w io.Writer) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "\n### %s\n\n", t.title)
@@ -44,7 +45,7 @@
 	return trace.Wrap(err)
 }
 
-// writeCSV stores the table as a file of dir.
+// writeCSV writes the table to a CSV file in dir.
 func (t *table) writeCSV(dir string) error {
 	file, err := os.Create(filepath.Join(dir, t.name+".csv"))
 	if err != nil {
--- a/measure/fairness/run.go
+++ b/measure/fairness/run.go
@@ -11,38 +11,39 @@
 	"github.com/lilackeel/lilackeel/workspace"
 )
 
-// The system measured: one entry's share of a pool.
+// Configuration of the simulated system: one entry's share of a pool.
 const (
 	slots = 128
-	// fewSlots is the share of a small pool.
-	fewSlots = 32
-	maxQueue = 1024
-	maxWait  = 10 * time.Second
-	// seeds is how many runs with different seeds each figure is drawn from.
+	// smallPoolSlots is one entry's share of a small pool.
+	smallPoolSlots = 32
+	maxQueue       = 1024
+	maxWait        = 10 * time.Second
+	// seeds is the number of runs with different seeds that each result of the
+	// flood and reclaim scenarios is computed from.
 	seeds = 10
 )
 
-// dirMode is the permission of the folder of results.
+// dirMode is the permission of the output directory.
 const dirMode = 0o755
 
-// contender is a policy by name.
-type contender struct {
-	name string
-	make func(slots int, limits map[string]workspace.Limits) policy
+// namedPolicy is a constructor of a policy and the name it is reported under.
+type namedPolicy struct {
+	name      string
+	newPolicy func(slots int, limits map[string]workspace.Limits) policy
 }
 
-// contenders are compared in every scenario.
-var contenders = []contender{
+// policies are compared in every scenario.
+var policies = []namedPolicy{
 	{"lilackeel", func(slots int, limits map[string]workspace.Limits) policy {
-		return newAdmission(workspace.Config{MaxQueued: maxQueue, MaxWait: maxWait}, slots, limits)
+		return newAdmissionPolicy(workspace.Config{MaxQueued: maxQueue, MaxWait: maxWait}, slots, limits)
 	}},
 	{"first come, first served", func(slots int, _ map[string]workspace.Limits) policy {
-		return newFirstCome(slots, maxQueue, maxWait)
+		return newFIFOPolicy(slots, maxQueue, maxWait)
 	}},
 }
 
-// Run measures all scenarios, prints them as Markdown to w and stores each as a
-// CSV file in outDir. The same seed gives the same figures.
+// Run simulates all scenarios, writes the results to w as Markdown and stores
+// each table as a CSV file in outDir. The results depend only on the seed.
 func Run(w io.Writer, seed uint64, outDir string) error {
 	if err := os.MkdirAll(outDir, dirMode); err != nil {
 		return trace.Wrap(err)
@@ -50,7 +51,7 @@
 	if _, err := fmt.Fprintf(w, "Fairness: %d slots, %d runs from seed %d\n", slots, seeds, seed); err != nil {
 		return trace.Wrap(err)
 	}
-	for _, scenario := range []func(uint64) *table{flood, reclaim, overload, deadlines, returning} {
+	for _, scenario := range []func(uint64) *table{measureFlood, measureReclaim, measureOverload, measureDeadlines, measureRetries} {
 		result := scenario(seed)
 		if err := result.writeMarkdown(w); err != nil {
 			return err
--- a/measure/fairness/scenario.go
+++ b/measure/fairness/scenario.go
@@ -8,128 +8,131 @@
 	"github.com/lilackeel/lilackeel/workspace"
 )
 
-// branches is the number of workspaces with ordinary traffic.
-const branches = 9
+// regularWorkspaces is the number of workspaces that send a steady load.
+const regularWorkspaces = 9
 
-// floodCase is one variant of the flood.
-type floodCase struct {
+// floodVariant is one configuration of the flood scenario.
+type floodVariant struct {
 	name string
-	// slots is the capacity.
+	// slots is the number of requests that can run at once.
 	slots int
-	// guaranteed is the guaranteed share of each of the others.
+	// guaranteed is the guaranteed share of each regular workspace.
 	guaranteed float64
-	// hold is the mean run time of the flooding workspace.
-	hold time.Duration
+	// meanRunTime is the mean run time of the flooding workspace's requests.
+	meanRunTime time.Duration
 }
 
-// When the flood begins and ends.
+// The flood lasts from floodBegin to floodEnd.
 const (
 	floodBegin = 60 * time.Second
 	floodEnd   = 120 * time.Second
 )
 
-// flood measures what a flood by one workspace does to the latency of nine
-// others, whose own load takes half of the slots.
-func flood(seed uint64) *table {
+// measureFlood measures how a flood from one workspace affects the latency of
+// nine others, whose combined load occupies half of the slots.
+func measureFlood(seed uint64) *table {
 	result := &table{
 		name:  "flood",
 		title: "One workspace floods at four times the capacity; latency of the nine others",
 		columns: []string{"policy", "variant", "slots", "p99 without flood, s", "p99 in flood, s",
 			"p99 ratio, median run", "p99 ratio, worst run", "others refused", "slots in use in flood"},
 	}
-	for _, variant := range []floodCase{
+	for _, variant := range []floodVariant{
 		{"no guarantees", slots, 0, time.Second},
 		{"guaranteed 8% each", slots, 0.08, time.Second},
 		{"no guarantees, flood of 5 s runs", slots, 0, 5 * time.Second},
 		{"guaranteed 8% each, flood of 5 s runs", slots, 0.08, 5 * time.Second},
-		{"no guarantees", fewSlots, 0, time.Second},
-		{"guaranteed 8% each", fewSlots, 0.08, time.Second},
+		{"no guarantees", smallPoolSlots, 0, time.Second},
+		{"guaranteed 8% each", smallPoolSlots, 0.08, time.Second},
 	} {
-		for _, c := range contenders {
-			result.add(append([]any{c.name, variant.name, variant.slots}, variant.measure(seed, c)...)...)
+		for _, p := range policies {
+			result.add(append([]any{p.name, variant.name, variant.slots}, variant.measure(seed, p)...)...)
 		}
 	}
 	return result
 }
 
-// measure runs the variant with each seed, with and without the flood.
-func (v floodCase) measure(seed uint64, c contender) []any {
+// measure simulates the variant with and without the flood for each seed and
+// returns the cells of its table row.
+func (v floodVariant) measure(seed uint64, p namedPolicy) []any {
 	capacity := float64(v.slots)
 	limits := make(map[string]workspace.Limits)
-	streams := make([]stream, branches, branches+1)
-	for i := range streams {
+	workloads := make([]workload, regularWorkspaces, regularWorkspaces+1)
+	for i := range workloads {
 		name := fmt.Sprint("branch-", i)
 		limits[name] = workspace.Limits{GuaranteedShare: v.guaranteed}
-		streams[i] = stream{workspace: name, rate: capacity / 2 / branches, end: floodEnd + time.Minute, hold: time.Second}
+		workloads[i] = workload{workspace: name, rate: capacity / 2 / regularWorkspaces, end: floodEnd + time.Minute, meanRunTime: time.Second}
 	}
-	flooded := append(streams, stream{
-		workspace: "flooder", rate: 4 * capacity / v.hold.Seconds(), begin: floodBegin, end: floodEnd, hold: v.hold,
+	withFlood := append(workloads, workload{
+		workspace: "flooder", rate: 4 * capacity / v.meanRunTime.Seconds(), begin: floodBegin, end: floodEnd, meanRunTime: v.meanRunTime,
 	})
 	others := func(r *record) bool {
 		return r.workspace != "flooder" && r.arrived >= floodBegin && r.arrived < floodEnd
 	}
-	var without, with, ratios, refused, used []float64
+	var baselineP99s, floodP99s, ratios, refused, slotsInUse []float64
 	for run := range uint64(seeds) {
-		baseline := simulate(c.make(v.slots, limits), arrivals(seed+run, streams), nil)
-		disturbed := simulate(c.make(v.slots, limits), arrivals(seed+run, flooded), nil)
-		before := quantile(latencies(baseline.records, others), 0.99)
-		after := quantile(latencies(disturbed.records, others), 0.99)
-		without = append(without, before)
-		with = append(with, after)
-		ratios = append(ratios, after/before)
-		refused = append(refused, share(disturbed.records, others, func(r *record) bool { return !r.ran }))
-		used = append(used, slotTime(disturbed.records, floodBegin, floodEnd, everyone)/(capacity*(floodEnd-floodBegin).Seconds()))
+		baseline := simulate(p.newPolicy(v.slots, limits), generateArrivals(seed+run, workloads), nil)
+		flooded := simulate(p.newPolicy(v.slots, limits), generateArrivals(seed+run, withFlood), nil)
+		baselineP99 := quantile(latencies(baseline.records, others), 0.99)
+		floodP99 := quantile(latencies(flooded.records, others), 0.99)
+		baselineP99s = append(baselineP99s, baselineP99)
+		floodP99s = append(floodP99s, floodP99)
+		ratios = append(ratios, floodP99/baselineP99)
+		refused = append(refused, fraction(flooded.records, others, func(r *record) bool { return !r.ran }))
+		slotsInUse = append(slotsInUse, slotSeconds(flooded.records, floodBegin, floodEnd, allRequests)/(capacity*(floodEnd-floodBegin).Seconds()))
 	}
 	return []any{
-		quantile(without, 0.5), quantile(with, 0.5),
+		quantile(baselineP99s, 0.5), quantile(floodP99s, 0.5),
 		quantile(ratios, 0.5), quantile(ratios, 1),
-		quantile(refused, 0.5), quantile(used, 0.5),
+		quantile(refused, 0.5), quantile(slotsInUse, 0.5),
 	}
 }
 
-// reclaim measures how soon a workspace gets its guaranteed share back after
-// another one has borrowed it, for several run times of the borrower.
-func reclaim(seed uint64) *table {
+// measureReclaim measures how long a workspace takes to regain its guaranteed
+// share from a workspace that has borrowed it, for several run times of the
+// borrower's requests.
+func measureReclaim(seed uint64) *table {
 	const (
-		guaranteed = 0.4
-		back       = 60 * time.Second
-		settled    = 30 * time.Second
+		guaranteed  = 0.4
+		returnTime  = 60 * time.Second
+		measureFrom = 30 * time.Second
 	)
 	result := &table{
 		name:  "reclaim",
-		title: "A workspace with 40% guaranteed returns while another one has borrowed its slots",
+		title: "A workspace with a 40% guarantee resumes sending while another one has borrowed its slots",
 		columns: []string{"policy", "mean run time of the borrower, s", "slots in use before",
 			"time to the guaranteed share, median run, s", "worst run, s"},
 	}
 	limits := map[string]workspace.Limits{"owner": {GuaranteedShare: guaranteed}}
-	always := contender{"lilackeel, lending without limit", func(slots int, limits map[string]workspace.Limits) policy {
-		return newAdmission(workspace.Config{MaxQueued: maxQueue, MaxWait: maxWait, ReclaimWithin: -1}, slots, limits)
+	unlimitedLending := namedPolicy{"lilackeel, lending without limit", func(slots int, limits map[string]workspace.Limits) policy {
+		return newAdmissionPolicy(workspace.Config{MaxQueued: maxQueue, MaxWait: maxWait, ReclaimWithin: -1}, slots, limits)
 	}}
-	for _, hold := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second} {
-		streams := []stream{
-			{workspace: "borrower", rate: 4 * slots / hold.Seconds(), end: back + 10*time.Second, hold: hold},
-			{workspace: "owner", burst: slots, begin: back, hold: time.Minute},
+	for _, runTime := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second} {
+		workloads := []workload{
+			{workspace: "borrower", rate: 4 * slots / runTime.Seconds(), end: returnTime + 10*time.Second, meanRunTime: runTime},
+			{workspace: "owner", burst: slots, begin: returnTime, meanRunTime: time.Minute},
 		}
-		for _, c := range []contender{contenders[0], always, contenders[1]} {
-			var used, regained []float64
+		for _, p := range []namedPolicy{policies[0], unlimitedLending, policies[1]} {
+			var slotsInUse, reclaimTimes []float64
 			for run := range uint64(seeds) {
-				s := simulate(c.make(slots, limits), arrivals(seed+run, streams), nil)
-				used = append(used, slotTime(s.records, settled, back, everyone)/(slots*(back-settled).Seconds()))
-				regained = append(regained, timeToHold(s.records, back, int(math.Floor(guaranteed*slots))))
+				s := simulate(p.newPolicy(slots, limits), generateArrivals(seed+run, workloads), nil)
+				slotsInUse = append(slotsInUse, slotSeconds(s.records, measureFrom, returnTime, allRequests)/(slots*(returnTime-measureFrom).Seconds()))
+				reclaimTimes = append(reclaimTimes, timeToReclaim(s.records, returnTime, int(math.Floor(guaranteed*slots))))
 			}
-			result.add(c.name, hold.Seconds(), quantile(used, 0.5), quantile(regained, 0.5), quantile(regained, 1))
+			result.add(p.name, runTime.Seconds(), quantile(slotsInUse, 0.5), quantile(reclaimTimes, 0.5), quantile(reclaimTimes, 1))
 		}
 	}
 	return result
 }
 
-// timeToHold returns the time from back until the owner holds n slots at once.
-// Its requests outlast that time, so the n-th start is when it does.
-func timeToHold(records []*record, back time.Duration, n int) float64 {
+// timeToReclaim returns the seconds from returnTime until the owner holds n slots
+// at once. None of its requests ends before then, so that is when its n-th request
+// starts; +Inf if it never does.
+func timeToReclaim(records []*record, returnTime time.Duration, n int) float64 {
 	var starts []float64
 	for _, r := range records {
 		if r.workspace == "owner" && r.ran {
-			starts = append(starts, (r.started - back).Seconds())
+			starts = append(starts, (r.started - returnTime).Seconds())
 		}
 	}
 	if len(starts) < n {
@@ -138,13 +141,13 @@
 	return quantile(starts, float64(n)/float64(len(starts)))
 }
 
-// overload measures who is served when three workspaces of different importance
-// each offer as much as the whole capacity.
-func overload(seed uint64) *table {
-	const settled, end = 30 * time.Second, 120 * time.Second
+// measureOverload measures how slots are divided among three workspaces of
+// different importance that each offer enough load for the whole capacity.
+func measureOverload(seed uint64) *table {
+	const measureFrom, end = 30 * time.Second, 120 * time.Second
 	result := &table{
 		name:  "overload",
-		title: "Three workspaces, each offering the whole capacity",
+		title: "Three workspaces, each offering load for the whole capacity",
 		columns: []string{"policy", "importance", "share of the slots", "refused",
 			"p50 of the answered, s", "p99 of the answered, s", "refused at once, of all refused"},
 	}
@@ -154,29 +157,29 @@
 		limits[name] = workspace.Limits{Importance: weight}
 	}
 	names := []string{"one", "two", "four"}
-	var streams []stream
+	var workloads []workload
 	for _, name := range names {
-		streams = append(streams, stream{workspace: name, rate: slots, end: end, hold: time.Second})
+		workloads = append(workloads, workload{workspace: name, rate: slots, end: end, meanRunTime: time.Second})
 	}
-	for _, c := range contenders {
-		s := simulate(c.make(slots, limits), arrivals(seed, streams), nil)
-		total := slotTime(s.records, settled, end, everyone)
+	for _, p := range policies {
+		s := simulate(p.newPolicy(slots, limits), generateArrivals(seed, workloads), nil)
+		total := slotSeconds(s.records, measureFrom, end, allRequests)
 		for _, name := range names {
-			answered := latencies(s.records, func(r *record) bool { return r.workspace == name && r.ran && r.arrived > settled })
+			answered := latencies(s.records, func(r *record) bool { return r.workspace == name && r.ran && r.arrived > measureFrom })
 			refused := func(r *record) bool { return r.workspace == name && r.wasRefused }
-			result.add(c.name, importance[name],
-				slotTime(s.records, settled, end, of(name))/total,
-				share(s.records, of(name), refused),
+			result.add(p.name, importance[name],
+				slotSeconds(s.records, measureFrom, end, inWorkspace(name))/total,
+				fraction(s.records, inWorkspace(name), refused),
 				quantile(answered, 0.5), quantile(answered, 0.99),
-				share(s.records, refused, func(r *record) bool { return r.refused == r.arrived }))
+				fraction(s.records, refused, func(r *record) bool { return r.refusedAt == r.arrived }))
 		}
 	}
 	return result
 }
 
-// deadlines measures what becomes of requests with deadlines at one and a half
-// times the capacity.
-func deadlines(seed uint64) *table {
+// measureDeadlines measures the outcome of requests with deadlines at 1.5 times
+// the capacity.
+func measureDeadlines(seed uint64) *table {
 	const end = 120 * time.Second
 	result := &table{
 		name:  "deadlines",
@@ -184,55 +187,55 @@
 		columns: []string{"policy", "answered in time, of what the slots allow", "started but late, of the started",
 			"refused at once, of all refused", "p99 held before a refusal, s"},
 	}
-	streams := []stream{{workspace: "branch", rate: 1.5 * slots, end: end, hold: time.Second, least: 2 * time.Second, most: 6 * time.Second}}
+	workloads := []workload{{workspace: "branch", rate: 1.5 * slots, end: end, meanRunTime: time.Second, minDeadline: 2 * time.Second, maxDeadline: 6 * time.Second}}
 	started := func(r *record) bool { return r.ran }
 	refused := func(r *record) bool { return r.wasRefused }
-	for _, c := range contenders {
-		s := simulate(c.make(slots, nil), arrivals(seed, streams), nil)
-		var held []float64
+	for _, p := range policies {
+		s := simulate(p.newPolicy(slots, nil), generateArrivals(seed, workloads), nil)
+		var waits []float64
 		for _, r := range s.records {
 			if r.wasRefused {
-				held = append(held, (r.refused - r.arrived).Seconds())
+				waits = append(waits, (r.refusedAt - r.arrived).Seconds())
 			}
 		}
-		result.add(c.name,
-			share(s.records, everyone, (*record).inTime)*1.5,
-			share(s.records, started, func(r *record) bool { return !r.inTime() }),
-			share(s.records, refused, func(r *record) bool { return r.refused == r.arrived }),
-			quantile(held, 0.99))
+		result.add(p.name,
+			fraction(s.records, allRequests, (*record).inTime)*1.5,
+			fraction(s.records, started, func(r *record) bool { return !r.inTime() }),
+			fraction(s.records, refused, func(r *record) bool { return r.refusedAt == r.arrived }),
+			quantile(waits, 0.99))
 	}
 	return result
 }
 
-// returning measures how callers fare who were refused in a peak and come back
-// once, when they were told to.
-func returning(seed uint64) *table {
+// measureRetries measures the success rate of callers that are refused during a
+// peak and retry once, after the suggested delay.
+func measureRetries(seed uint64) *table {
 	const peakEnd, end = 10 * time.Second, 90 * time.Second
 	result := &table{
 		name:    "returning",
-		title:   "A peak of three times the capacity for 10 s, then half; refused callers come back once, when told",
+		title:   "A peak of three times the capacity for 10 s, then half; refused callers retry once, after the suggested delay",
 		columns: []string{"policy", "refused on arrival or in the queue", "answered in time on coming back"},
 	}
-	streams := []stream{
-		{workspace: "branch", rate: 3 * slots, end: peakEnd, hold: time.Second, least: 2 * time.Second, most: 6 * time.Second},
-		{workspace: "branch", rate: slots / 2.0, begin: peakEnd, end: end, hold: time.Second, least: 2 * time.Second, most: 6 * time.Second},
+	workloads := []workload{
+		{workspace: "branch", rate: 3 * slots, end: peakEnd, meanRunTime: time.Second, minDeadline: 2 * time.Second, maxDeadline: 6 * time.Second},
+		{workspace: "branch", rate: slots / 2.0, begin: peakEnd, end: end, meanRunTime: time.Second, minDeadline: 2 * time.Second, maxDeadline: 6 * time.Second},
 	}
-	for _, c := range contenders {
-		first := arrivals(seed, streams)
-		returned := make(map[*record]bool)
-		s := simulate(c.make(slots, nil), first, func(s *simulation, r *record) {
-			if returned[r] || r.retryAfter == 0 {
+	for _, p := range policies {
+		initial := generateArrivals(seed, workloads)
+		retries := make(map[*record]bool)
+		s := simulate(p.newPolicy(slots, nil), initial, func(s *simulation, r *record) {
+			if retries[r] || r.retryAfter == 0 {
 				return
 			}
-			again := *r
-			again.wasRefused = false
-			again.arrived = r.refused + r.retryAfter
-			again.deadline = again.arrived + r.deadline - r.arrived
-			returned[&again] = true
-			s.add(&again)
+			retry := *r
+			retry.wasRefused = false
+			retry.arrived = r.refusedAt + r.retryAfter
+			retry.deadline = retry.arrived + r.deadline - r.arrived
+			retries[&retry] = true
+			s.schedule(&retry)
 		})
-		back := func(r *record) bool { return returned[r] }
-		result.add(c.name, float64(len(returned))/float64(len(first)), share(s.records, back, (*record).inTime))
+		isRetry := func(r *record) bool { return retries[r] }
+		result.add(p.name, float64(len(retries))/float64(len(initial)), fraction(s.records, isRetry, (*record).inTime))
 	}
 	return result
 }
--- a/measure/fairness/simulation.go
+++ b/measure/fairness/simulation.go
@@ -10,41 +10,43 @@
 	"github.com/lilackeel/lilackeel/workspace"
 )
 
-// stream is the traffic of one workspace.
-type stream struct {
+// workload is the traffic of one workspace.
+type workload struct {
 	workspace string
-	// rate is the mean number of arrivals a second, a Poisson process from begin
-	// to end.
+	// rate is the mean number of arrivals per second of a Poisson process that
+	// runs from begin to end.
 	rate       float64
 	begin, end time.Duration
-	// burst is a number of requests that arrive together at begin.
+	// burst is the number of requests that arrive together at begin.
 	burst int
-	// hold is the mean run time, spread log-normally.
-	hold time.Duration
-	// least and most bound the time from arrival to deadline, uniformly
-	// distributed; zero means no deadline.
-	least, most time.Duration
+	// meanRunTime is the mean of the log-normally distributed run times.
+	meanRunTime time.Duration
+	// minDeadline and maxDeadline bound the uniformly distributed time from
+	// arrival to deadline; a zero maxDeadline means no deadline.
+	minDeadline, maxDeadline time.Duration
 }
 
-// holdSpread is the standard deviation of the logarithm of run times: their
-// coefficient of variation is 0.66.
-const holdSpread = 0.6
+// runTimeSigma is the standard deviation of the logarithm of run times; it gives
+// them a coefficient of variation of 0.66.
+const runTimeSigma = 0.6
 
-// record is what became of one request.
+// record is one request and its outcome. All times are virtual times since the
+// start of the simulation, except the durations runTime and retryAfter.
 type record struct {
 	workspace  string
 	arrived    time.Duration
 	deadline   time.Duration
-	hold       time.Duration
+	runTime    time.Duration
 	started    time.Duration
 	ended      time.Duration
-	refused    time.Duration
+	refusedAt  time.Duration
 	retryAfter time.Duration
 	ran        bool
 	wasRefused bool
 }
 
-// latency is the time from arrival to answer; infinite for a refusal.
+// latency returns the seconds from arrival to answer, or +Inf if the request did
+// not run.
 func (r *record) latency() float64 {
 	if !r.ran {
 		return math.Inf(1)
@@ -52,67 +54,69 @@
 	return (r.ended - r.arrived).Seconds()
 }
 
-// inTime reports whether the request was answered by its deadline.
+// inTime reports whether the request completed by its deadline, if it has one.
 func (r *record) inTime() bool {
 	return r.ran && (r.deadline == 0 || r.ended <= r.deadline)
 }
 
-// arrivals draws the requests of all streams. Each stream has a random source of
-// its own, so that adding one leaves the others as they are.
-func arrivals(seed uint64, streams []stream) []*record {
+// generateArrivals returns the requests of all workloads. Each workload has its own
+// random source, so that adding one leaves the others unchanged.
+func generateArrivals(seed uint64, workloads []workload) []*record {
 	var records []*record
-	for i, s := range streams {
+	for i, w := range workloads {
 		random := rand.New(rand.NewPCG(seed, uint64(i)))
-		for range s.burst {
-			records = append(records, s.draw(random, s.begin))
+		for range w.burst {
+			records = append(records, w.newRecord(random, w.begin))
 		}
-		for at := s.begin; s.rate > 0; {
-			at += time.Duration(random.ExpFloat64() / s.rate * float64(time.Second))
-			if at >= s.end {
+		for at := w.begin; w.rate > 0; {
+			at += time.Duration(random.ExpFloat64() / w.rate * float64(time.Second))
+			if at >= w.end {
 				break
 			}
-			records = append(records, s.draw(random, at))
+			records = append(records, w.newRecord(random, at))
 		}
 	}
 	return records
 }
 
-// draw makes one request of the stream.
-func (s stream) draw(random *rand.Rand, at time.Duration) *record {
-	factor := math.Exp(holdSpread*random.NormFloat64() - holdSpread*holdSpread/2)
+// newRecord generates one request that arrives at the given time.
+func (w workload) newRecord(random *rand.Rand, at time.Duration) *record {
+	factor := math.Exp(runTimeSigma*random.NormFloat64() - runTimeSigma*runTimeSigma/2)
 	r := &record{
-		workspace: s.workspace,
+		workspace: w.workspace,
 		arrived:   at,
-		hold:      time.Duration(float64(s.hold) * factor),
+		runTime:   time.Duration(float64(w.meanRunTime) * factor),
 	}
-	if s.most > 0 {
-		r.deadline = at + s.least + time.Duration(random.Float64()*float64(s.most-s.least))
+	if w.maxDeadline > 0 {
+		r.deadline = at + w.minDeadline + time.Duration(random.Float64()*float64(w.maxDeadline-w.minDeadline))
 	}
 	return r
 }
 
-// event is an arrival or an end of a request.
+// event is the arrival or the completion of a request.
 type event struct {
 	// id is the index in simulation.records.
-	id   int
-	ends bool
+	id         int
+	completion bool
 }
 
-// simulation runs requests through a policy.
+// simulation is a discrete-event simulation of requests under a policy.
 type simulation struct {
 	policy  policy
 	records []*record
 	events  eventqueue.Queue[event]
 	now     time.Duration
-	// onRefusal, if set, is told of each refusal; it may add requests.
+	// onRefusal, if set, is called for each refusal; it may schedule further
+	// requests.
 	onRefusal func(s *simulation, r *record)
 }
 
-// simulate runs all requests to their end.
+// simulate processes events until none is left, and returns the simulation with
+// the outcome of every request.
 func simulate(p policy, records []*record, onRefusal func(*simulation, *record)) *simulation {
 	s := &simulation{policy: p, onRefusal: onRefusal}
 	for _, r := range records {
-		s.add(r)
+		s.schedule(r)
 	}
 	for {
 		at, ok := s.events.Next()
@@ -123,24 +127,24 @@
 	}
 }
 
-// add schedules the arrival of a request.
-func (s *simulation) add(r *record) {
+// schedule adds the arrival of a request to the event queue.
+func (s *simulation) schedule(r *record) {
 	s.records = append(s.records, r)
 	s.events.Add(r.arrived, event{id: len(s.records) - 1})
 }
 
-// step handles the next event, which is at the given time, or what the policy has
-// due before it.
+// step processes the next event, which is due at the given time, or an earlier
+// timer of the policy.
 func (s *simulation) step(at time.Duration) {
-	if wake, ok := s.policy.wake(s.now); ok && wake < at {
-		s.now = max(wake, s.now)
+	if due, ok := s.policy.nextWake(s.now); ok && due < at {
+		s.now = max(due, s.now)
 		s.tick()
 		return
 	}
 	var next event
 	s.now, next = s.events.Take()
-	if next.ends {
-		s.begin(s.policy.done(s.now, strconv.Itoa(next.id)))
+	if next.completion {
+		s.start(s.policy.complete(s.now, strconv.Itoa(next.id)))
 	} else {
 		s.arrive(next.id)
 	}
@@ -149,14 +153,14 @@
 
 func (s *simulation) arrive(id int) {
 	r := s.records[id]
-	verdict, retryAfter := s.policy.arrive(s.now, workspace.Request{
+	decision, retryAfter := s.policy.arrive(s.now, workspace.Request{
 		ID:        strconv.Itoa(id),
 		Workspace: r.workspace,
 		Deadline:  r.deadline,
 	})
-	switch verdict {
+	switch decision {
 	case workspace.Admitted:
-		s.begin([]string{strconv.Itoa(id)})
+		s.start([]string{strconv.Itoa(id)})
 	case workspace.Refused:
 		s.refuse(refusal{strconv.Itoa(id), retryAfter})
 	}
@@ -164,29 +168,29 @@
 
 func (s *simulation) tick() {
 	started, refused := s.policy.tick(s.now)
-	s.begin(started)
-	for _, each := range refused {
-		s.refuse(each)
+	s.start(started)
+	for _, item := range refused {
+		s.refuse(item)
 	}
 }
 
-func (s *simulation) begin(ids []string) {
+func (s *simulation) start(ids []string) {
 	for _, id := range ids {
 		index, _ := strconv.Atoi(id)
 		r := s.records[index]
 		r.ran = true
 		r.started = s.now
-		r.ended = s.now + r.hold
-		s.events.Add(r.ended, event{id: index, ends: true})
+		r.ended = s.now + r.runTime
+		s.events.Add(r.ended, event{id: index, completion: true})
 	}
 }
 
-func (s *simulation) refuse(each refusal) {
-	index, _ := strconv.Atoi(each.id)
+func (s *simulation) refuse(item refusal) {
+	index, _ := strconv.Atoi(item.id)
 	r := s.records[index]
 	r.wasRefused = true
-	r.refused = s.now
-	r.retryAfter = each.retryAfter
+	r.refusedAt = s.now
+	r.retryAfter = item.retryAfter
 	if s.onRefusal != nil {
 		s.onRefusal(s, r)
 	}
--- a/measure/fairness/statistics.go
+++ b/measure/fairness/statistics.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// quantile returns the q-quantile by nearest rank; NaN of nothing.
+// quantile returns the q-quantile by the nearest-rank method, or NaN if there are
+// no values.
 func quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return math.NaN()
@@ -17,48 +18,48 @@
 	return sorted[max(rank, 0)]
 }
 
-// latencies returns the latencies of the requests that keep selects.
-func latencies(records []*record, keep func(*record) bool) []float64 {
+// latencies returns the latencies of the selected requests.
+func latencies(records []*record, include func(*record) bool) []float64 {
 	var values []float64
 	for _, r := range records {
-		if keep(r) {
+		if include(r) {
 			values = append(values, r.latency())
 		}
 	}
 	return values
 }
 
-// share returns the part of the requests selected by of that is also selected by
-// part.
-func share(records []*record, of, part func(*record) bool) float64 {
+// fraction returns the fraction of the requests in population that are also in
+// subset.
+func fraction(records []*record, population, subset func(*record) bool) float64 {
 	all, matching := 0, 0
 	for _, r := range records {
-		if !of(r) {
+		if !population(r) {
 			continue
 		}
 		all++
-		if part(r) {
+		if subset(r) {
 			matching++
 		}
 	}
 	return float64(matching) / float64(all)
 }
 
-// slotTime returns the slot-seconds that the selected requests held between from
-// and to.
-func slotTime(records []*record, from, to time.Duration, keep func(*record) bool) float64 {
+// slotSeconds returns the total time that the selected requests held slots between
+// from and to, in seconds.
+func slotSeconds(records []*record, from, to time.Duration, include func(*record) bool) float64 {
 	total := 0.0
 	for _, r := range records {
-		if r.ran && keep(r) {
+		if r.ran && include(r) {
 			total += max(min(r.ended, to)-max(r.started, from), 0).Seconds()
 		}
 	}
 	return total
 }
 
-func everyone(*record) bool { return true }
+func allRequests(*record) bool { return true }
 
-// of selects the requests of one workspace.
-func of(name string) func(*record) bool {
+// inWorkspace returns a filter for the requests of one workspace.
+func inWorkspace(name string) func(*record) bool {
 	return func(r *record) bool { return r.workspace == name }
 }
