--- a/measure/fanout/announce.go
+++ b/measure/fanout/announce.go
@@ -19,25 +19,28 @@
 )
 
 const (
-	// heartbeat is the agents' interval between two announcements.
+	// heartbeat is the interval at which each agent renews its lease.
 	heartbeat = 500 * time.Millisecond
-	// announceTime is how long announcements are counted.
-	announceTime = 4 * time.Second
+	// announcementTime is the length of the measured window.
+	announcementTime = 4 * time.Second
 )
 
-// announcing is what renewals of leases cost.
-type announcing struct {
+// announcementCost is the cost of lease renewals for one number of agents.
+type announcementCost struct {
 	Agents int `json:"agents"`
-	// PerSecond is the number of announcements taken in a second.
+	// PerSecond is the number of announcements accepted per second.
 	PerSecond float64 `json:"announcements_per_second"`
-	// CPU is the processor time of one announcement, agent and leader together.
+	// CPU is the CPU time per announcement in microseconds, of agents and replicas
+	// together.
 	CPU float64 `json:"cpu_us_per_announcement"`
-	// Bytes is what one announcement and its answer take on the connection.
+	// Bytes is the number of bytes per announcement on the connection, request and
+	// response together.
 	Bytes float64 `json:"bytes_per_announcement"`
 }
 
-// countedPool returns connections whose bytes are counted.
-func countedPool(count *traffic) (*link.Pool, error) {
+// newCountingPool returns a connection pool that counts the bytes sent and
+// received on its connections.
+func newCountingPool(counter *byteCounter) (*link.Pool, error) {
 	options, err := link.DialOptions(link.Config{})
 	if err != nil {
 		return nil, err
@@ -45,100 +48,102 @@
 	var dialer net.Dialer
 	dial := func(ctx context.Context, addr string) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, "tcp", addr)
-		return countedConn{conn, count}, err
+		return countingConn{conn, counter}, err
 	}
 	return link.NewPool(append(options, grpc.WithContextDialer(dial))...), nil
 }
 
-func (p Plan) announcements(w io.Writer, all *figures) error {
-	fmt.Fprintf(w, "\nRenewals of leases by agents, one each %v, at the leader of %d replicas; processor time of both ends together.\n\n", heartbeat, replicas)
+func (p Plan) reportAnnouncements(w io.Writer, all *figures) error {
+	fmt.Fprintf(w, "\nLease renewals, one per agent every %v, sent to the leader of %d replicas; CPU time of agents and replicas together.\n\n", heartbeat, replicas)
 	fmt.Fprintln(w, "| agents | announcements/s | CPU µs per announcement | bytes per announcement |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- |")
 	for _, agents := range p.FleetSizes {
-		result, err := measureAnnouncing(agents)
+		result, err := measureAnnouncements(agents)
 		if err != nil {
 			return err
 		}
-		all.Announcing = append(all.Announcing, result)
+		all.Announcements = append(all.Announcements, result)
 		fmt.Fprintf(w, "| %d | %.0f | %.0f | %.0f |\n", agents, result.PerSecond, result.CPU, result.Bytes)
 	}
 	return nil
 }
 
-// measureAnnouncing measures one number of agents.
-func measureAnnouncing(agents int) (result announcing, err error) {
+// measureAnnouncements measures the cost of lease renewals by the given number of
+// agents.
+func measureAnnouncements(agents int) (result announcementCost, err error) {
 	dir, err := os.MkdirTemp("", "lilackeel-announce")
 	if err != nil {
-		return announcing{}, err
+		return announcementCost{}, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	c, err := startCluster(dir)
 	if err != nil {
-		return announcing{}, err
+		return announcementCost{}, err
 	}
 	defer c.stop()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	count := &traffic{}
-	pool, err := countedPool(count)
+	counter := &byteCounter{}
+	pool, err := newCountingPool(counter)
 	if err != nil {
-		return announcing{}, err
+		return announcementCost{}, err
 	}
 	defer func() { _ = pool.Close() }()
-	leader, err := c.join(ctx, pool, agents)
+	leader, err := c.registerAgents(ctx, pool, agents)
 	if err != nil {
-		return announcing{}, err
+		return announcementCost{}, err
 	}
-	return countRenewals(ctx, leader, agents, count), nil
+	return measureRenewals(ctx, leader, agents, counter), nil
 }
 
-// countRenewals lets every agent renew its lease, and sets the processor time of
-// that against the time of the same replicas without renewals.
-func countRenewals(ctx context.Context, leader controlv1.ControlClient, agents int, count *traffic) announcing {
+// measureRenewals measures the cost of all agents renewing their leases. The CPU
+// time that the same replicas use without renewals is subtracted.
+func measureRenewals(ctx context.Context, leader controlv1.ControlClient, agents int, counter *byteCounter) announcementCost {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	time.Sleep(settle)
-	first := used(count)
-	time.Sleep(announceTime)
-	rest := used(count)
-	var taken atomic.Int64
-	var renewing sync.WaitGroup
+	time.Sleep(settleTime)
+	idleStart := currentUsage(counter)
+	time.Sleep(announcementTime)
+	idleEnd := currentUsage(counter)
+	var accepted atomic.Int64
+	var group sync.WaitGroup
 	for i := range agents {
-		renewing.Go(func() { renew(ctx, leader, i, agents, &taken) })
+		group.Go(func() { renewLease(ctx, leader, i, agents, &accepted) })
 	}
-	time.Sleep(settle)
-	before, counted := used(count), taken.Load()
-	time.Sleep(announceTime)
-	after, total := used(count), taken.Load()
+	time.Sleep(settleTime)
+	start, acceptedBefore := currentUsage(counter), accepted.Load()
+	time.Sleep(announcementTime)
+	end, acceptedAfter := currentUsage(counter), accepted.Load()
 	cancel()
-	renewing.Wait()
-	seconds := after.at.Sub(before.at).Seconds()
-	idle := micros(rest.cpu-first.cpu) / rest.at.Sub(first.at).Seconds()
-	renewals := float64(total - counted)
-	return announcing{
+	group.Wait()
+	seconds := end.at.Sub(start.at).Seconds()
+	idleCPU := microseconds(idleEnd.cpu-idleStart.cpu) / idleEnd.at.Sub(idleStart.at).Seconds()
+	renewals := float64(acceptedAfter - acceptedBefore)
+	return announcementCost{
 		Agents:    agents,
 		PerSecond: renewals / seconds,
-		CPU:       (micros(after.cpu-before.cpu) - idle*seconds) / renewals,
-		Bytes:     float64(after.bytes-before.bytes) / renewals,
+		CPU:       (microseconds(end.cpu-start.cpu) - idleCPU*seconds) / renewals,
+		Bytes:     float64(end.bytes-start.bytes) / renewals,
 	}
 }
 
-// join announces every agent in full and returns a client of the leader.
-func (c *cluster) join(ctx context.Context, pool *link.Pool, agents int) (controlv1.ControlClient, error) {
-	var last error
-	for limit := time.Now().Add(clusterPeriod); time.Now().Before(limit); time.Sleep(50 * time.Millisecond) {
+// registerAgents sends the full announcement of every agent and returns a client
+// of the leader.
+func (c *cluster) registerAgents(ctx context.Context, pool *link.Pool, agents int) (controlv1.ControlClient, error) {
+	var lastErr error
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		for _, addr := range c.addrs {
 			conn, err := pool.Get(addr)
 			if err != nil {
 				return nil, err
 			}
 			client := controlv1.NewControlClient(conn)
-			if last = announceAll(ctx, client, agents); last == nil {
+			if lastErr = announceAll(ctx, client, agents); lastErr == nil {
 				return client, nil
 			}
 		}
 	}
-	return nil, fault.New(fault.NoQuorum, "no replica took the announcements", "run the command on a less busy machine").WithCause(errors.Join(last, c.ended()))
+	return nil, fault.New(fault.NoQuorum, "no replica took the announcements", "run the command on a less busy machine").WithCause(errors.Join(lastErr, c.replicaErrors()))
 }
 
 func announceAll(ctx context.Context, client controlv1.ControlClient, agents int) error {
@@ -150,8 +155,9 @@
 	return nil
 }
 
-// renew announces agent i each heartbeat, spread evenly over it.
-func renew(ctx context.Context, leader controlv1.ControlClient, i, agents int, taken *atomic.Int64) {
+// renewLease renews the lease of agent i once per heartbeat until ctx ends. The
+// first renewals of the agents are spread evenly over one heartbeat.
+func renewLease(ctx context.Context, leader controlv1.ControlClient, i, agents int, accepted *atomic.Int64) {
 	request := announcement(i)
 	request.Endpoints, request.Full = nil, false
 	time.Sleep(heartbeat * time.Duration(i) / time.Duration(agents))
@@ -159,7 +165,7 @@
 	defer ticker.Stop()
 	for {
 		if _, err := leader.Announce(ctx, request); err == nil {
-			taken.Add(1)
+			accepted.Add(1)
 		}
 		select {
 		case <-ctx.Done():
--- a/measure/fanout/catchup.go
+++ b/measure/fanout/catchup.go
@@ -12,7 +12,7 @@
 	"github.com/lilackeel/lilackeel/link"
 )
 
-// catchUp is how a daemon that was away comes back.
+// catchUp is the cost of bringing a disconnected daemon up to date.
 type catchUp struct {
 	Workspaces int     `json:"workspaces"`
 	Missed     int     `json:"missed_changes"`
@@ -20,16 +20,17 @@
 	Bytes      int64   `json:"bytes"`
 }
 
-// measureCatchUp lets a daemon go, makes changes, and times its return: until it
-// acts on the latest revision, and knows that a quorum confirmed it.
+// measureCatchUp stops a daemon, makes the given number of changes and measures how
+// long the restarted daemon takes to apply the latest revision, including the
+// confirmation that a quorum has accepted it.
 func measureCatchUp(workspaces, missed int) (catchUp, error) {
 	source := newPublisher()
 	if err := source.addWorkspaces(workspaces); err != nil {
 		return catchUp{}, err
 	}
 	server := feedServer(source)
-	count := &traffic{}
-	addr, stop, err := serve(server, count)
+	counter := &byteCounter{}
+	addr, stop, err := serveFeed(server, counter)
 	if err != nil {
 		return catchUp{}, err
 	}
@@ -38,8 +39,8 @@
 	if err != nil {
 		return catchUp{}, err
 	}
-	client := newClient("daemon", zones[0], []string{addr}, options)
-	if _, err := runUntil(client, source.Revision()); err != nil {
+	client := newFeedClient("daemon", zones[0], []string{addr}, options)
+	if _, err := runUntilRevision(client, source.Revision()); err != nil {
 		return catchUp{}, err
 	}
 	for i := range missed {
@@ -47,20 +48,21 @@
 			return catchUp{}, err
 		}
 	}
-	before := count.bytes.Load()
-	took, err := runUntil(client, source.Revision())
+	before := counter.bytes.Load()
+	elapsed, err := runUntilRevision(client, source.Revision())
 	if err != nil {
 		return catchUp{}, err
 	}
-	return catchUp{Workspaces: workspaces, Missed: missed, Millis: millis(took), Bytes: count.bytes.Load() - before}, nil
+	return catchUp{Workspaces: workspaces, Missed: missed, Millis: milliseconds(elapsed), Bytes: counter.bytes.Load() - before}, nil
 }
 
-// runUntil runs the client until it acts on the revision.
-func runUntil(client *feed.Client, revision uint64) (time.Duration, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), arrivalLimit)
+// runUntilRevision runs the client until it has applied the revision, and returns
+// the time that this took.
+func runUntilRevision(client *feed.Client, revision uint64) (time.Duration, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), revisionTimeout)
 	defer cancel()
 	done := make(chan struct{})
-	began := time.Now()
+	start := time.Now()
 	go func() {
 		defer close(done)
 		_ = client.Run(ctx)
@@ -72,7 +74,7 @@
 	for {
 		changed := client.Changed()
 		if view := client.Configuration(); view != nil && view.Revision >= revision {
-			return time.Since(began), nil
+			return time.Since(start), nil
 		}
 		select {
 		case <-changed:
@@ -82,7 +84,8 @@
 	}
 }
 
-// stateSize is what the state takes for each workspace and endpoint, in bytes.
+// stateSize is the encoded size of the state per workspace and per endpoint, in
+// bytes.
 type stateSize struct {
 	WorkspaceOnFeed     float64 `json:"workspace_on_feed"`
 	EndpointOnFeed      float64 `json:"endpoint_on_feed"`
@@ -93,21 +96,21 @@
 func measureStateSize() (stateSize, error) {
 	const workspaces, agents = 2000, 250
 	source := newPublisher()
-	emptyFeed, emptySnapshot, err := sizes(source)
+	emptyFeed, emptySnapshot, err := encodedSizes(source)
 	if err != nil {
 		return stateSize{}, err
 	}
 	if err := source.addAgents(agents); err != nil {
 		return stateSize{}, err
 	}
-	agentFeed, agentSnapshot, err := sizes(source)
+	agentFeed, agentSnapshot, err := encodedSizes(source)
 	if err != nil {
 		return stateSize{}, err
 	}
 	if err := source.addWorkspaces(workspaces); err != nil {
 		return stateSize{}, err
 	}
-	fullFeed, fullSnapshot, err := sizes(source)
+	fullFeed, fullSnapshot, err := encodedSizes(source)
 	if err != nil {
 		return stateSize{}, err
 	}
@@ -120,18 +123,18 @@
 	}, nil
 }
 
-func sizes(source *publisher) (onFeed, inSnapshot int, err error) {
+func encodedSizes(source *publisher) (onFeed, inSnapshot int, err error) {
 	snapshot, err := source.Snapshot()
 	return proto.Size(source.Configuration()), len(snapshot), err
 }
 
 func feedServer(source feed.Source) *feed.Server { return feed.NewServer(source) }
 
-// encode returns the figures as JSON lines.
-func encode(figures any) ([]byte, error) {
+// encodeFigures returns the figures as indented JSON.
+func encodeFigures(figures any) ([]byte, error) {
 	text, err := json.MarshalIndent(figures, "", "  ")
 	if err != nil {
-		return nil, fmt.Errorf("encode the figures: %w", err)
+		return nil, fmt.Errorf("encode figures: %w", err)
 	}
 	return append(text, '\n'), nil
 }
--- a/measure/fanout/cluster.go
+++ b/measure/fanout/cluster.go
@@ -23,15 +23,15 @@
 const (
 	// replicas is the number of control replicas.
 	replicas = 3
-	// intentsInRow is the number of intents whose way into force is measured.
-	intentsInRow = 60
-	// clusterPeriod bounds the wait until the replicas serve.
-	clusterPeriod = 10 * time.Second
+	// measuredIntents is the number of intents whose propagation is measured.
+	measuredIntents = 60
+	// startTimeout bounds the wait until the replicas serve requests.
+	startTimeout = 10 * time.Second
 )
 
-// inForce is how long an intent takes through three control replicas, from the
-// sending of confirm until every daemon acts on it.
-type inForce struct {
+// propagation is the time that an intent takes through three control replicas,
+// from sending Confirm until a daemon applies the revision.
+type propagation struct {
 	Daemons    int     `json:"daemons"`
 	Relayed    bool    `json:"relayed"`
 	ConfirmP50 float64 `json:"confirm_p50_ms"`
@@ -39,7 +39,7 @@
 	Max        float64 `json:"in_force_max_ms"`
 }
 
-// cluster is three control replicas with their logs on disk.
+// cluster is a set of control replicas in this process with their logs on disk.
 type cluster struct {
 	addrs  []string
 	pool   *link.Pool
@@ -47,19 +47,20 @@
 	group  sync.WaitGroup
 
 	mu sync.Mutex
-	// failures are the errors with which replicas have ended.
+	// failures are the errors of replicas that have stopped.
 	failures []error
 }
 
-// ended returns why replicas have ended, if any has.
-func (c *cluster) ended() error {
+// replicaErrors returns the joined errors of the replicas that have stopped, or nil.
+func (c *cluster) replicaErrors() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return errors.Join(c.failures...)
 }
 
-// run runs a replica until ctx ends, and keeps its error.
-func (c *cluster) run(ctx context.Context, replica *control.Daemon) {
+// runReplica runs a replica until ctx ends, and records its error if it stops
+// before that.
+func (c *cluster) runReplica(ctx context.Context, replica *control.Daemon) {
 	if err := replica.Run(ctx); err != nil && ctx.Err() == nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -111,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	c.group.Go(func() { c.run(ctx, daemon) })
+	c.group.Go(func() { c.runReplica(ctx, daemon) })
 	return nil
 }
 
@@ -121,77 +122,78 @@
 	_ = c.pool.Close()
 }
 
-// accept takes an intent through plan and confirm. It returns when confirm was
+// accept plans and confirms an intent. It returns the times at which Confirm was
 // sent and answered.
-func (c *cluster) accept(ctx context.Context, intent *controlv1.Intent) (revision uint64, sent, answered time.Time, err error) {
+func (c *cluster) accept(ctx context.Context, intent *controlv1.Intent) (revision uint64, sentAt, answeredAt time.Time, err error) {
 	conn, err := c.pool.Get(c.addrs[0])
 	if err != nil {
-		return 0, sent, answered, err
+		return 0, sentAt, answeredAt, err
 	}
 	client := controlv1.NewControlClient(conn)
 	var planned *controlv1.PlanResponse
-	for limit := time.Now().Add(clusterPeriod); ; time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(startTimeout); ; time.Sleep(50 * time.Millisecond) {
 		planned, err = client.Plan(ctx, &controlv1.PlanRequest{Intent: intent}, grpc.WaitForReady(true))
 		if err == nil {
 			break
 		}
-		if time.Now().After(limit) || fault.Is(err, fault.Conflict) || fault.Is(err, fault.Invalid) {
-			return 0, sent, answered, err
+		if time.Now().After(deadline) || fault.Is(err, fault.Conflict) || fault.Is(err, fault.Invalid) {
+			return 0, sentAt, answeredAt, err
 		}
 	}
-	sent = time.Now()
+	sentAt = time.Now()
 	confirmed, err := client.Confirm(ctx, &controlv1.ConfirmRequest{
 		IntentId: intent.GetId(), Digest: planned.GetPlan().GetDigest(), Operator: intent.GetOperator(),
 	})
-	return confirmed.GetRevision(), sent, time.Now(), err
+	return confirmed.GetRevision(), sentAt, time.Now(), err
 }
 
-// measureInForce measures one size of fleet.
-func measureInForce(daemons int, relayed bool) (result inForce, err error) {
+// measurePropagation measures the propagation of intents to a fleet of the given
+// number of daemons.
+func measurePropagation(daemons int, relayed bool) (result propagation, err error) {
 	dir, err := os.MkdirTemp("", "lilackeel-fanout")
 	if err != nil {
-		return inForce{}, err
+		return propagation{}, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	c, err := startCluster(dir)
 	if err != nil {
-		return inForce{}, err
+		return propagation{}, err
 	}
 	defer c.stop()
 	f, err := startFleet(daemons, c.addrs, relayed)
 	if err != nil {
-		return inForce{}, err
+		return propagation{}, err
 	}
 	defer f.stop()
-	accepted, confirms, err := c.acceptRow(context.Background(), f)
+	submitted, confirms, err := c.acceptIntents(context.Background(), f)
 	if err != nil {
-		return inForce{}, err
+		return propagation{}, err
 	}
-	result = inForce{Daemons: daemons, Relayed: relayed, ConfirmP50: millis(median(confirms))}
-	result.P50, result.Max = f.delays(accepted)
+	result = propagation{Daemons: daemons, Relayed: relayed, ConfirmP50: milliseconds(median(confirms))}
+	result.P50, result.Max = f.propagationDelays(submitted)
 	return result, nil
 }
 
-// acceptRow carries intentsInRow intents through, after a first one that is not
-// counted, and waits until all are in force in the fleet. It returns when the
-// confirm of each revision was sent, and how long each confirm took.
-func (c *cluster) acceptRow(ctx context.Context, f *fleet) (accepted map[uint64]time.Time, confirms []time.Duration, err error) {
-	first, _, _, err := c.accept(ctx, changeIntent(intentsInRow, intentsInRow+1))
+// acceptIntents accepts measuredIntents intents, after a first one that is not
+// counted, and waits until the fleet has applied all of them. It returns when the
+// Confirm of each revision was sent, and how long each Confirm took.
+func (c *cluster) acceptIntents(ctx context.Context, f *fleet) (submitted map[uint64]time.Time, confirms []time.Duration, err error) {
+	first, _, _, err := c.accept(ctx, changeIntent(measuredIntents, measuredIntents+1))
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := f.await(first); err != nil {
+	if err := f.waitForRevision(first); err != nil {
 		return nil, nil, err
 	}
-	accepted = map[uint64]time.Time{}
-	for i := range intentsInRow {
-		revision, sent, answered, err := c.accept(ctx, changeIntent(i, intentsInRow+1))
+	submitted = map[uint64]time.Time{}
+	for i := range measuredIntents {
+		revision, sentAt, answeredAt, err := c.accept(ctx, changeIntent(i, measuredIntents+1))
 		if err != nil {
 			return nil, nil, err
 		}
-		accepted[revision] = sent
-		confirms = append(confirms, answered.Sub(sent))
+		submitted[revision] = sentAt
+		confirms = append(confirms, answeredAt.Sub(sentAt))
 		time.Sleep(changePause)
 	}
-	return accepted, confirms, f.await(first + intentsInRow)
+	return submitted, confirms, f.waitForRevision(first + measuredIntents)
 }
--- a/measure/fanout/fleet.go
+++ b/measure/fanout/fleet.go
@@ -18,46 +18,47 @@
 	"github.com/lilackeel/lilackeel/link"
 )
 
-// arrivalLimit bounds the wait for a revision.
-const arrivalLimit = 2 * time.Minute
+// revisionTimeout bounds the wait until a revision is applied.
+const revisionTimeout = 2 * time.Minute
 
-// traffic counts the bytes of connections, in both directions.
-type traffic struct{ bytes atomic.Int64 }
+// byteCounter counts the bytes sent and received on connections.
+type byteCounter struct{ bytes atomic.Int64 }
 
-type countedConn struct {
+// countingConn counts the bytes sent and received on a connection.
+type countingConn struct {
 	net.Conn
-	traffic *traffic
+	counter *byteCounter
 }
 
-func (c countedConn) Read(data []byte) (int, error) {
+func (c countingConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
-	c.traffic.bytes.Add(int64(n))
+	c.counter.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(data []byte) (int, error) {
+func (c countingConn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
-	c.traffic.bytes.Add(int64(n))
+	c.counter.bytes.Add(int64(n))
 	return n, err
 }
 
-// countedListener counts what the server that accepts from it sends and
-// receives.
-type countedListener struct {
+// countingListener counts the bytes sent and received on the connections that it
+// accepts.
+type countingListener struct {
 	net.Listener
-	traffic *traffic
+	counter *byteCounter
 }
 
-func (l countedListener) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{conn, l.traffic}, nil
+	return countingConn{conn, l.counter}, nil
 }
 
-// serve publishes on loopback.
-func serve(server *feed.Server, traffic *traffic) (addr string, stop func(), err error) {
+// serveFeed serves a feed on a loopback address.
+func serveFeed(server *feed.Server, counter *byteCounter) (addr string, stop func(), err error) {
 	options, err := link.ServerOptions(link.Config{})
 	if err != nil {
 		return "", nil, err
@@ -68,28 +69,29 @@
 	}
 	g := grpc.NewServer(options...)
 	server.Register(g)
-	go func() { _ = g.Serve(countedListener{listener, traffic}) }()
+	go func() { _ = g.Serve(countingListener{listener, counter}) }()
 	return listener.Addr().String(), g.Stop, nil
 }
 
-// fleet is a number of daemons that follow the configuration.
+// fleet is a set of daemons that receive the configuration, and the relays between
+// them and its sources.
 type fleet struct {
-	daemons []*daemon
-	cancel  context.CancelFunc
-	group   sync.WaitGroup
-	stops   []func()
+	daemons    []*daemon
+	cancel     context.CancelFunc
+	group      sync.WaitGroup
+	stopRelays []func()
 }
 
-// daemon is a client of the feed that notes when revisions come into force.
+// daemon is a client of the feed that records when it applies each revision.
 type daemon struct {
 	client *feed.Client
 
-	mu      sync.Mutex
-	arrived map[uint64]time.Time
+	mu        sync.Mutex
+	appliedAt map[uint64]time.Time
 }
 
-// startFleet runs count daemons against the sources, directly or through one
-// relay in each zone.
+// startFleet starts count daemons that are connected to the sources directly, or
+// through one relay per zone.
 func startFleet(count int, sources []string, relayed bool) (*fleet, error) {
 	options, err := link.DialOptions(link.Config{})
 	if err != nil {
@@ -111,9 +113,9 @@
 	}
 	for i := range count {
 		zone := i % len(zones)
-		d := &daemon{arrived: map[uint64]time.Time{}}
-		d.client = newClient(fmt.Sprintf("daemon-%04d", i), zones[zone], byZone[zone], options)
-		d.client.OnApply(d.apply)
+		d := &daemon{appliedAt: map[uint64]time.Time{}}
+		d.client = newFeedClient(fmt.Sprintf("daemon-%04d", i), zones[zone], byZone[zone], options)
+		d.client.OnApply(d.recordApplied)
 		f.daemons = append(f.daemons, d)
 		f.group.Go(func() { _ = d.client.Run(ctx) })
 	}
@@ -121,18 +123,18 @@
 }
 
 func (f *fleet) startRelay(ctx context.Context, zone string, sources []string, options []grpc.DialOption) (addr string, err error) {
-	client := newClient("relay-"+zone, zone, sources, options)
+	client := newFeedClient("relay-"+zone, zone, sources, options)
 	relay := feed.NewRelay(client)
-	addr, stop, err := serve(relay.Server(), &traffic{})
+	addr, stop, err := serveFeed(relay.Server(), &byteCounter{})
 	if err != nil {
 		return "", err
 	}
-	f.stops = append(f.stops, stop)
+	f.stopRelays = append(f.stopRelays, stop)
 	f.group.Go(func() { _ = client.Run(ctx) })
 	return addr, nil
 }
 
-func newClient(name, zone string, sources []string, options []grpc.DialOption) *feed.Client {
+func newFeedClient(name, zone string, sources []string, options []grpc.DialOption) *feed.Client {
 	return feed.NewClient(feed.Config{
 		Sources: sources, Daemon: name, Role: "agent", Zone: zone, Incarnation: 1, DialOptions: options,
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -141,41 +143,41 @@
 
 func (f *fleet) stop() {
 	f.cancel()
-	for _, stop := range f.stops {
+	for _, stop := range f.stopRelays {
 		stop()
 	}
 	f.group.Wait()
 }
 
-func (d *daemon) apply(_, view *feed.View, _ *fleetv1.Delta) {
+func (d *daemon) recordApplied(_, view *feed.View, _ *fleetv1.Delta) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.arrived[view.Revision] = now
+	d.appliedAt[view.Revision] = now
 }
 
-// inForce returns when the daemon came to act on the revision or a later one.
-func (d *daemon) inForce(revision uint64) (at time.Time, ok bool) {
+// firstApplied returns when the daemon first applied the revision or a later one.
+func (d *daemon) firstApplied(revision uint64) (at time.Time, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for each, arrived := range d.arrived {
-		if each >= revision && (!ok || arrived.Before(at)) {
-			at, ok = arrived, true
+	for applied, appliedAt := range d.appliedAt {
+		if applied >= revision && (!ok || appliedAt.Before(at)) {
+			at, ok = appliedAt, true
 		}
 	}
 	return at, ok
 }
 
-// await waits until all daemons act on the revision.
-func (f *fleet) await(revision uint64) error {
-	limit := time.Now().Add(arrivalLimit)
+// waitForRevision waits until all daemons have applied the revision.
+func (f *fleet) waitForRevision(revision uint64) error {
+	deadline := time.Now().Add(revisionTimeout)
 	for _, d := range f.daemons {
 		for {
 			if view := d.client.Configuration(); view != nil && view.Revision >= revision {
 				break
 			}
-			if time.Now().After(limit) {
-				return fault.Newf(fault.Unavailable, "run it on a less busy machine", "revision %d is not in force everywhere after %v", revision, arrivalLimit)
+			if time.Now().After(deadline) {
+				return fault.Newf(fault.Unavailable, "run the measurement on a less busy machine", "revision %d was not applied by all daemons within %v", revision, revisionTimeout)
 			}
 			time.Sleep(time.Millisecond)
 		}
--- a/measure/fanout/state.go
+++ b/measure/fanout/publisher.go
@@ -11,11 +11,11 @@
 	"github.com/lilackeel/lilackeel/feed"
 )
 
-// endpointsPerAgent is how many endpoints one agent gates.
+// endpointsPerAgent is the number of endpoints behind one agent.
 const endpointsPerAgent = 8
 
-// publisher is the state of a control replica without its log. It is always as
-// fresh as can be.
+// publisher is the state machine of a control replica without its replicated log.
+// It always reports its state as confirmed at the current time.
 type publisher struct {
 	*contract.State
 
@@ -51,8 +51,9 @@
 	return p.Revision(), time.Now(), true
 }
 
-// apply carries a command out and tells the watchers.
-func (p *publisher) apply(data []byte, err error) (*contract.Result, error) {
+// applyCommand applies an encoded command to the state and wakes the watchers. A
+// non-nil err, the error of encoding the command, is returned unchanged.
+func (p *publisher) applyCommand(data []byte, err error) (*contract.Result, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -68,13 +69,13 @@
 	return result, nil
 }
 
-// accept takes an intent through plan and confirm.
+// accept plans and confirms an intent.
 func (p *publisher) accept(intent *controlv1.Intent) (revision uint64, err error) {
-	planned, err := p.apply(contract.EncodePlan(0, intent))
+	planned, err := p.applyCommand(contract.EncodePlan(0, intent))
 	if err != nil {
 		return 0, err
 	}
-	confirmed, err := p.apply(contract.EncodeConfirm(0, &controlv1.ConfirmRequest{
+	confirmed, err := p.applyCommand(contract.EncodeConfirm(0, &controlv1.ConfirmRequest{
 		IntentId: intent.GetId(), Digest: planned.Plan.GetDigest(), Operator: intent.GetOperator(),
 	}))
 	if err != nil {
@@ -98,17 +99,17 @@
 	return nil
 }
 
-// addAgents announces count agents with their endpoints.
+// addAgents applies the announcements of count agents with their endpoints.
 func (p *publisher) addAgents(count int) error {
 	for i := range count {
-		if _, err := p.apply(contract.EncodeAnnounce(0, announcement(i))); err != nil {
+		if _, err := p.applyCommand(contract.EncodeAnnounce(0, announcement(i))); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// changeIntent changes one workspace.
+// changeIntent returns an intent that changes one workspace.
 func changeIntent(number, workspaces int) *controlv1.Intent {
 	changed := workspace(number%workspaces, int32(2+number%90))
 	return &controlv1.Intent{Id: fmt.Sprint("change-", number), Operator: "measure", Workspaces: []*fleetv1.Workspace{changed}}
