--- a/measure/following/bench_test.go
+++ b/measure/following/bench_test.go
@@ -8,16 +8,16 @@
 	"github.com/lilackeel/lilackeel/group/balance"
 )
 
-// BenchmarkDecide is one decision after a jump, by shape: the time that the leader's
-// processor adds to each switch.
+// BenchmarkDecide measures one decision after a jump of demand, by shape: the CPU time that
+// the control leader adds to each switch.
 func BenchmarkDecide(b *testing.B) {
-	for _, site := range append(Deployments(), LargeDeployment(0)) {
-		b.Run(site.Name, func(b *testing.B) {
-			d := newDemand(site.Shape, site.PopularityExponent, rand.New(rand.NewPCG(1, 1)))
-			first := group.RoundRobin(site.Shape)
+	for _, deployment := range append(Deployments(), LargeDeployment(0)) {
+		b.Run(deployment.Name, func(b *testing.B) {
+			d := newDemand(deployment.Shape, deployment.PopularityExponent, rand.New(rand.NewPCG(1, 1)))
+			first := group.RoundRobin(deployment.Shape)
 			var skew float64
 			for b.Loop() {
-				f := balance.NewFollower(site.Config)
+				f := balance.NewFollower(deployment.Config)
 				f.Observe(d.load)
 				skew = f.Skew(f.Decide(first).Map)
 			}
--- a/measure/following/doc.go
+++ b/measure/following/doc.go
@@ -1,11 +1,11 @@
-// Package following measures how closely expert maps follow demand that jumps
-// every few seconds, in virtual time: the figures behind package balance's
-// Follower and its settings in package control.
+// Package following simulates, in virtual time, how closely expert maps track
+// demand that jumps every few seconds. Its results are the basis of
+// balance.Follower and of its settings in package control.
 //
-// A group of lock-step ranks serves demand whose popular experts are exchanged at
-// each jump. A policy sees what was counted, late and in intervals, and switches
-// maps; a switch takes time by the copies that the busiest rank takes in, and
-// makes steps slower meanwhile. What counts is the mean time of a step against
-// one with even ranks, the part of the time with a high skew, in which streams are
-// late, and the copies.
+// A group of lock-step ranks serves demand whose popular experts change at each
+// jump. A policy receives counts periodically and with a delay, and switches maps;
+// the time of a switch depends on the number of copies to the rank that receives
+// most, and steps are slower while experts are copied. The results are the mean
+// step time relative to that of evenly loaded ranks, the fraction of the time with
+// a skew so high that streams are late, and the number of copies.
 package following
--- a/measure/following/run.go
+++ b/measure/following/run.go
@@ -10,119 +10,129 @@
 	"github.com/lilackeel/lilackeel/group/balance"
 )
 
-// Site is a group of a shape and what its engines state.
+// Deployment describes a group of ranks and its engines.
 type Deployment struct {
 	Name  string
 	Shape group.Shape
-	// Popularity is the power by which shares of experts fall with their place.
+	// PopularityExponent is the exponent with which the shares of experts fall along the
+	// popularity ranking.
 	PopularityExponent float64
-	// Orders is the part of a switch in which nothing is copied.
+	// CoordinationTime is the part of a switch in which nothing is copied.
 	CoordinationTime time.Duration
-	// Config is how the group is followed.
+	// Config configures the follower of the group.
 	Config balance.FollowConfig
-	// Pause is the longest pause that streams are promised, and Filled the part of it that
-	// a pass of even ranks takes at the present load; zero where passes are not looked at.
+	// MaxPause is the longest pause between two steps that streams are promised, and
+	// BalancedPassShare the fraction of it that a pass of evenly loaded ranks takes at the
+	// present load; both are zero if pass times are not simulated.
 	MaxPause          time.Duration
 	BalancedPassShare float64
 }
 
-// orderSeconds is the part of a switch in which nothing is copied, and observe and lag the
-// time between two observations and their age, as measured on whole sites.
+// Timing of the control leader, as measured on complete deployments: coordinationSeconds is
+// the part of a switch in which nothing is copied, observationInterval the time between two
+// observations, and observationDelay their age.
 const (
-	orderSeconds = 0.09
-	observe      = 150 * time.Millisecond
-	lag          = 80 * time.Millisecond
+	coordinationSeconds = 0.09
+	observationInterval = 150 * time.Millisecond
+	observationDelay    = 80 * time.Millisecond
 )
 
-// site returns a site whose ranks copy an expert in the given seconds; fixed is the part
-// of a step that no map changes.
-func site(name string, shape group.Shape, popularity, copySeconds, fixed float64, spare int, orders time.Duration) Deployment {
-	return Deployment{Name: name, Shape: shape, PopularityExponent: popularity, CoordinationTime: orders, Config: balance.FollowConfig{
+// newDeployment returns a deployment whose ranks copy an expert in copySeconds. fixed is the
+// part of a step that does not depend on the map, and spare the number of experts per layer
+// that one switch may copy to a rank.
+func newDeployment(name string, shape group.Shape, popularity, copySeconds, fixed float64, spare int, coordinationTime time.Duration) Deployment {
+	return Deployment{Name: name, Shape: shape, PopularityExponent: popularity, CoordinationTime: coordinationTime, Config: balance.FollowConfig{
 		Shape: shape, Reach: balance.Reach{Spare: spare, Copies: 10}, Fixed: fixed, CopySeconds: copySeconds, CopySlow: 0.15,
-		OrderSeconds: orderSeconds, StallSeconds: 0.005, MoveSeconds: 0.001, HoldSeconds: 2, Smoothing: 0.3, Jump: 0.12,
+		OrderSeconds: coordinationSeconds, StallSeconds: 0.005, MoveSeconds: 0.001, HoldSeconds: 2, Smoothing: 0.3, Jump: 0.12,
 	}}
 }
 
-// Sites are the shapes that deployments publish: few ranks with many places, the middle,
-// and large groups whose experts are small. Copy times are the bytes of an expert over the
-// rate of a rank's link.
+// Deployments returns deployments with published shapes: few ranks with many slots each, a
+// medium size, and a large group with small experts. The copy time is the size of an expert
+// divided by the link rate of a rank.
 func Deployments() []Deployment {
 	return []Deployment{
-		site("8 ranks x 6 layers x 64 experts", group.Shape{Layers: 6, Experts: 64, Ranks: 8, Slots: 11}, 1.6, 0.148, 2.8, 4, 90*time.Millisecond),
-		site("16 ranks x 4 layers x 64 experts", group.Shape{Layers: 4, Experts: 64, Ranks: 16, Slots: 5}, 1.08, 0.111, 1.2, 2, 90*time.Millisecond),
-		site("32 ranks x 12 layers x 128 experts", group.Shape{Layers: 12, Experts: 128, Ranks: 32, Slots: 5}, 0.82, 0.037, 2.8, 2, 90*time.Millisecond),
+		newDeployment("8 ranks x 6 layers x 64 experts", group.Shape{Layers: 6, Experts: 64, Ranks: 8, Slots: 11}, 1.6, 0.148, 2.8, 4, 90*time.Millisecond),
+		newDeployment("16 ranks x 4 layers x 64 experts", group.Shape{Layers: 4, Experts: 64, Ranks: 16, Slots: 5}, 1.08, 0.111, 1.2, 2, 90*time.Millisecond),
+		newDeployment("32 ranks x 12 layers x 128 experts", group.Shape{Layers: 12, Experts: 128, Ranks: 32, Slots: 5}, 0.82, 0.037, 2.8, 2, 90*time.Millisecond),
 	}
 }
 
-// Large is one group of 192 ranks, whose orders take some time. Popularity is such that the
-// first map leaves a skew of 3.4, as on the played days, and half of the slots are taken.
-func LargeDeployment(orders time.Duration) Deployment {
-	return site("192 ranks x 10 layers x 384 experts", group.Shape{Layers: 10, Experts: 384, Ranks: 192, Slots: 3}, 0.43, 0.0076, 1.5, 2, orders)
+// LargeDeployment returns a group of 192 ranks with the given coordination time. Its
+// popularity exponent is such that the initial map leaves a skew of 3.4, as in the full
+// simulated days; half of the slots are taken.
+func LargeDeployment(coordinationTime time.Duration) Deployment {
+	return newDeployment("192 ranks x 10 layers x 384 experts", group.Shape{Layers: 10, Experts: 384, Ranks: 192, Slots: 3}, 0.43, 0.0076, 1.5, 2, coordinationTime)
 }
 
-// Bound is a planner that knows demand at once, and has to copy and to agree like any other.
-func (s Deployment) OraclePolicy() Policy {
-	return Policy{Name: "knowing demand at once", Config: &s.Config, Interval: 10 * time.Millisecond, Oracle: true}
+// OraclePolicy is the policy of a planner that knows demand without delay; its switches need
+// the same copies and coordination as those of the control leader. It shows what a faster
+// observation could gain at most.
+func (d Deployment) OraclePolicy() Policy {
+	return Policy{Name: "oracle planner", Config: &d.Config, Interval: 10 * time.Millisecond, Oracle: true}
 }
 
-// InForce is what the control leader does.
-func (s Deployment) LeaderPolicy() Policy {
-	return Policy{Name: "in force", Config: &s.Config, Interval: observe, ObservationDelay: lag, SkipDuringSwitch: true}
+// LeaderPolicy is the policy of the control leader, without regard to pauses.
+func (d Deployment) LeaderPolicy() Policy {
+	return Policy{Name: "control leader", Config: &d.Config, Interval: observationInterval, ObservationDelay: observationDelay, SkipDuringSwitch: true}
 }
 
-// Loaded is the site at a load: streams are promised a pause, of which a pass of even ranks
-// takes a part.
-func (s Deployment) WithLoad(filled float64) Deployment {
-	s.MaxPause, s.BalancedPassShare = 120*time.Millisecond, filled
-	return s
+// WithLoad returns the deployment at a load at which a pass of evenly loaded ranks takes the
+// given fraction of the promised pause.
+func (d Deployment) WithLoad(passShare float64) Deployment {
+	d.MaxPause, d.BalancedPassShare = 120*time.Millisecond, passShare
+	return d
 }
 
-// ByPace is what the control leader does that weighs a shorter pass by the pause that is
-// promised.
-func (s Deployment) PauseAwarePolicy() Policy {
-	p := s.LeaderPolicy()
-	p.Name, p.PauseAware = "by the pace", true
+// PauseAwarePolicy is the policy of a control leader that values shorter passes by how close
+// they are to the promised pause.
+func (d Deployment) PauseAwarePolicy() Policy {
+	p := d.LeaderPolicy()
+	p.Name, p.PauseAware = "pause-aware leader", true
 	return p
 }
 
-// Policy says what a control leader does.
+// Policy describes how a control leader observes demand and decides on switches.
 type Policy struct {
 	Name string
-	// Config is the follower's; a nil one never switches.
+	// Config configures the follower; if it is nil the map is never switched.
 	Config *balance.FollowConfig
-	// Interval is the time between two observations, Delay how old they are.
+	// Interval is the time between two observations, ObservationDelay their age.
 	Interval, ObservationDelay time.Duration
-	// Blind leaves out the observations during a switch: what was counted then is
-	// seen as one, at its end.
+	// SkipDuringSwitch skips observations during a switch; what was counted meanwhile is
+	// observed as one sum after it.
 	SkipDuringSwitch bool
-	// Knowing sees the demand as it is, at once.
+	// Oracle observes the actual demand without delay or noise.
 	Oracle bool
-	// Paced weighs a shorter pass by the pause that is promised.
+	// PauseAware values a shorter pass by how close passes are to the promised pause.
 	PauseAware bool
 }
 
-// Result is what came of a policy.
+// Result is the outcome of a policy.
 type Result struct {
-	// Step is the mean time of a step over that of a group with even ranks.
+	// StepTime is the mean step time relative to that of evenly loaded ranks.
 	StepTime float64
-	// Skew is the mean skew, Late the part of the time in which it is so high that
-	// full ranks make their streams late.
+	// Skew is the mean skew, LateShare the fraction of the time in which the skew is so
+	// high that ranks with all slots taken make their streams late.
 	Skew, LateShare float64
-	// Beyond is the part of the time in which passes take longer than the promised pause.
+	// OverPauseShare is the fraction of the time in which passes take longer than the
+	// promised pause.
 	OverPauseShare float64
-	// Copies are the experts copied per second, Switches the switches.
+	// CopiesPerSecond and SwitchesPerSecond are the rates of copied experts and of
+	// switches.
 	CopiesPerSecond, SwitchesPerSecond float64
 }
 
 const (
-	tick = 5 * time.Millisecond
-	// lateSkew is where ranks with all slots taken exceed the pause that streams are
-	// held to.
+	// tickInterval is the time step of the simulation.
+	tickInterval = 5 * time.Millisecond
+	// lateSkew is the skew above which ranks with all slots taken exceed the pause that
+	// streams are promised.
 	lateSkew = 2.4
 )
 
-// world is one group under a policy.
-type world struct {
+// simulation is one group under a policy.
+type simulation struct {
 	policy   Policy
 	shape    group.Shape
 	demand   *demand
@@ -130,34 +140,35 @@
 	spell    balance.Spell
 	current  group.Map
 	next     group.Map
-	// switchEnds is when the switch under way ends; zero for none.
-	switchEnds time.Duration
-	// seen adds up the demand since the last observation; past holds what was seen
-	// in the delay before now.
-	seen    []float64
-	past    [][]float64
-	noise   *rand.Rand
-	orders  time.Duration
-	copies  int
-	counted int
-	// unit is the time of a pass for each unit of its relative time, passed the passes so
-	// far, pace what the leader knows of both.
-	unit   time.Duration
-	passed float64
-	pace   balance.Pace
-	pause  time.Duration
+	// switchEnd is when the switch in progress ends; zero if there is none.
+	switchEnd time.Duration
+	// observed is the sum of the load counted since the last observation; delayed holds
+	// the counts that are not available yet, because they are younger than the
+	// observation delay.
+	observed         []float64
+	delayed          [][]float64
+	noise            *rand.Rand
+	coordinationTime time.Duration
+	copies           int
+	switches         int
+	// timeUnit is the time of a pass per unit of relative time, passes the number of
+	// passes so far, and pace the leader's estimate of the pass time.
+	timeUnit time.Duration
+	passes   float64
+	pace     balance.Pace
+	maxPause time.Duration
 }
 
-// Run plays a policy for a time.
-func Run(policy Policy, site Deployment, seed uint64, length time.Duration) Result {
-	shape, fixed, slow := site.Shape, site.Config.Fixed, site.Config.CopySlow
-	w := &world{
-		policy: policy, shape: shape, demand: newDemand(shape, site.PopularityExponent, rand.New(rand.NewPCG(seed, 1))), current: group.RoundRobin(shape),
-		seen: make([]float64, shape.Layers*shape.Experts), noise: rand.New(rand.NewPCG(seed, 2)), orders: site.CoordinationTime,
+// Run simulates a policy for the given duration of virtual time.
+func Run(policy Policy, deployment Deployment, seed uint64, duration time.Duration) Result {
+	shape, fixed, copySlowdown := deployment.Shape, deployment.Config.Fixed, deployment.Config.CopySlow
+	s := &simulation{
+		policy: policy, shape: shape, demand: newDemand(shape, deployment.PopularityExponent, rand.New(rand.NewPCG(seed, 1))), current: group.RoundRobin(shape),
+		observed: make([]float64, shape.Layers*shape.Experts), noise: rand.New(rand.NewPCG(seed, 2)), coordinationTime: deployment.CoordinationTime,
 	}
-	w.unit, w.pause = time.Duration(site.BalancedPassShare*float64(site.MaxPause)/(fixed+1)), site.MaxPause
+	s.timeUnit, s.maxPause = time.Duration(deployment.BalancedPassShare*float64(deployment.MaxPause)/(fixed+1)), deployment.MaxPause
 	if policy.Config != nil {
-		w.follower = balance.NewFollower(*policy.Config)
+		s.follower = balance.NewFollower(*policy.Config)
 	}
 	cost := make([]float64, shape.Ranks)
 	for i := range cost {
@@ -165,22 +176,22 @@
 	}
 	var r Result
 	steps := 0
-	for now := time.Duration(0); now < length; now += tick {
-		load := w.demand.advance(now)
-		w.look(now, load)
-		busiest, mean := balance.StepLoad(shape, w.current, load, cost)
+	for now := time.Duration(0); now < duration; now += tickInterval {
+		load := s.demand.advance(now)
+		s.step(now, load)
+		busiest, mean := balance.StepLoad(shape, s.current, load, cost)
 		skew := busiest / mean
 		r.Skew += skew
-		step := (fixed + skew) / (fixed + 1)
-		if w.switchEnds > 0 {
-			step *= 1 + slow
+		stepTime := (fixed + skew) / (fixed + 1)
+		if s.switchEnd > 0 {
+			stepTime *= 1 + copySlowdown
 		}
-		r.StepTime += step
-		pass := time.Duration(step * (fixed + 1) * float64(w.unit))
-		if pass > site.MaxPause {
+		r.StepTime += stepTime
+		passTime := time.Duration(stepTime * (fixed + 1) * float64(s.timeUnit))
+		if passTime > deployment.MaxPause {
 			r.OverPauseShare++
 		}
-		w.passed += float64(tick) / float64(max(pass, tick))
+		s.passes += float64(tickInterval) / float64(max(passTime, tickInterval))
 		if skew > lateSkew {
 			r.LateShare++
 		}
@@ -190,83 +201,84 @@
 	r.Skew /= float64(steps)
 	r.LateShare /= float64(steps)
 	r.OverPauseShare /= float64(steps)
-	r.CopiesPerSecond = float64(w.copies) / length.Seconds()
-	r.SwitchesPerSecond = float64(w.counted) / length.Seconds()
+	r.CopiesPerSecond = float64(s.copies) / duration.Seconds()
+	r.SwitchesPerSecond = float64(s.switches) / duration.Seconds()
 	return r
 }
 
-// look is one tick of the control leader.
-func (w *world) look(now time.Duration, load []float64) {
-	if w.follower == nil {
+// step runs one tick of the control leader.
+func (s *simulation) step(now time.Duration, load []float64) {
+	if s.follower == nil {
 		return
 	}
-	w.count(load)
-	if w.switchEnds > 0 && now >= w.switchEnds {
-		w.current, w.switchEnds = w.next, 0
+	s.accumulate(load)
+	if s.switchEnd > 0 && now >= s.switchEnd {
+		s.current, s.switchEnd = s.next, 0
 	}
-	due := now%w.policy.Interval == 0 && now > 0
-	if !due || w.policy.SkipDuringSwitch && w.switchEnds > 0 {
+	due := now%s.policy.Interval == 0 && now > 0
+	if !due || s.policy.SkipDuringSwitch && s.switchEnd > 0 {
 		return
 	}
-	if w.policy.Oracle {
-		w.follower.Observe(load)
+	if s.policy.Oracle {
+		s.follower.Observe(load)
 	} else {
-		w.follower.Observe(w.noisy())
+		s.follower.Observe(s.noisyObservation())
 	}
-	clear(w.seen)
-	if w.switchEnds > 0 {
+	clear(s.observed)
+	if s.switchEnd > 0 {
 		return
 	}
-	if w.follower.Jumped() {
-		w.spell.Jumped(now)
+	if s.follower.Jumped() {
+		s.spell.Jumped(now)
 	}
-	w.follower.SetHold(w.spell.Left(now).Seconds())
-	if w.policy.PauseAware {
-		w.pace.Counted(now, uint64(w.passed), w.follower.Relative(w.current))
-		w.follower.SetPace(w.pace.Unit(), w.pause)
+	s.follower.SetHold(s.spell.Left(now).Seconds())
+	if s.policy.PauseAware {
+		s.pace.Counted(now, uint64(s.passes), s.follower.Relative(s.current))
+		s.follower.SetPace(s.pace.Unit(), s.maxPause)
 	}
-	decision := w.follower.Decide(w.current)
+	decision := s.follower.Decide(s.current)
 	if !decision.Switch {
 		return
 	}
-	moves := group.Moves(w.current, decision.Map)
-	w.copies += decision.Moves
-	w.counted++
-	w.next = decision.Map
-	copying := time.Duration(float64(slices.Max(moves)) * w.policy.Config.CopySeconds * float64(time.Second))
-	w.switchEnds = now + copying + w.orders
+	moves := group.Moves(s.current, decision.Map)
+	s.copies += decision.Moves
+	s.switches++
+	s.next = decision.Map
+	copying := time.Duration(float64(slices.Max(moves)) * s.policy.Config.CopySeconds * float64(time.Second))
+	s.switchEnd = now + copying + s.coordinationTime
 }
 
-// count takes in what is counted now, which is known after the delay.
-func (w *world) count(load []float64) {
-	w.past = append(w.past, slices.Clone(load))
-	if len(w.past) <= int(w.policy.ObservationDelay/tick) {
+// accumulate records the present load, and adds to observed the load whose observation delay
+// has passed.
+func (s *simulation) accumulate(load []float64) {
+	s.delayed = append(s.delayed, slices.Clone(load))
+	if len(s.delayed) <= int(s.policy.ObservationDelay/tickInterval) {
 		return
 	}
-	for i, tokens := range w.past[0] {
-		w.seen[i] += tokens
+	for i, tokens := range s.delayed[0] {
+		s.observed[i] += tokens
 	}
-	w.past = w.past[1:]
+	s.delayed = s.delayed[1:]
 }
 
-// picksPerSecond is how many choices of an expert are counted in a layer, at the
-// load of a quiet day, from the scatter of its observations: an expert with 4% of
-// the choices was seen with 4.0 to 5.4% of those of 150 ms.
-const picksPerSecond = 16000
+// selectionsPerSecond is the number of expert selections counted per layer and second under
+// light daily load. It is derived from the scatter of observations: an expert with 4% of the
+// selections had 4.0 to 5.4% of those counted in 150 ms.
+const selectionsPerSecond = 16000
 
-// noisy returns what was seen, with the scatter of counts.
-func (w *world) noisy() []float64 {
-	seen := slices.Clone(w.seen)
-	experts := w.shape.Experts
+// noisyObservation returns the observed load with the sampling noise of counts.
+func (s *simulation) noisyObservation() []float64 {
+	seen := slices.Clone(s.observed)
+	experts := s.shape.Experts
 	for first := 0; first < len(seen); first += experts {
 		var sum float64
 		for _, tokens := range seen[first : first+experts] {
 			sum += tokens
 		}
-		picks := sum * tick.Seconds() * picksPerSecond
+		selections := sum * tickInterval.Seconds() * selectionsPerSecond
 		for i := first; i < first+experts && sum > 0; i++ {
 			share := seen[i] / sum
-			seen[i] = max(0, sum*(share+math.Sqrt(share/picks)*w.noise.NormFloat64()))
+			seen[i] = max(0, sum*(share+math.Sqrt(share/selections)*s.noise.NormFloat64()))
 		}
 	}
 	return seen
