--- a/measure/overhead/calls.go
+++ b/measure/overhead/calls.go
@@ -9,20 +9,21 @@
 	"strings"
 )
 
-// client keeps enough connections that none is opened while measuring.
+// client keeps enough idle connections that none has to be opened during a
+// measurement.
 var client = &http.Client{Transport: &http.Transport{MaxIdleConns: 0, MaxIdleConnsPerHost: 1 << 14}}
 
-// doneEvent ends a stream of the completions API.
+// doneEvent is the last event of a stream of the completions API.
 const doneEvent = "data: [DONE]\n\n"
 
-// chatBody returns a request for a stream of the given number of tokens.
+// chatBody returns the body of a request for a stream of the given number of tokens.
 func chatBody(tokens int) []byte {
 	return fmt.Appendf(nil, `{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`,
 		Model, tokens, strings.Repeat("why is the pairing legal ", 8))
 }
 
-// Complete calls the model at base, the entry or the engine itself, and reads
-// the whole stream.
+// Complete requests a streamed completion at base, the URL of the entry or of an
+// engine, and reads the whole stream.
 func (f *Fleet) Complete(base string, tokens int) error {
 	response, err := f.post(base+"/v1/chat/completions", chatBody(tokens))
 	if err != nil {
@@ -31,19 +32,21 @@
 	return readStream(response)
 }
 
-// Act makes a call of the service that may not be repeated.
+// CallNonIdempotent makes a non-idempotent call of the service through the entry.
 func (f *Fleet) CallNonIdempotent() error { return f.CallNonIdempotentAt(f.EntryURL) }
 
-// ActAt is Act at base, the entry or the service itself.
+// CallNonIdempotentAt makes a non-idempotent call at base, the URL of the entry or of
+// the service.
 func (f *Fleet) CallNonIdempotentAt(base string) error {
 	response, err := f.post(base+ServicePrefix+"/swap", []byte(`{"crew":"AB","duty":7}`))
 	if err != nil {
 		return err
 	}
-	return drain(response)
+	return readResponse(response)
 }
 
-// Read makes a call of the service that may be repeated.
+// CallIdempotent makes an idempotent call at base, the URL of the entry or of the
+// service.
 func (f *Fleet) CallIdempotent(base string) error {
 	request, err := http.NewRequest(http.MethodGet, base+ServicePrefix+"/duties", nil)
 	if err != nil {
@@ -54,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	return drain(response)
+	return readResponse(response)
 }
 
 func (f *Fleet) post(url string, body []byte) (*http.Response, error) {
@@ -67,7 +70,9 @@
 	return client.Do(request)
 }
 
-func drain(response *http.Response) error {
+// readResponse reads and closes the body, and returns an error unless the status is
+// 200.
+func readResponse(response *http.Response) error {
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	if err == nil && response.StatusCode != http.StatusOK {
@@ -76,6 +81,8 @@
 	return err
 }
 
+// readStream reads and closes the body, and returns an error unless the status is 200
+// and the stream is complete.
 func readStream(response *http.Response) error {
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
@@ -85,7 +92,7 @@
 	case response.StatusCode != http.StatusOK:
 		return fmt.Errorf("status %d: %s", response.StatusCode, body)
 	case !bytes.HasSuffix(body, []byte(doneEvent)):
-		return errors.New("the stream ended without its last event; see the logs of entry and agent")
+		return errors.New("stream ended without the [DONE] event; see the logs of entry and agent")
 	}
 	return nil
 }
--- a/measure/overhead/cluster.go
+++ b/measure/overhead/cluster.go
@@ -14,18 +14,18 @@
 	"github.com/lilackeel/lilackeel/setting"
 )
 
-// replicas is the number of control replicas of a cluster.
+// replicas is the number of control replicas in a cluster.
 const replicas = 3
 
-// cluster is a set of real control replicas in this process, each with a synced
-// log in a folder of its own.
+// cluster is a set of real control replicas in this process, each with its own data
+// directory and a log that is synced to disk.
 type cluster struct {
-	list  []string
-	pool  *link.Pool
-	stops []func()
+	addresses []string
+	pool      *link.Pool
+	stops     []func()
 }
 
-// startCluster starts control replicas whose logs are below dir.
+// startCluster starts control replicas with data directories below dir.
 func startCluster(dir string) (*cluster, error) {
 	options, err := link.DialOptions(link.Config{})
 	if err != nil {
@@ -39,7 +39,7 @@
 			return nil, err
 		}
 		peers[id+1] = addr
-		c.list = append(c.list, addr)
+		c.addresses = append(c.addresses, addr)
 	}
 	for id, addr := range peers {
 		if err := c.startReplica(id, addr, peers, dir); err != nil {
@@ -50,7 +50,8 @@
 	return c, nil
 }
 
-// freeAddress returns a loopback address that nobody listens on.
+// freeAddress returns a loopback address with an unused port. Another process may
+// take the port before it is used.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,7 +61,7 @@
 }
 
 func (c *cluster) startReplica(id uint64, addr string, peers map[uint64]string, dir string) error {
-	// Register fills in the defaults of what is not set here.
+	// Register sets the defaults of all settings that are not set below.
 	settings := &control.Settings{}
 	settings.Register(setting.New("lilackeel-control"))
 	settings.ID, settings.Host, settings.Listen, settings.Peers = id, fmt.Sprint("control-", id), addr, peers
@@ -68,7 +69,7 @@
 	if err := os.MkdirAll(settings.DataDir, 0o750); err != nil {
 		return err
 	}
-	daemon, err := control.New(settings, quiet())
+	daemon, err := control.New(settings, discardLogger())
 	if err != nil {
 		return err
 	}
@@ -82,7 +83,7 @@
 	return nil
 }
 
-func (c *cluster) addrs() []string { return c.list }
+func (c *cluster) addrs() []string { return c.addresses }
 
 func (c *cluster) stop() {
 	for _, stop := range c.stops {
@@ -91,19 +92,19 @@
 	_ = c.pool.Close()
 }
 
-// accept plans and confirms an intent as soon as a leader is there and knows
-// the endpoints.
+// accept plans and confirms an intent. It retries until there is a leader that
+// knows the endpoints, with a different intent ID for each attempt.
 func (c *cluster) accept(intent *controlv1.Intent) error {
-	var last error
-	name := intent.GetId()
-	for try, end := 0, time.Now().Add(startTimeout); time.Now().Before(end); try++ {
-		intent.Id = fmt.Sprintf("%s-%d", name, try)
-		if last = c.acceptOnce(intent, c.list[try%len(c.list)]); last == nil {
+	var lastErr error
+	baseID := intent.GetId()
+	for attempt, deadline := 0, time.Now().Add(startTimeout); time.Now().Before(deadline); attempt++ {
+		intent.Id = fmt.Sprintf("%s-%d", baseID, attempt)
+		if lastErr = c.acceptOnce(intent, c.addresses[attempt%len(c.addresses)]); lastErr == nil {
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return last
+	return lastErr
 }
 
 func (c *cluster) acceptOnce(intent *controlv1.Intent, addr string) error {
--- a/measure/overhead/fleet.go
+++ b/measure/overhead/fleet.go
@@ -1,10 +1,10 @@
-// Package overhead measures what the path of a request costs: entry and agent
-// over a direct call of the endpoint, in time, processor time and allocations,
-// the streams that an entry holds and their memory, the claim of a call that is
-// not idempotent, and how all that grows with the number of endpoints.
+// Package overhead measures the cost of the request path through entry and agent:
+// latency, CPU time and allocations compared with direct calls of the endpoint,
+// the memory of open streams, the claims of non-idempotent calls, and how latency
+// grows with the number of endpoints.
 //
-// All figures are taken in one process on loopback and are reported as ratios
-// or differences within one run.
+// All components run in one process and communicate over loopback, so that only
+// ratios and differences within one run are meaningful.
 package overhead
 
 import (
@@ -29,13 +29,13 @@
 	"github.com/lilackeel/lilackeel/standin"
 )
 
-// Names in the fleet.
+// Names used in the fleet.
 const (
-	// Key is the workspace key of the fleet's only workspace.
+	// WorkspaceKey is the key of the fleet's only workspace.
 	WorkspaceKey = "measure-key"
 	// Model is the model that the engines serve.
 	Model = "draft"
-	// ServicePrefix is the path prefix of the plain service.
+	// ServicePrefix is the URL path prefix of the plain service.
 	ServicePrefix = "/roster-api"
 
 	workspaceName = "measure"
@@ -43,67 +43,70 @@
 	enginePool    = "lilackeel-pool"
 	servicePool   = "roster-api"
 	startTimeout  = 10 * time.Second
-	// slots is enough that admission never waits.
+	// slots is so high that no request is queued by admission control.
 	slots = 1 << 14
 )
 
-// FleetConfig describes a fleet on loopback.
+// FleetConfig configures a fleet.
 type FleetConfig struct {
-	// Engine describes the stand-in engine.
+	// Engine configures the stand-in engines.
 	Engine standin.EngineConfig
-	// ServiceTime is the time of a call of the stand-in service.
+	// ServiceTime is the time that the stand-in service takes for a call.
 	ServiceTime time.Duration
-	// Endpoints is the number of engines, 1 if zero. All of them are the same
-	// stand-in behind the same agent, under names of their own.
+	// Endpoints is the number of engine endpoints, 1 if zero. They share one
+	// stand-in engine and one agent, under different IDs.
 	Endpoints int
-	// Separate gives each engine a stand-in of its own.
+	// SeparateEngines gives each endpoint its own stand-in engine.
 	SeparateEngines bool
-	// PollInterval is the time between the agent's looks at an engine; zero keeps
-	// the looks of all engines at what a host of a real fleet has.
+	// PollInterval is the interval at which the agent polls each engine. If it is
+	// zero, the total rate of polls is at most that of a host in production.
 	PollInterval time.Duration
-	// DataDir, if set, is where three real control replicas keep their synced
-	// logs; without it the control state is in memory and not replicated.
+	// DataDir, if set, is the directory for the logs of three real control
+	// replicas; without it the control state is in memory and not replicated.
 	DataDir string
-	// Configure changes the entry's settings, if set.
+	// ConfigureEntry, if set, modifies the settings of the entry.
 	ConfigureEntry func(*entry.Config)
 }
 
-// Fleet is one entry, one agent, stand-in engines and one stand-in service in this
-// process, connected over loopback.
+// Fleet is an entry, an agent, stand-in engines, a stand-in service and a control
+// plane in this process, connected over loopback.
 type Fleet struct {
-	// EntryURL is where callers call, EngineURL and ServiceURL the stand-ins.
+	// EntryURL is the base URL of the entry, EngineURL and ServiceURL are those of
+	// the stand-ins.
 	EntryURL, EngineURL, ServiceURL string
-	// Engine and Service are the stand-ins themselves.
+	// Engine is the first stand-in engine.
 	Engine *standin.Engine
-	// Engines and EngineURLs are by endpoint; Engine and EngineURL are the first.
+	// Engines and EngineURLs have one element per endpoint; Engine and EngineURL
+	// are the first ones.
 	Engines    []*standin.Engine
 	EngineURLs []string
-	// Entry is the entry.
+	// Entry is the entry, and Service the stand-in service.
 	Entry   *entry.Daemon
 	Service *standin.Service
-	// StopEntry begins the planned stop of the entry, EntryDone ends with it.
+	// StopEntry starts the graceful shutdown of the entry; EntryDone receives its
+	// result.
 	StopEntry context.CancelFunc
 	EntryDone chan error
 
-	stops []func()
+	cleanups []func()
 }
 
-// controlSide is what a fleet needs of the control replicas.
-type controlSide interface {
+// controlPlane is the part of the control replicas that a fleet uses.
+type controlPlane interface {
 	addrs() []string
-	// accept carries an intent through as soon as the endpoints are known.
+	// accept plans and confirms an intent as soon as its endpoints are known.
 	accept(intent *controlv1.Intent) error
 	stop()
 }
 
-func startControl(cfg FleetConfig) (controlSide, error) {
+func startControl(cfg FleetConfig) (controlPlane, error) {
 	if cfg.DataDir == "" {
-		return startReplica()
+		return startMemoryReplica()
 	}
 	return startCluster(cfg.DataDir)
 }
 
-// StartFleet starts a fleet and waits until it serves.
+// StartFleet starts a fleet and waits until it serves requests.
 func StartFleet(cfg FleetConfig) (*Fleet, error) {
 	cfg.Engine.Model = Model
 	f := &Fleet{Service: standin.NewService(cfg.ServiceTime), EntryDone: make(chan error, 1)}
@@ -114,12 +117,12 @@
 		f.Close()
 		return nil, err
 	}
-	f.stops = append(f.stops, control.stop)
+	f.cleanups = append(f.cleanups, control.stop)
 	for _, start := range []func() error{
 		func() error { return f.startAgent(cfg, control.addrs()) },
-		func() error { return f.configure(cfg, control) },
+		func() error { return f.applyConfiguration(cfg, control) },
 		func() error { return f.startEntry(cfg, strings.Join(control.addrs(), ",")) },
-		f.await,
+		f.waitUntilServing,
 	} {
 		if err := start(); err != nil {
 			f.Close()
@@ -129,24 +132,24 @@
 	return f, nil
 }
 
-// Close stops everything at once.
+// Close stops all components without a graceful shutdown.
 func (f *Fleet) Close() {
-	for i := len(f.stops) - 1; i >= 0; i-- {
-		f.stops[i]()
+	for i := len(f.cleanups) - 1; i >= 0; i-- {
+		f.cleanups[i]()
 	}
 }
 
 func (f *Fleet) serve(handler http.Handler) string {
 	server := httptest.NewServer(handler)
-	f.stops = append(f.stops, func() {
+	f.cleanups = append(f.cleanups, func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
 	return server.URL
 }
 
-// startEngines starts the stand-in engines, one for all endpoints unless they
-// are to be separate.
+// startEngines starts the stand-in engines, one for all endpoints unless
+// SeparateEngines is set.
 func (f *Fleet) startEngines(cfg FleetConfig) {
 	for i := range max(cfg.Endpoints, 1) {
 		if i == 0 || cfg.SeparateEngines {
@@ -160,7 +163,7 @@
 }
 
 func (f *Fleet) startAgent(cfg FleetConfig, control []string) error {
-	// Register fills in the defaults of what is not set here.
+	// Register sets the defaults of all settings that are not set below.
 	settings := &agent.Settings{}
 	settings.Register(setting.New("lilackeel-agent"))
 	settings.Name, settings.Host, settings.Zone, settings.Region = "agent", "host", "zone", "region"
@@ -176,14 +179,14 @@
 	settings.Endpoints = append(settings.Endpoints, agent.Endpoint{
 		ID: "service-1", Pool: servicePool, Kind: agent.KindService, URL: f.ServiceURL, Slots: slots,
 	})
-	daemon, err := agent.New(settings, quiet())
+	daemon, err := agent.New(settings, discardLogger())
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- daemon.Run(ctx) }()
-	f.stops = append(f.stops, func() {
+	f.cleanups = append(f.cleanups, func() {
 		cancel()
 		select {
 		case <-done:
@@ -193,8 +196,8 @@
 	return nil
 }
 
-// pollInterval keeps the polls of the one agent at what a host of a real fleet
-// has, however many endpoints it stands for.
+// pollInterval returns an interval at which the single agent polls no more often
+// than an agent of a production host, whatever the number of endpoints.
 func pollInterval(cfg FleetConfig) time.Duration {
 	if cfg.PollInterval > 0 {
 		return cfg.PollInterval
@@ -205,12 +208,13 @@
 
 func engineID(i int) string { return fmt.Sprintf("engine-%d", i+1) }
 
-func quiet() *slog.Logger {
+func discardLogger() *slog.Logger {
 	return slog.New(slog.NewJSONHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelWarn}))
 }
 
-// configure accepts the intent that puts everything in service.
-func (f *Fleet) configure(cfg FleetConfig, control controlSide) error {
+// applyConfiguration accepts an intent that defines the workspace, the model and the
+// service, and sets all endpoints to serving.
+func (f *Fleet) applyConfiguration(cfg FleetConfig, control controlPlane) error {
 	digest := sha256.Sum256([]byte(WorkspaceKey))
 	intent := &controlv1.Intent{
 		Id: "serve", Operator: "measure",
@@ -219,13 +223,13 @@
 		Services:   []*fleetv1.Service{{Name: servicePool, Pool: servicePool, PathPrefix: ServicePrefix}},
 	}
 	for i := range max(cfg.Endpoints, 1) {
-		intent.Endpoints = append(intent.Endpoints, serving(engineID(i)))
+		intent.Endpoints = append(intent.Endpoints, servingChange(engineID(i)))
 	}
-	intent.Endpoints = append(intent.Endpoints, serving("service-1"))
+	intent.Endpoints = append(intent.Endpoints, servingChange("service-1"))
 	return control.accept(intent)
 }
 
-func serving(id string) *controlv1.EndpointChange {
+func servingChange(id string) *controlv1.EndpointChange {
 	return &controlv1.EndpointChange{Id: id, State: fleetv1.EndpointState_ENDPOINT_STATE_SERVING}
 }
 
@@ -243,7 +247,7 @@
 	if cfg.ConfigureEntry != nil {
 		cfg.ConfigureEntry(&settings)
 	}
-	daemon, err := entry.New(settings, quiet())
+	daemon, err := entry.New(settings, discardLogger())
 	if err != nil {
 		return err
 	}
@@ -251,18 +255,18 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	f.StopEntry = cancel
 	go func() { f.EntryDone <- daemon.Run(ctx) }()
-	f.stops = append(f.stops, cancel)
+	f.cleanups = append(f.cleanups, cancel)
 	return nil
 }
 
-// await waits until a model call and a claimed call are answered.
-func (f *Fleet) await() error {
-	var last error
-	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		last = errors.Join(f.Complete(f.EntryURL, 1), f.CallNonIdempotent())
-		if last == nil {
+// waitUntilServing waits until a model call and a call that needs a claim succeed.
+func (f *Fleet) waitUntilServing() error {
+	var lastErr error
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+		lastErr = errors.Join(f.Complete(f.EntryURL, 1), f.CallNonIdempotent())
+		if lastErr == nil {
 			return nil
 		}
 	}
-	return last
+	return lastErr
 }
--- a/measure/overhead/replica.go
+++ b/measure/overhead/replica.go
@@ -16,10 +16,10 @@
 	"github.com/lilackeel/lilackeel/link"
 )
 
-// replica is a control replica without replication: the real state machine
-// behind one lock, in memory. It stands for the control side where its cost is
-// not what is measured.
-type replica struct {
+// memoryReplica is a control replica without replication: the real state machine
+// in memory, behind one lock. It is used where the cost of the control plane is
+// not measured.
+type memoryReplica struct {
 	controlv1.UnimplementedControlServer
 	addr   string
 	server *grpc.Server
@@ -32,7 +32,7 @@
 	changed chan struct{}
 }
 
-func startReplica() (*replica, error) {
+func startMemoryReplica() (*memoryReplica, error) {
 	options, err := link.ServerOptions(link.Config{})
 	if err != nil {
 		return nil, err
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &replica{
+	r := &memoryReplica{
 		addr: listener.Addr().String(), server: grpc.NewServer(options...), announced: make(chan struct{}),
 		state: contract.NewState(), changed: make(chan struct{}),
 	}
@@ -51,8 +51,8 @@
 	return r, nil
 }
 
-// apply carries out one command and wakes the watchers of a new revision.
-func (r *replica) apply(encode func(logTime int64) ([]byte, error)) (*contract.Result, error) {
+// apply applies one command, and wakes the watchers if it creates a new revision.
+func (r *memoryReplica) apply(encode func(logTime int64) ([]byte, error)) (*contract.Result, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	data, err := encode(time.Now().UnixNano())
@@ -72,16 +72,16 @@
 	return result, nil
 }
 
-func (r *replica) addrs() []string { return []string{r.addr} }
+func (r *memoryReplica) addrs() []string { return []string{r.addr} }
 
-func (r *replica) stop() { r.server.Stop() }
+func (r *memoryReplica) stop() { r.server.Stop() }
 
 // accept plans and confirms an intent once the endpoints are known.
-func (r *replica) accept(intent *controlv1.Intent) error {
+func (r *memoryReplica) accept(intent *controlv1.Intent) error {
 	select {
 	case <-r.announced:
 	case <-time.After(startTimeout):
-		return fmt.Errorf("the agent did not announce itself within %v; run it on a less busy machine", startTimeout)
+		return fmt.Errorf("agent did not announce itself within %v; run the measurement on a less busy machine", startTimeout)
 	}
 	planned, err := r.apply(func(now int64) ([]byte, error) { return contract.EncodePlan(now, intent) })
 	if err != nil {
@@ -96,19 +96,19 @@
 }
 
 // Announce implements controlv1.ControlServer.
-func (r *replica) Announce(_ context.Context, request *controlv1.AnnounceRequest) (*controlv1.AnnounceResponse, error) {
+func (r *memoryReplica) Announce(_ context.Context, request *controlv1.AnnounceRequest) (*controlv1.AnnounceResponse, error) {
 	const lease = 2 * time.Second
 	if request.GetFull() {
 		_, err := r.apply(func(now int64) ([]byte, error) { return contract.EncodeAnnounce(now, request) })
 		if err != nil {
 			return nil, err
 		}
-		r.noteAnnounced()
+		r.markAnnounced()
 	}
 	return &controlv1.AnnounceResponse{LeaseMs: lease.Milliseconds(), Revision: r.Revision()}, nil
 }
 
-func (r *replica) noteAnnounced() {
+func (r *memoryReplica) markAnnounced() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
@@ -119,12 +119,12 @@
 }
 
 // ReadFence implements controlv1.ControlServer.
-func (r *replica) ReadFence(context.Context, *controlv1.ReadFenceRequest) (*controlv1.ReadFenceResponse, error) {
+func (r *memoryReplica) ReadFence(context.Context, *controlv1.ReadFenceRequest) (*controlv1.ReadFenceResponse, error) {
 	return &controlv1.ReadFenceResponse{Fence: 1}, nil
 }
 
 // Claim implements controlv1.ControlServer.
-func (r *replica) Claim(_ context.Context, request *controlv1.ClaimRequest) (*controlv1.ClaimResponse, error) {
+func (r *memoryReplica) Claim(_ context.Context, request *controlv1.ClaimRequest) (*controlv1.ClaimResponse, error) {
 	result, err := r.apply(func(now int64) ([]byte, error) { return contract.EncodeClaim(now, request) })
 	if err != nil {
 		return nil, err
@@ -133,7 +133,7 @@
 }
 
 // Settle implements controlv1.ControlServer.
-func (r *replica) Settle(_ context.Context, request *controlv1.SettleRequest) (*controlv1.SettleResponse, error) {
+func (r *memoryReplica) Settle(_ context.Context, request *controlv1.SettleRequest) (*controlv1.SettleResponse, error) {
 	result, err := r.apply(func(now int64) ([]byte, error) { return contract.EncodeSettle(now, request) })
 	if err != nil {
 		return nil, err
@@ -142,13 +142,13 @@
 }
 
 // Revision implements feed.Source.
-func (r *replica) Revision() uint64 { return r.state.Revision() }
+func (r *memoryReplica) Revision() uint64 { return r.state.Revision() }
 
 // Configuration implements feed.Source.
-func (r *replica) Configuration() *fleetv1.Configuration { return r.state.Configuration() }
+func (r *memoryReplica) Configuration() *fleetv1.Configuration { return r.state.Configuration() }
 
 // DeltaSince implements feed.Source.
-func (r *replica) DeltaSince(revision uint64) *fleetv1.Delta {
+func (r *memoryReplica) DeltaSince(revision uint64) *fleetv1.Delta {
 	delta, known := r.state.DeltaSince(revision)
 	if !known {
 		return nil
@@ -157,14 +157,14 @@
 }
 
 // Changed implements feed.Source.
-func (r *replica) Changed() <-chan struct{} {
+func (r *memoryReplica) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
 
 // Freshness implements feed.Source.
-func (r *replica) Freshness() (uint64, time.Time, bool) {
+func (r *memoryReplica) Freshness() (uint64, time.Time, bool) {
 	at := time.Now()
 	return r.Revision(), at, true
 }
--- a/measure/overhead/run.go
+++ b/measure/overhead/run.go
@@ -16,101 +16,104 @@
 	"github.com/lilackeel/lilackeel/standin"
 )
 
-// Sizes of the measurement.
+// Numbers of calls and streams.
 const (
-	// warmups is the number of calls before the samples that are counted.
-	warmups = 200
-	// samples is the number of calls of each kind that are counted.
-	samples = 3000
-	// loadWorkers make loadCalls calls in all.
+	// warmupCalls is the number of calls made before those that are measured.
+	warmupCalls = 200
+	// measuredCalls is the number of measured calls of each kind.
+	measuredCalls = 3000
+	// loadWorkers is the number of concurrent callers under load, loadCalls the
+	// total number of their calls.
 	loadWorkers = 32
 	loadCalls   = 20000
-	// heldStreams is the number of streams held open at once.
+	// heldStreams is the number of streams that are open at the same time.
 	heldStreams = 2000
-	// pickSamples is the number of calls counted for each number of endpoints.
-	pickSamples = 1500
+	// scalingCalls is the number of measured calls for each number of endpoints.
+	scalingCalls = 1500
 )
 
-// Figures are what Run measures. Times are in microseconds.
+// Figures are the results of Run. Times are in microseconds.
 type Figures struct {
-	// Streamed is a streamed chat completion of one token, Read a call of the
-	// service that may be repeated, Claimed one that may not.
+	// Streamed is a streamed chat completion of one token, Read an idempotent
+	// service call, and Claimed a non-idempotent service call.
 	Streamed, Read, Claimed Comparison
-	// Load is the cost of a request under load.
+	// Load is the cost of a completion under load.
 	Load RequestCost
-	// Streams is what held streams cost.
+	// Streams is the memory cost of open streams.
 	Streams StreamCost
-	// Claims is the time of a claimed call by the number at once.
+	// Claims is the latency of non-idempotent calls at several concurrency levels.
 	Claims []ClaimLatency
-	// Growth is the time of a model call by the number of endpoints.
+	// Growth is the latency of model calls for several numbers of endpoints.
 	Growth []EndpointScaling
-	// Token is the cost of one streamed token.
+	// Token is the CPU cost of one streamed token.
 	Token TokenCost `json:"token"`
 }
 
-// Comparison sets the path against a direct call. The calls alternate, so that
-// what else the machine does meets both alike.
+// Comparison compares the latency of calls through entry and agent with that of
+// direct calls. The two alternate, so that other load on the machine affects both
+// equally.
 type Comparison struct {
-	// DirectP50 and DirectP99 are of direct calls, PathP50 and PathP99 of calls
-	// by way of entry and agent.
+	// DirectP50 and DirectP99 are quantiles of direct calls, PathP50 and PathP99
+	// of calls through entry and agent.
 	DirectP50, DirectP99, PathP50, PathP99 float64
-	// AddedP50 and AddedP99 are what the path adds.
+	// AddedP50 and AddedP99 are the differences of these quantiles.
 	AddedP50, AddedP99 float64
 }
 
-// Cost is what one request costs under load, for the whole process (caller,
-// entry, agent and stand-in) and beyond a direct call.
+// RequestCost is the cost of one request under load, for the whole process (caller,
+// entry, agent and stand-in), and that of a direct call for comparison.
 type RequestCost struct {
 	// RequestsPerSecond is the rate of completed requests.
 	RequestsPerSecond float64
-	// CPUMicros is the processor time of a request in microseconds, and
-	// DirectCPUMicros that of a direct call.
+	// CPUMicros is the CPU time of a request in microseconds, and DirectCPUMicros
+	// that of a direct call.
 	CPUMicros, DirectCPUMicros float64
 	// Allocations is the number of heap allocations of a request, and
 	// DirectAllocations that of a direct call.
 	Allocations, DirectAllocations float64
-	// AllocatedBytes is the size of the allocations of a request.
+	// AllocatedBytes is the total size of the heap allocations of a request.
 	AllocatedBytes float64
 }
 
-// StreamCost is what one held stream costs, for entry, agent, stand-in and
-// caller together.
+// StreamCost is the memory of open streams, for caller, entry, agent and stand-in
+// together.
 type StreamCost struct {
-	// Held is the number of streams held at once.
+	// Held is the number of streams that are open at the same time.
 	Held int
-	// BytesPerStream is the memory of a stream through entry and agent.
+	// BytesPerStream is the memory per stream through entry and agent.
 	BytesPerStream float64
-	// DirectBytesPerStream is the same for streams of the stand-in itself.
+	// DirectBytesPerStream is the memory per stream directly from the stand-in.
 	DirectBytesPerStream float64
 }
 
-// AtOnce is the time of a claimed call when so many are under way at once.
+// ClaimLatency is the latency of non-idempotent calls, which need a claim, at one
+// concurrency level.
 type ClaimLatency struct {
-	// Calls is the number of calls under way at once.
+	// Calls is the number of concurrent calls.
 	Calls int
-	// P50 and P99 are quantiles of the time of a call.
+	// P50 and P99 are quantiles of the latency.
 	P50, P99 float64
 	// RequestsPerSecond is the rate of completed calls.
 	RequestsPerSecond float64
-	// PlainP50 is the median of completions, which need no claim, in the same
-	// run.
+	// PlainP50 is the median latency of completions, which need no claim, at the
+	// same concurrency in the same run.
 	PlainP50 float64
 }
 
-// Growth is the time of a model call with a number of endpoints.
+// EndpointScaling is the latency of model calls for one number of endpoints.
 type EndpointScaling struct {
-	// Endpoints is the number of endpoints in the fleet.
+	// Endpoints is the number of engine endpoints in the fleet.
 	Endpoints int
-	// P50 and P99 are quantiles of the time of a call.
+	// P50 and P99 are quantiles of the latency.
 	P50, P99 float64
 }
 
-// Run takes all measurements, writes them to w in words and to
-// outDir/overhead.json.
+// Run makes all measurements, writes a readable summary to w and the figures to
+// outDir/overhead.json. The seed is only printed.
 func Run(w io.Writer, seed uint64, outDir string) error {
 	fmt.Fprintf(w, "overhead of entry and agent, seed %d, GOMAXPROCS %d, %s\n", seed, runtime.GOMAXPROCS(0), runtime.Version())
 	var figures Figures
-	for _, measure := range []func(io.Writer, *Figures) error{comparisons, underLoad, tokens, streams, claims, growth} {
+	for _, measure := range []func(io.Writer, *Figures) error{measureComparisons, measureLoad, measureTokens, measureStreams, measureClaims, measureScaling} {
 		if err := measure(w, &figures); err != nil {
 			return err
 		}
@@ -125,8 +128,8 @@
 	return os.WriteFile(filepath.Join(outDir, "overhead.json"), text, 0o640)
 }
 
-// comparisons measures the three kinds of call one at a time.
-func comparisons(w io.Writer, figures *Figures) error {
+// measureComparisons measures the three kinds of calls, without concurrency.
+func measureComparisons(w io.Writer, figures *Figures) error {
 	f, err := StartFleet(FleetConfig{Engine: standin.EngineConfig{Slots: slots}})
 	if err != nil {
 		return err
@@ -141,7 +144,7 @@
 		{"service read", &figures.Read, func() error { return f.CallIdempotent(f.ServiceURL) }, func() error { return f.CallIdempotent(f.EntryURL) }},
 		{"claimed call (claims in memory)", &figures.Claimed, func() error { return f.CallNonIdempotentAt(f.ServiceURL) }, f.CallNonIdempotent},
 	} {
-		if err := each.result.take(each.direct, each.path); err != nil {
+		if err := each.result.measure(each.direct, each.path); err != nil {
 			return err
 		}
 		fmt.Fprintf(w, "%-32s direct p50 %6.0f us p99 %6.0f us; path p50 %6.0f us p99 %6.0f us; added p50 %6.0f us p99 %6.0f us\n", each.name,
@@ -150,17 +153,18 @@
 	return nil
 }
 
-// take makes the calls, direct and path in turn, and fills in the quantiles.
-func (c *Comparison) take(direct, path func() error) error {
+// measure makes direct calls and calls through the entry in turn, and sets the
+// quantiles.
+func (c *Comparison) measure(direct, viaEntry func() error) error {
 	var times [2][]time.Duration
-	for i := range warmups + samples {
-		for j, do := range []func() error{direct, path} {
-			begun := time.Now()
-			if err := do(); err != nil {
+	for i := range warmupCalls + measuredCalls {
+		for j, call := range []func() error{direct, viaEntry} {
+			start := time.Now()
+			if err := call(); err != nil {
 				return err
 			}
-			if i >= warmups {
-				times[j] = append(times[j], time.Since(begun))
+			if i >= warmupCalls {
+				times[j] = append(times[j], time.Since(start))
 			}
 		}
 	}
@@ -177,64 +181,66 @@
 	return micros(times[len(times)/2]), micros(times[len(times)*99/100])
 }
 
-// underLoad measures what a streamed completion costs with many at once.
-func underLoad(w io.Writer, figures *Figures) error {
+// measureLoad measures the cost of a streamed completion under concurrent load.
+func measureLoad(w io.Writer, figures *Figures) error {
 	f, err := StartFleet(FleetConfig{Engine: standin.EngineConfig{Slots: slots}})
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	direct, err := load(func() error { return f.Complete(f.EngineURL, 8) })
+	direct, err := runLoad(func() error { return f.Complete(f.EngineURL, 8) })
 	if err != nil {
 		return err
 	}
-	path, err := load(func() error { return f.Complete(f.EntryURL, 8) })
+	path, err := runLoad(func() error { return f.Complete(f.EntryURL, 8) })
 	if err != nil {
 		return err
 	}
 	path.DirectCPUMicros, path.DirectAllocations = direct.CPUMicros, direct.Allocations
 	figures.Load = path
-	fmt.Fprintf(w, "%d callers at once: %.0f requests/s; each %.0f us of processor and %.0f allocations (%.0f bytes), of which a direct call takes %.0f us and %.0f allocations\n",
+	fmt.Fprintf(w, "%d concurrent callers: %.0f requests/s; per request %.0f us of CPU time and %.0f allocations (%.0f bytes), of which a direct call takes %.0f us and %.0f allocations\n",
 		loadWorkers, path.RequestsPerSecond, path.CPUMicros, path.Allocations, path.AllocatedBytes, path.DirectCPUMicros, path.DirectAllocations)
 	return nil
 }
 
-// load makes many calls by several workers.
-func load(do func() error) (RequestCost, error) {
+// runLoad makes loadCalls calls from loadWorkers goroutines and returns their mean
+// cost.
+func runLoad(call func() error) (RequestCost, error) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	cpu, begun := processorTime(), time.Now()
-	err := atOnce(loadWorkers, func() error {
+	startCPU, start := cpuTime(), time.Now()
+	err := runConcurrently(loadWorkers, func() error {
 		for range loadCalls / loadWorkers {
-			if err := do(); err != nil {
+			if err := call(); err != nil {
 				return err
 			}
 		}
 		return nil
 	})
-	took, used := time.Since(begun), processorTime()-cpu
+	elapsed, usedCPU := time.Since(start), cpuTime()-startCPU
 	runtime.ReadMemStats(&after)
 	return RequestCost{
-		RequestsPerSecond: loadCalls / took.Seconds(),
-		CPUMicros:         float64(used.Microseconds()) / loadCalls,
+		RequestsPerSecond: loadCalls / elapsed.Seconds(),
+		CPUMicros:         float64(usedCPU.Microseconds()) / loadCalls,
 		Allocations:       float64(after.Mallocs-before.Mallocs) / loadCalls,
 		AllocatedBytes:    float64(after.TotalAlloc-before.TotalAlloc) / loadCalls,
 	}, err
 }
 
-// atOnce runs do in n goroutines and joins their errors.
-func atOnce(n int, do func() error) error {
+// runConcurrently runs f in n goroutines and joins their errors.
+func runConcurrently(n int, f func() error) error {
 	var group sync.WaitGroup
 	errs := make([]error, n)
 	for i := range n {
-		group.Go(func() { errs[i] = do() })
+		group.Go(func() { errs[i] = f() })
 	}
 	group.Wait()
 	return errors.Join(errs...)
 }
 
-// processorTime is what this process has used, user and system.
-func processorTime() time.Duration {
+// cpuTime returns the user and system time of this process, or zero if it cannot
+// be read.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
--- a/measure/overhead/run_test.go
+++ b/measure/overhead/run_test.go
@@ -8,7 +8,7 @@
 	"github.com/lilackeel/lilackeel/standin"
 )
 
-// BenchmarkRun takes all measurements once and prints them.
+// BenchmarkRun makes all measurements and prints them.
 func BenchmarkRun(b *testing.B) {
 	for range b.N {
 		if err := Run(os.Stdout, 1, b.TempDir()); err != nil {
@@ -17,14 +17,14 @@
 	}
 }
 
-// BenchmarkPath compares one call through entry and agent with a direct one.
+// BenchmarkPath compares calls through entry and agent with direct calls.
 func BenchmarkPath(b *testing.B) {
 	f, err := StartFleet(FleetConfig{Engine: standin.EngineConfig{Slots: slots}})
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer f.Close()
-	for name, do := range map[string]func() error{
+	for name, call := range map[string]func() error{
 		"completion/direct": func() error { return f.Complete(f.EngineURL, 1) },
 		"completion/path":   func() error { return f.Complete(f.EntryURL, 1) },
 		"read/direct":       func() error { return f.CallIdempotent(f.ServiceURL) },
@@ -35,7 +35,7 @@
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				if err := do(); err != nil {
+				if err := call(); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -43,15 +43,16 @@
 	}
 }
 
-// TestComparison proves that both ways of a comparison are taken and counted.
+// TestComparison checks that a comparison makes all direct calls and all calls through
+// the entry, and stops at the first error.
 func TestComparison(t *testing.T) {
 	var c Comparison
 	calls := 0
 	count := func() error { calls++; return nil }
-	if err := c.take(count, count); err != nil || calls != 2*(warmups+samples) {
+	if err := c.measure(count, count); err != nil || calls != 2*(warmupCalls+measuredCalls) {
 		t.Fatal(calls, err)
 	}
-	if err := c.take(count, func() error { return io.EOF }); err != io.EOF {
+	if err := c.measure(count, func() error { return io.EOF }); err != io.EOF {
 		t.Fatal("a failed call was counted")
 	}
 }
