--- a/measure/logspage/events.go
+++ b/measure/logspage/events.go
@@ -1,5 +1,5 @@
-// Package logspage lists the events that the daemons log, as the source tree has
-// them, so that the page that operators read cannot fall behind.
+// Package logspage compares docs/LOGS.md with the log calls in the source tree, so
+// that the page that operators read stays up to date.
 package logspage
 
 import (
@@ -13,57 +13,58 @@
 	"strings"
 )
 
-// Event is one kind of line.
+// Event is one log call.
 type Event struct {
-	// Message is the field msg; Level the field level, empty if it varies.
+	// Message is the value of the field msg, Level that of the field level; Level is
+	// empty if it is not constant.
 	Message, Level string
-	// Fields are the fields that the call names besides, in order of the alphabet.
-	// Open says that more may follow, which the call does not name.
+	// Fields are the other fields that the call names, sorted. HasUnnamedFields
+	// reports whether the call may add fields that it does not name.
 	Fields           []string
 	HasUnnamedFields bool
-	// At is the file and line of the call.
+	// Position is the file and line of the call.
 	Position string
 }
 
-// levels are the methods of slog.Logger that write a line, and what its level is.
-var levels = map[string]string{"Info": "INFO", "Warn": "WARN", "Error": "ERROR"}
+// methodLevels maps methods of slog.Logger to the level at which they log.
+var methodLevels = map[string]string{"Info": "INFO", "Warn": "WARN", "Error": "ERROR"}
 
-// skipped are folders whose programs are no daemons.
-var skipped = []string{"measure", "standin", "e2e", "proof", "examples", "operator", "api", "journal"}
+// skippedDirs are directories that contain no code of the daemons.
+var skippedDirs = []string{"measure", "standin", "e2e", "proof", "examples", "operator", "api", "journal"}
 
-// Events returns the events of the packages under root with literal messages, in
-// the order of the files. Lines of level DEBUG are left out: no daemon writes them
-// unless it is asked to.
+// Events returns the log calls with literal messages in the packages under root, in
+// the order of the files. Level DEBUG is left out because daemons log at this level
+// only if configured to.
 func Events(root string) ([]Event, error) {
 	var events []Event
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		local, err := filepath.Rel(root, path)
+		relPath, err := filepath.Rel(root, path)
 		if err != nil {
 			return err
 		}
 		if entry.IsDir() {
-			if slices.Contains(skipped, local) || strings.HasPrefix(entry.Name(), ".") && local != "." {
+			if slices.Contains(skippedDirs, relPath) || strings.HasPrefix(entry.Name(), ".") && relPath != "." {
 				return filepath.SkipDir
 			}
 			return nil
 		}
-		if !strings.HasSuffix(local, ".go") || strings.HasSuffix(local, "_test.go") {
+		if !strings.HasSuffix(relPath, ".go") || strings.HasSuffix(relPath, "_test.go") {
 			return nil
 		}
-		found, err := eventsOf(path, local)
+		found, err := fileEvents(path, relPath)
 		events = append(events, found...)
 		return err
 	})
 	return events, err
 }
 
-// eventsOf returns the events of one file.
-func eventsOf(path, local string) ([]Event, error) {
-	files := token.NewFileSet()
-	file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
+// fileEvents returns the events of one file.
+func fileEvents(path, relPath string) ([]Event, error) {
+	fileSet := token.NewFileSet()
+	file, err := parser.ParseFile(fileSet, path, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return nil, err
 	}
@@ -73,8 +74,8 @@
 		if !ok {
 			return true
 		}
-		if event, ok := eventOf(call); ok {
-			event.Position = local + ":" + strconv.Itoa(files.Position(call.Pos()).Line)
+		if event, ok := parseCall(call); ok {
+			event.Position = relPath + ":" + strconv.Itoa(fileSet.Position(call.Pos()).Line)
 			events = append(events, event)
 		}
 		return true
@@ -82,13 +83,14 @@
 	return events, nil
 }
 
-// eventOf reads a call of a method of a logger.
-func eventOf(call *ast.CallExpr) (Event, bool) {
+// parseCall returns the event of a call expression; false if it is not a call of a
+// log method with a literal message.
+func parseCall(call *ast.CallExpr) (Event, bool) {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || !isLogger(method.X) {
 		return Event{}, false
 	}
-	event := Event{Level: levels[method.Sel.Name]}
+	event := Event{Level: methodLevels[method.Sel.Name]}
 	args := call.Args
 	switch {
 	case method.Sel.Name == "LogAttrs" && len(args) >= 3:
@@ -97,23 +99,24 @@
 		}
 		args = args[2:]
 	case strings.HasSuffix(method.Sel.Name, "Context") && len(args) >= 2:
-		event.Level = levels[strings.TrimSuffix(method.Sel.Name, "Context")]
+		event.Level = methodLevels[strings.TrimSuffix(method.Sel.Name, "Context")]
 		args = args[1:]
 	}
 	if event.Level == "" && method.Sel.Name != "LogAttrs" || len(args) == 0 {
 		return Event{}, false
 	}
-	message, ok := literal(args[0])
+	message, ok := stringLiteral(args[0])
 	if !ok {
 		return Event{}, false
 	}
 	event.Message = message
 	event.HasUnnamedFields = call.Ellipsis.IsValid() || event.Level == ""
-	event.Fields = fields(args[1:])
+	event.Fields = fieldNames(args[1:])
 	return event, true
 }
 
-// isLogger reports whether an expression is named like a logger.
+// isLogger reports whether x is an identifier or selector with a usual name of a
+// logger.
 func isLogger(x ast.Expr) bool {
 	name := ""
 	switch x := x.(type) {
@@ -126,32 +129,32 @@
 	return name == "log" || name == "logger" || name == "slog"
 }
 
-// fields returns the names of the fields that arguments hold: slog's attributes,
-// or names and values in turn.
-func fields(args []ast.Expr) []string {
+// fieldNames returns the sorted names of the fields in the arguments of a log call,
+// which are slog attributes or alternating names and values.
+func fieldNames(args []ast.Expr) []string {
 	names := []string{}
 	for i := 0; i < len(args); i++ {
 		if attr, ok := args[i].(*ast.CallExpr); ok && len(attr.Args) > 0 {
-			if name, ok := literal(attr.Args[0]); ok {
+			if name, ok := stringLiteral(attr.Args[0]); ok {
 				names = append(names, name)
 			}
 			continue
 		}
-		if name, ok := literal(args[i]); ok {
+		if name, ok := stringLiteral(args[i]); ok {
 			names = append(names, name)
-			i++ // its value
+			i++ // skip the value
 		}
 	}
 	slices.Sort(names)
 	return names
 }
 
-// literal returns the value of a string literal.
-func literal(x ast.Expr) (string, bool) {
-	basic, ok := x.(*ast.BasicLit)
-	if !ok || basic.Kind != token.STRING {
+// stringLiteral returns the value of x if it is a string literal.
+func stringLiteral(x ast.Expr) (string, bool) {
+	lit, ok := x.(*ast.BasicLit)
+	if !ok || lit.Kind != token.STRING {
 		return "", false
 	}
-	value, err := strconv.Unquote(basic.Value)
+	value, err := strconv.Unquote(lit.Value)
 	return value, err == nil
 }
--- a/measure/logspage/logspage_test.go
+++ b/measure/logspage/logspage_test.go
@@ -13,9 +13,9 @@
 	page = root + "/docs/LOGS.md"
 )
 
-// The page lists every event of the daemons with its level and fields, and no
-// other.
-func TestPageListsWhatTheDaemonsLog(t *testing.T) {
+// TestPageMatchesLoggedEvents checks that the page lists every event that the daemons
+// log, with its levels and fields, and no others.
+func TestPageMatchesLoggedEvents(t *testing.T) {
 	is := is.New(t)
 	events, err := Events(root)
 	is.NoErr(err)
@@ -25,7 +25,7 @@
 	is.Equal(strings.Join(Differences(events, ParsePage(string(text))), "\n"), "")
 }
 
-// Each kind of disagreement is reported.
+// TestDifferences checks that each kind of difference is reported.
 func TestDifferences(t *testing.T) {
 	is := is.New(t)
 	events := []Event{
@@ -35,9 +35,9 @@
 		{Message: "new", Level: "INFO"},
 		{Message: "open", Level: "", HasUnnamedFields: true},
 	}
-	listed := ParsePage("| `leading` | `INFO` | control | `fence`, `term` | x |\n| `lost` | `INFO` | control | `error`, `peer` | x |\n" +
+	documented := ParsePage("| `leading` | `INFO` | control | `fence`, `term` | x |\n| `lost` | `INFO` | control | `error`, `peer` | x |\n" +
 		"| `gone` | `INFO` | control | | x |\n| `open` | `WARN`, `INFO` | entry | `a` | x |\n")
-	is.Equal(Differences(events, listed), []string{
+	is.Equal(Differences(events, documented), []string{
 		`"lost" has the levels [WARN] in the code and [INFO] on the page`,
 		`"lost" has the fields [error] in the code and [error peer] on the page`,
 		`"new" is in the code and not on the page`,
