--- a/measure/metricspage/metricspage.go
+++ b/measure/metricspage/metricspage.go
@@ -1,5 +1,5 @@
-// Package metricspage compares docs/METRICS.md with the metrics that the source
-// tree declares, so that the page stays complete and true.
+// Package metricspage compares docs/METRICS.md with the metrics that are declared
+// in the source tree, so that the page stays complete and correct.
 package metricspage
 
 import (
@@ -17,26 +17,27 @@
 	"github.com/gravitational/trace"
 )
 
-// Metrics maps the name of a metric to its label names, sorted.
+// Metrics maps the names of metrics to their sorted label names.
 type Metrics map[string][]string
 
-// prefix starts the name of every metric of lilackeel's own.
+// prefix is the common prefix of the names of lilackeel's metrics.
 const prefix = "lilackeel_"
 
 var (
-	// declaration matches a literal that starts with the name of a metric, and
-	// what stands between the braces after it.
-	declaration = regexp.MustCompile(`^(` + prefix + `[a-z0-9_]+)(?:\{(.*))?$`)
-	// labelName matches a label name in a declaration.
+	// metricLiteral matches a string that starts with the name of a metric, and
+	// captures the name and the text after the opening brace of the labels.
+	metricLiteral = regexp.MustCompile(`^(` + prefix + `[a-z0-9_]+)(?:\{(.*))?$`)
+	// labelName matches a label name in the text after the brace.
 	labelName = regexp.MustCompile(`([a-z0-9_]+)=`)
-	// tableRow matches a row of the page: name, type, unit, labels, meaning.
+	// tableRow matches a row of the tables of the page, whose columns are name,
+	// type, unit, labels and meaning.
 	tableRow = regexp.MustCompile("^\\| `(" + prefix + "[a-z0-9_]+)` \\|[^|]*\\|[^|]*\\|([^|]*)\\|")
-	// codeSpan matches one label name in the page.
+	// codeSpan matches a label name in backquotes on the page.
 	codeSpan = regexp.MustCompile("`([a-z0-9_]+)`")
 )
 
-// Declared returns the metrics in the string literals of the Go files under
-// root. Tests, generated messages and this package are left out.
+// ParseSource returns the metrics that are named in string literals of the Go files
+// under root. Tests, generated protobuf code and this package are skipped.
 func ParseSource(root string) (Metrics, error) {
 	found := Metrics{}
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -54,7 +55,7 @@
 	return found, trace.Wrap(err)
 }
 
-// skipDir leaves out this package and what is no part of the source.
+// skipDir returns filepath.SkipDir for this package, testdata and hidden directories.
 func skipDir(name string) error {
 	if name == "metricspage" || name == "testdata" || len(name) > 1 && name[0] == '.' && name != ".." {
 		return filepath.SkipDir
@@ -67,7 +68,7 @@
 	return strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") && !generated
 }
 
-// addFile adds the metrics that one file declares.
+// addFile adds the metrics that are declared in one file.
 func (m Metrics) addFile(path string) error {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -87,14 +88,14 @@
 	if err != nil {
 		return
 	}
-	match := declaration.FindStringSubmatch(text)
+	match := metricLiteral.FindStringSubmatch(text)
 	if match == nil {
 		return
 	}
 	m.add(match[1], labelName.FindAllStringSubmatch(match[2], -1))
 }
 
-// Listed returns the metrics that the tables of a page list.
+// ParsePage returns the metrics that are listed in the tables of a page.
 func ParsePage(page string) Metrics {
 	found := Metrics{}
 	for line := range strings.Lines(page) {
@@ -105,7 +106,8 @@
 	return found
 }
 
-// add adds a metric and the labels that were matched.
+// add adds a metric, or adds labels to it. The label name is the first submatch of
+// each element of labels.
 func (m Metrics) add(name string, labels [][]string) {
 	names := m[name]
 	for _, label := range labels {
@@ -115,21 +117,21 @@
 	m[name] = slices.Compact(names)
 }
 
-// Differences says, line by line and sorted, where the page and the source tree
-// disagree.
-func Differences(declared, listed Metrics) []string {
+// Differences describes the differences between the source tree and the page, one
+// per element, sorted.
+func Differences(declared, documented Metrics) []string {
 	var lines []string
 	for name, labels := range declared {
-		onPage, known := listed[name]
+		documentedLabels, ok := documented[name]
 		switch {
-		case !known:
+		case !ok:
 			lines = append(lines, fmt.Sprintf("%s is in the code and not on the page", name))
-		case !slices.Equal(labels, onPage):
-			lines = append(lines, fmt.Sprintf("%s has the labels %v in the code and %v on the page", name, labels, onPage))
+		case !slices.Equal(labels, documentedLabels):
+			lines = append(lines, fmt.Sprintf("%s has the labels %v in the code and %v on the page", name, labels, documentedLabels))
 		}
 	}
-	for name := range listed {
-		if _, known := declared[name]; !known {
+	for name := range documented {
+		if _, ok := declared[name]; !ok {
 			lines = append(lines, fmt.Sprintf("%s is on the page and not in the code", name))
 		}
 	}
