--- a/measure/fanout/announce.go
+++ b/measure/fanout/announce.go
@@ -53,7 +53,7 @@
 	return link.NewPool(append(options, grpc.WithContextDialer(dial))...), nil
 }
 
-func (p Plan) reportAnnouncements(w io.Writer, all *figures) error {
+func (p Plan) reportAnnouncements(w io.Writer, results *figures) error {
 	fmt.Fprintf(w, "\nLease renewals, one per agent every %v, sent to the leader of %d replicas; CPU time of agents and replicas together.\n\n", heartbeat, replicas)
 	fmt.Fprintln(w, "| agents | announcements/s | CPU µs per announcement | bytes per announcement |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- |")
@@ -62,7 +62,7 @@
 		if err != nil {
 			return err
 		}
-		all.Announcements = append(all.Announcements, result)
+		results.Announcements = append(results.Announcements, result)
 		fmt.Fprintf(w, "| %d | %.0f | %.0f | %.0f |\n", agents, result.PerSecond, result.CPU, result.Bytes)
 	}
 	return nil
--- a/measure/fanout/run.go
+++ b/measure/fanout/run.go
@@ -57,21 +57,21 @@
 	if err := os.MkdirAll(outDir, dirMode); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	var all figures
+	var results figures
 	fmt.Fprintf(w, "Fan-out of the configuration: seed %d, GOMAXPROCS %d, %s\n", seed, runtime.GOMAXPROCS(0), runtime.Version())
 	for _, measure := range []func(io.Writer, *figures) error{p.reportFleetCosts, p.reportPropagation, p.reportCatchUps, p.reportStateSizes, p.reportAnnouncements} {
-		if err := measure(w, &all); err != nil {
+		if err := measure(w, &results); err != nil {
 			return trace.Wrap(err)
 		}
 	}
-	text, err := encodeFigures(all)
+	text, err := encodeFigures(results)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	return trace.ConvertSystemError(os.WriteFile(filepath.Join(outDir, figuresFile), text, fileMode))
 }
 
-func (p Plan) reportFleetCosts(w io.Writer, all *figures) error {
+func (p Plan) reportFleetCosts(w io.Writer, results *figures) error {
 	fmt.Fprintf(w, "\nCost with %d workspaces and %d endpoints per daemon; each change modifies one workspace.\n\n", fleetCostWorkspaces, endpointsPerAgent)
 	fmt.Fprintln(w, "| daemons | relays | rest: publisher B/s | rest: B/s per daemon | rest: CPU µs/s per daemon | change: publisher B | change: B per daemon | change: CPU µs per daemon | in force p50 ms | max ms |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -81,7 +81,7 @@
 			if err != nil {
 				return err
 			}
-			all.FleetCosts = append(all.FleetCosts, cost)
+			results.FleetCosts = append(results.FleetCosts, cost)
 			n := float64(daemons)
 			fmt.Fprintf(w, "| %d | %s | %.0f | %.1f | %.0f | %.0f | %.1f | %.1f | %.2f | %.2f |\n", daemons, relayCount(relayed),
 				cost.IdleBytes, cost.IdleBytes/n, cost.IdleCPU, cost.ChangeBytes, cost.ChangeBytes/n, cost.ChangeCPU, cost.P50, cost.Max)
@@ -90,7 +90,7 @@
 	return nil
 }
 
-func (p Plan) reportPropagation(w io.Writer, all *figures) error {
+func (p Plan) reportPropagation(w io.Writer, results *figures) error {
 	fmt.Fprintf(w, "\nTime from sending Confirm to %d replicas on this machine until a daemon applies the revision, %d intents.\n\n", replicas, measuredIntents)
 	fmt.Fprintln(w, "| daemons | relays | confirm answered p50 ms | in force p50 ms | in force max ms |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- |")
@@ -100,14 +100,14 @@
 			if err != nil {
 				return err
 			}
-			all.Propagation = append(all.Propagation, result)
+			results.Propagation = append(results.Propagation, result)
 			fmt.Fprintf(w, "| %d | %s | %.2f | %.2f | %.2f |\n", daemons, relayCount(relayed), result.ConfirmP50, result.P50, result.Max)
 		}
 	}
 	return nil
 }
 
-func (p Plan) reportCatchUps(w io.Writer, all *figures) error {
+func (p Plan) reportCatchUps(w io.Writer, results *figures) error {
 	fmt.Fprintf(w, "\nTime from the start of a daemon that has missed changes until it applies the latest revision.\n\n")
 	fmt.Fprintln(w, "| workspaces | missed changes | ms | bytes |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- |")
@@ -117,19 +117,19 @@
 			if err != nil {
 				return err
 			}
-			all.CatchUp = append(all.CatchUp, result)
+			results.CatchUp = append(results.CatchUp, result)
 			fmt.Fprintf(w, "| %d | %d | %.1f | %d |\n", workspaces, missed, result.Millis, result.Bytes)
 		}
 	}
 	return nil
 }
 
-func (p Plan) reportStateSizes(w io.Writer, all *figures) error {
+func (p Plan) reportStateSizes(w io.Writer, results *figures) error {
 	size, err := measureStateSize()
 	if err != nil {
 		return err
 	}
-	all.State = size
+	results.State = size
 	fmt.Fprintf(w, "\nEncoded size of the state in bytes.\n\n| | on the feed | in a snapshot of the log |\n| --- | --- | --- |\n")
 	fmt.Fprintf(w, "| workspace | %.0f | %.0f |\n", size.WorkspaceOnFeed, size.WorkspaceInSnapshot)
 	fmt.Fprintf(w, "| endpoint | %.0f | %.0f |\n", size.EndpointOnFeed, size.EndpointInSnapshot)
--- a/measure/following/run.go
+++ b/measure/following/run.go
@@ -268,18 +268,18 @@
 
 // noisyObservation returns the observed load with the sampling noise of counts.
 func (s *simulation) noisyObservation() []float64 {
-	seen := slices.Clone(s.observed)
+	noisy := slices.Clone(s.observed)
 	experts := s.shape.Experts
-	for first := 0; first < len(seen); first += experts {
+	for first := 0; first < len(noisy); first += experts {
 		var sum float64
-		for _, tokens := range seen[first : first+experts] {
+		for _, tokens := range noisy[first : first+experts] {
 			sum += tokens
 		}
 		selections := sum * tickInterval.Seconds() * selectionsPerSecond
 		for i := first; i < first+experts && sum > 0; i++ {
-			share := seen[i] / sum
-			seen[i] = max(0, sum*(share+math.Sqrt(share/selections)*s.noise.NormFloat64()))
+			share := noisy[i] / sum
+			noisy[i] = max(0, sum*(share+math.Sqrt(share/selections)*s.noise.NormFloat64()))
 		}
 	}
-	return seen
+	return noisy
 }
--- a/measure/overhead/run.go
+++ b/measure/overhead/run.go
@@ -135,7 +135,7 @@
 		return err
 	}
 	defer f.Close()
-	for _, each := range []struct {
+	for _, kind := range []struct {
 		name         string
 		result       *Comparison
 		direct, path func() error
@@ -144,11 +144,11 @@
 		{"service read", &figures.Read, func() error { return f.CallIdempotent(f.ServiceURL) }, func() error { return f.CallIdempotent(f.EntryURL) }},
 		{"claimed call (claims in memory)", &figures.Claimed, func() error { return f.CallNonIdempotentAt(f.ServiceURL) }, f.CallNonIdempotent},
 	} {
-		if err := each.result.measure(each.direct, each.path); err != nil {
+		if err := kind.result.measure(kind.direct, kind.path); err != nil {
 			return err
 		}
-		fmt.Fprintf(w, "%-32s direct p50 %6.0f us p99 %6.0f us; path p50 %6.0f us p99 %6.0f us; added p50 %6.0f us p99 %6.0f us\n", each.name,
-			each.result.DirectP50, each.result.DirectP99, each.result.PathP50, each.result.PathP99, each.result.AddedP50, each.result.AddedP99)
+		fmt.Fprintf(w, "%-32s direct p50 %6.0f us p99 %6.0f us; path p50 %6.0f us p99 %6.0f us; added p50 %6.0f us p99 %6.0f us\n", kind.name,
+			kind.result.DirectP50, kind.result.DirectP99, kind.result.PathP50, kind.result.PathP99, kind.result.AddedP50, kind.result.AddedP99)
 	}
 	return nil
 }
