--- a/call/repeatable.go
+++ b/call/repeatable.go
@@ -113,7 +113,7 @@
 func (m *Repeatable) GiveUp(now time.Duration, f *fault.Error) Action { return m.giveUp(now, f) }
 
 // CallerGone ends the call of a caller that disconnected.
-func (m *Repeatable) CallerGone(now time.Duration) Action {
+func (m *Repeatable) Abandon(now time.Duration) Action {
 	f := fault.New(fault.Invalid, "the caller disconnected before the response was complete", "send the request again")
 	return m.giveUp(now, f)
 }
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -226,7 +226,7 @@
 		return call.Action{}, false
 	}
 	if x.repeatable != nil {
-		return x.repeatable.CallerGone(x.now()), true
+		return x.repeatable.Abandon(x.now()), true
 	}
 	return x.atMostOnce.Abandon(x.now(), a)
 }
