--- a/call/action.go
+++ b/call/action.go
@@ -144,6 +144,6 @@
 	// Foreign is the number of responses that belonged to another attempt and were
 	// dropped.
 	Foreign int
-	// Duplicates is the number of responses that brought nothing new.
+	// Duplicates is the number of responses that contained nothing new.
 	Duplicates int
 }
--- a/call/at_most_once.go
+++ b/call/at_most_once.go
@@ -52,7 +52,7 @@
 // until its agent reports the result.
 type AtMostOnce struct {
 	callState
-	// claimOptions holds what claims are made from.
+	// claimOptions are the options that the claims are created from.
 	claimOptions AtMostOnceOptions
 	phase        phase
 	// claims is the number of claim ids created; claimID is the latest.
@@ -62,7 +62,7 @@
 	// whether an earlier request has run the call.
 	refusal *fault.Error
 	// pollingSince is when the pending request to the control replicas or an agent was
-	// first sent, polls how often it was repeated.
+	// first sent, and polls is how often it was repeated.
 	pollingSince time.Duration
 	polls        int
 	// holder is the claim of another request that holds the key.
@@ -212,7 +212,7 @@
 }
 
 // rejectsEndpoint reports whether a fault of this kind means that the control replicas
-// found the endpoint unfit for a claim.
+// refused the claim because of its endpoint or agent.
 func rejectsEndpoint(kind fault.Kind) bool {
 	switch kind {
 	case fault.NotFound, fault.Stale, fault.Fenced, fault.Leaving, fault.Unavailable:
@@ -274,7 +274,7 @@
 // returns false once the call has been dispatched: the call then continues, so that its
 // result is recorded.
 func (m *AtMostOnce) Abandon(now time.Duration, a *Action) (Action, bool) {
-	f := fault.New(fault.Invalid, "the caller disconnected before the call was dispatched", "send the request again")
+	f := fault.New(fault.Invalid, "the caller disconnected before the call was dispatched", "retry the request")
 	switch {
 	case m.phase == picking:
 		return m.finishNotRun(f), true
--- a/call/at_most_once_test.go
+++ b/call/at_most_once_test.go
@@ -12,8 +12,8 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// scheduleFaults schedules crashes, freezes, partitions, restarts and losses of the
-// leader.
+// scheduleFaults schedules crashes, freezes and partitions of entries, restarts of the
+// agent, losses of the leader and times at which the endpoint is leaving.
 func (sim *simulation) scheduleFaults(until time.Duration) {
 	for at := time.Duration(0); at < until; at += 100 * time.Millisecond {
 		moment := at + time.Duration(sim.rng.Int64N(int64(100*time.Millisecond)))
--- a/call/deadline_test.go
+++ b/call/deadline_test.go
@@ -16,7 +16,7 @@
 func TestVerdictIsDueAtDeadlineWhilePolling(t *testing.T) {
 	is := is.New(t)
 	const deadline = 3 * time.Second
-	noQuorum := fault.New(fault.NoQuorum, "no quorum", "ask again")
+	noQuorum := fault.New(fault.NoQuorum, "no quorum", "retry later")
 	for seed := range uint64(500) {
 		now := time.Duration(0)
 		m := call.NewAtMostOnce(call.AtMostOnceOptions{
--- a/call/direct.go
+++ b/call/direct.go
@@ -8,9 +8,9 @@
 	"github.com/lilackeel/lilackeel/fault"
 )
 
-// Direct drives a call to endpoints that have no agent in front of them. Only the memory
-// of the entry prevents such a call from running twice. It must therefore be a call whose
-// retries by the caller, if any, count as requests of their own.
+// Direct drives a call to endpoints that have no agent in front of them. Such a call has no
+// claim: only this state machine, in the memory of the entry, prevents it from running
+// twice. A retry by the caller therefore counts as a new request.
 //
 // Invariants: a call that must run at most once is sent again only after proof that no
 // attempt has run; a verdict is NotRun only under the same proof; the call is sent to at
--- a/call/direct_reroute_test.go
+++ b/call/direct_reroute_test.go
@@ -13,7 +13,7 @@
 // that has already been withdrawn: the budget here has none left.
 func TestReroutedAttemptUsesBudgetOnce(t *testing.T) {
 	is := is.New(t)
-	slow := fault.New(fault.Unknown, "the endpoint's group is slow", "ask again")
+	slow := fault.New(fault.Unknown, "the endpoint's group is slow", "retry the request")
 	reroute := func(now time.Duration, repeatable bool, attempts int) RetryDecision {
 		d := NewDirect(DirectOptions{Deadline: time.Second, Repeatable: repeatable, MaxAttempts: attempts, Budget: NewBudget(BudgetConfig{})})
 		return d.AttemptRerouted(now, slow)
@@ -21,7 +21,7 @@
 	is.True(reroute(0, true, 2).Retry)
 	is.True(!reroute(2*time.Second, true, 2).Retry) // too late
 	is.True(!reroute(0, true, 1).Retry)             // the only attempt is used up
-	step := reroute(0, false, 2)
-	is.True(!step.Retry)
-	is.Equal(step.Verdict.Outcome, Unknown) // it may have run, so it is not a refusal
+	decision := reroute(0, false, 2)
+	is.True(!decision.Retry)
+	is.Equal(decision.Verdict.Outcome, Unknown) // it may have run, so it is not a refusal
 }
--- a/call/direct_test.go
+++ b/call/direct_test.go
@@ -20,8 +20,8 @@
 }
 
 var (
-	errInterrupted = fault.New(fault.Unknown, "cut", "ask again")
-	errOverloaded  = fault.New(fault.Overloaded, "full", "ask again")
+	errInterrupted = fault.New(fault.Unknown, "cut", "retry the request")
+	errOverloaded  = fault.New(fault.Overloaded, "full", "retry later")
 )
 
 // TestDirectInvariants runs every sequence of up to five attempt outcomes and checks the
@@ -61,35 +61,35 @@
 		if outcome == MayHaveRun {
 			f = errInterrupted
 		}
-		step := d.AttemptFailed(time.Duration(i)*time.Millisecond, outcome, f)
-		is.True(step.Retry == (step.Verdict == nil)) // either a retry or a verdict
-		is.True(sent <= attempts)                    // no more endpoints than allowed
-		is.True(repeatable || ran <= 1)              // at most once
-		if step.Verdict == nil {
+		decision := d.AttemptFailed(time.Duration(i)*time.Millisecond, outcome, f)
+		is.True(decision.Retry == (decision.Verdict == nil)) // either a retry or a verdict
+		is.True(sent <= attempts)                            // no more endpoints than allowed
+		is.True(repeatable || ran <= 1)                      // at most once
+		if decision.Verdict == nil {
 			is.True(repeatable || ran == 0) // no retry after it may have run
 			continue
 		}
-		is.Equal(step.Verdict.Outcome == NotRun, ran == 0) // NotRun is reported only if nothing has run
-		refusal := step.Verdict.HTTPStatus() == http.StatusServiceUnavailable || step.Verdict.HTTPStatus() == http.StatusTooManyRequests
+		is.Equal(decision.Verdict.Outcome == NotRun, ran == 0) // NotRun is reported only if nothing has run
+		refusal := decision.Verdict.HTTPStatus() == http.StatusServiceUnavailable || decision.Verdict.HTTPStatus() == http.StatusTooManyRequests
 		is.Equal(refusal, ran == 0)
-		is.Equal(step.Verdict.Fault.RetryAfter > 0, ran == 0) // refusals carry a Retry-After
+		is.Equal(decision.Verdict.Fault.RetryAfter > 0, ran == 0) // refusals carry a Retry-After
 		return
 	}
 }
 
 func TestErrorStatusIsRetriedOnlyWhereAllowed(t *testing.T) {
 	is := is.New(t)
-	replaced := func(d *Direct, now time.Duration, status int) bool {
-		step, ok := d.RetryOnStatus(now, status)
-		return ok && step.Retry
+	retried := func(d *Direct, now time.Duration, status int) bool {
+		decision, ok := d.RetryOnStatus(now, status)
+		return ok && decision.Retry
 	}
-	is.True(!replaced(newTestDirect(false, 2), 0, 500))
-	is.True(!replaced(newTestDirect(true, 1), 0, 500))
-	is.True(!replaced(newTestDirect(true, 2), 0, 404))
-	is.True(!replaced(newTestDirect(true, 2), time.Second, 500))
+	is.True(!retried(newTestDirect(false, 2), 0, 500))
+	is.True(!retried(newTestDirect(true, 1), 0, 500))
+	is.True(!retried(newTestDirect(true, 2), 0, 404))
+	is.True(!retried(newTestDirect(true, 2), time.Second, 500))
 	d := newTestDirect(true, 2)
-	is.True(replaced(d, 0, 500))
-	is.True(!replaced(d, 0, 500)) // both attempts are used up
+	is.True(retried(d, 0, 500))
+	is.True(!retried(d, 0, 500)) // both attempts are used up
 	is.True(d.MayHaveRun())
 	is.Equal(d.Attempts(), 1)
 }
--- a/call/fault.go
+++ b/call/fault.go
@@ -20,7 +20,7 @@
 }
 
 func errIncomplete(text string) *fault.Error {
-	return fault.Newf(fault.Unknown, "retry; a model call may be repeated, any other call only with the same idempotency key",
+	return fault.Newf(fault.Unknown, "retry the request; unless it is a model call, retry it only with the same idempotency key",
 		"the response is incomplete: %s", text)
 }
 
--- a/call/outcome.go
+++ b/call/outcome.go
@@ -106,7 +106,7 @@
 }
 
 // RetryAfterSeconds returns the value of the Retry-After header, rounded up to whole
-// seconds, and zero if a retry cannot succeed.
+// seconds, or zero if the fault sets none.
 func (v *Verdict) RetryAfterSeconds() int64 {
 	if v.Fault == nil || v.Fault.RetryAfter <= 0 {
 		return 0
--- a/call/ratelimit_test.go
+++ b/call/ratelimit_test.go
@@ -34,7 +34,7 @@
 	is.Equal(action.Kind, call.Pick)
 	is.Equal(action.Delay, time.Duration(0))
 	is.Equal(action.Exclude, []string{"e1", "e2", "e3"})
-	action = m.PickFailed(0, fault.New(fault.Unavailable, "tried everywhere", ""))
+	action = m.PickFailed(0, fault.New(fault.Unavailable, "every endpoint has been tried", ""))
 	is.Equal(action.Kind, call.Finish)
 	is.Equal(action.Verdict.Outcome, call.NotRun)
 	is.Equal(action.Verdict.Fault.Kind, fault.RateLimited)
--- a/call/repeatable.go
+++ b/call/repeatable.go
@@ -112,9 +112,9 @@
 // GiveUp ends the call because it must not be retried.
 func (m *Repeatable) GiveUp(now time.Duration, f *fault.Error) Action { return m.giveUp(now, f) }
 
-// CallerGone ends the call of a caller that disconnected.
+// Abandon ends the call of a caller that disconnected.
 func (m *Repeatable) Abandon(now time.Duration) Action {
-	f := fault.New(fault.Invalid, "the caller disconnected before the response was complete", "send the request again")
+	f := fault.New(fault.Invalid, "the caller disconnected before the response was complete", "retry the request")
 	return m.giveUp(now, f)
 }
 
@@ -189,7 +189,7 @@
 	return action
 }
 
-// retryOrGiveUp retries the call on another endpoint, or gives it up.
+// retryOrGiveUp retries the call on another endpoint, or ends it without an answer.
 func (m *Repeatable) retryOrGiveUp(now time.Duration, f *fault.Error) Action {
 	if now >= m.options.Deadline {
 		return m.giveUp(now, errDeadlinePassed())
--- a/call/repeatable_test.go
+++ b/call/repeatable_test.go
@@ -36,7 +36,7 @@
 	if e.losesStreams {
 		stream = fmt.Sprint("s", a.Attempt)
 	}
-	stamp := func(r *agentv1.DispatchResponse) {
+	respond := func(r *agentv1.DispatchResponse) {
 		r.RequestId, r.Attempt, r.Incarnation = "r1", a.Attempt, a.Target.Incarnation
 		for _, copies := 0, e.rng.IntN(2); copies >= 0; copies-- {
 			responses = append(responses, r)
@@ -46,13 +46,13 @@
 		}
 	}
 	headers := []*controlv1.Header{{Name: "Content-Type", Value: "text/event-stream"}}
-	stamp(&agentv1.DispatchResponse{Kind: &agentv1.DispatchResponse_Head{Head: &agentv1.Head{Status: 200, Headers: headers, StreamId: stream}}})
+	respond(&agentv1.DispatchResponse{Kind: &agentv1.DispatchResponse_Head{Head: &agentv1.Head{Status: 200, Headers: headers, StreamId: stream}}})
 	for at := int(a.Offset); at < len(completeBody); {
 		size := min(1+e.rng.IntN(9), len(completeBody)-at)
 		from := max(int(a.Offset), at-e.rng.IntN(4))
 		lost := e.rng.Float64() < e.faultRate/4
 		if !lost {
-			stamp(&agentv1.DispatchResponse{Kind: &agentv1.DispatchResponse_Chunk{Chunk: &agentv1.Chunk{Offset: uint64(from), Data: []byte(completeBody[from : at+size])}}})
+			respond(&agentv1.DispatchResponse{Kind: &agentv1.DispatchResponse_Chunk{Chunk: &agentv1.Chunk{Offset: uint64(from), Data: []byte(completeBody[from : at+size])}}})
 		}
 		at += size
 		if e.rng.Float64() < e.faultRate/4 {
@@ -60,7 +60,7 @@
 			return responses, false
 		}
 	}
-	stamp(&agentv1.DispatchResponse{Kind: &agentv1.DispatchResponse_End{End: &agentv1.End{Length: uint64(len(completeBody))}}})
+	respond(&agentv1.DispatchResponse{Kind: &agentv1.DispatchResponse_End{End: &agentv1.End{Length: uint64(len(completeBody))}}})
 	e.earlierResponses = append(e.earlierResponses, responses...)
 	return responses, true
 }
--- a/call/settle.go
+++ b/call/settle.go
@@ -122,8 +122,9 @@
 	return m.requestClaim(m.pollDelay(now))
 }
 
-// revokeFailed asks the agent again, or ends the call as Unknown, so that a later request
-// under the key can ask.
+// revokeFailed asks the agent again. Once the deadline or RevokeTimeout has passed, it ends
+// the call as Unknown without a record, so that a later request under the key can still ask
+// the agent.
 func (m *AtMostOnce) revokeFailed(now time.Duration) Action {
 	if !m.mayPoll(now, m.options.Policy.RevokeTimeout) {
 		return m.finishUnknown(errAgentUnreachable())
@@ -248,12 +249,12 @@
 }
 
 func errAgentUnreachable() *fault.Error {
-	return fault.New(fault.Unknown, "the call may have run, and the agent that can tell is unreachable",
+	return fault.New(fault.Unknown, "the call may have run, and the agent that knows its result is unreachable",
 		"retry with the same idempotency key to get its response").RetryIn(DefaultRetryAfter)
 }
 
 func errKeyContended() *fault.Error {
-	return fault.New(fault.Conflict, "several concurrent requests with this idempotency key displaced each other",
+	return fault.New(fault.Conflict, "several concurrent requests with this idempotency key superseded each other's claims",
 		"send one request at a time under a key, and retry this one").RetryIn(DefaultRetryAfter)
 }
 
--- a/call/state.go
+++ b/call/state.go
@@ -30,28 +30,28 @@
 }
 
 // Counts returns the attempts, resumes and dropped responses so far.
-func (p *callState) Counts() Counts { return p.answer.counts }
+func (s *callState) Counts() Counts { return s.answer.counts }
 
 // isLastAttempt reports whether the policy allows no further attempt.
-func (p *callState) isLastAttempt() bool {
-	return p.retries+1 >= p.options.Policy.MaxAttempts
+func (s *callState) isLastAttempt() bool {
+	return s.retries+1 >= s.options.Policy.MaxAttempts
 }
 
 // mayRetry reports whether one more attempt is allowed, and withdraws it from
 // the retry budget.
-func (p *callState) mayRetry(now time.Duration) bool {
-	if p.isLastAttempt() || now >= p.options.Deadline {
+func (s *callState) mayRetry(now time.Duration) bool {
+	if s.isLastAttempt() || now >= s.options.Deadline {
 		return false
 	}
-	return p.options.Budget.Withdraw(now)
+	return s.options.Budget.Withdraw(now)
 }
 
 // pickAnother skips an endpoint that has reached its rate limit and picks another one at
 // once. As the endpoint did not receive the call, this counts neither as a retry nor
 // against the budget; each endpoint is skipped at most once.
-func (p *callState) pickAnother(f *fault.Error) Action {
-	p.rateLimited = f
-	return Action{Kind: Pick, Exclude: p.tried}
+func (s *callState) pickAnother(f *fault.Error) Action {
+	s.rateLimited = f
+	return Action{Kind: Pick, Exclude: s.tried}
 }
 
 // rateLimitWaitDivisor limits the wait for the rate limit of an endpoint to the remaining
@@ -61,18 +61,18 @@
 // waitForRateLimit picks again once an endpoint accepts requests again, if the fault of a
 // failed pick says when that is. ok is false if it does not, or if the wait would be too
 // long for the call.
-func (p *callState) waitForRateLimit(now time.Duration, f *fault.Error) (action Action, ok bool) {
-	left := p.options.Deadline - now
+func (s *callState) waitForRateLimit(now time.Duration, f *fault.Error) (action Action, ok bool) {
+	left := s.options.Deadline - now
 	if f.Kind != fault.RateLimited || f.RetryAfter <= 0 || f.RetryAfter > left/rateLimitWaitDivisor {
 		return Action{}, false
 	}
-	p.tried = nil
+	s.tried = nil
 	return Action{Kind: Pick, Delay: f.RetryAfter}, true
 }
 
 // nextBackoff counts a retry and returns the delay before it.
-func (p *callState) nextBackoff() time.Duration {
-	delay := p.options.Policy.Backoff.Delay(p.options.Rand, p.retries)
-	p.retries++
+func (s *callState) nextBackoff() time.Duration {
+	delay := s.options.Policy.Backoff.Delay(s.options.Rand, s.retries)
+	s.retries++
 	return delay
 }
