--- a/contract/claim.go
+++ b/contract/claim.go
@@ -88,7 +88,7 @@
 	}
 	if previous == nil && s.claims.full() {
 		return nil, fault.New(fault.Overloaded, "the claim table is full",
-			"try again when older claims have expired, or distribute the keys over several quorums").RetryIn(overloadRetryAfter)
+			"retry when older claims have expired, or distribute the keys over several quorums").RetryIn(overloadRetryAfter)
 	}
 	entry := &claimEntry{
 		claimKey: claimKey{s.internWorkspace(request.GetWorkspace()), request.GetKey()},
@@ -163,7 +163,7 @@
 
 func keyReusedError(request *controlv1.ClaimRequest) *fault.Error {
 	return fault.Newf(fault.KeyReused,
-		"send a new idempotency key with a different request, or repeat the original request with this key",
+		"use a new idempotency key for a new request, or retry the original request with this key",
 		"the idempotency key %q of workspace %s was already used for a different request", request.GetKey(), request.GetWorkspace())
 }
 
--- a/contract/claim_test.go
+++ b/contract/claim_test.go
@@ -136,9 +136,9 @@
 }
 
 // TestRetiredClaimStillHoldsKey checks that a key whose answer is no longer recorded is
-// not granted again within its TTL, also after a restart from a snapshot. A repeated
-// request learns that the call ran, a resent claim of the holder that it holds the key,
-// and a key used with another request is refused. Some answers arrive long after the
+// not granted again within its TTL, also after a restart from a snapshot. A retry learns
+// that the call ran, a resent claim of the holder learns that it holds the key, and a key
+// used with another request is refused. Some answers arrive long after the
 // grant, so that claims do not expire in the order in which they were retired.
 func TestRetiredClaimStillHoldsKey(t *testing.T) {
 	is := is.New(t)
--- a/contract/claimtable.go
+++ b/contract/claimtable.go
@@ -163,7 +163,8 @@
 }
 
 // retire moves the claims with the oldest answers to the retired table until the other
-// answers fit the limits. A retired claim keeps what a repeated request must be told.
+// answers fit the limits. A retired claim keeps what is needed to answer a retry of its
+// request.
 func (t *claimTable) retire() {
 	for t.answerCount > t.answerLimit || t.answerBytes > t.answerByteLimit {
 		oldest := t.answers.head
--- a/contract/describe.go
+++ b/contract/describe.go
@@ -25,8 +25,8 @@
 
 // isDefault reports whether the property has a value that need not be mentioned when an
 // object is created.
-func (f property) isDefault() bool {
-	return f.value == unlimited || f.value == none || f.value == "0%"
+func (p property) isDefault() bool {
+	return p.value == unlimited || p.value == none || p.value == "0%"
 }
 
 // objectType holds the operations that planning needs for one kind of declared object.
--- a/contract/weights.go
+++ b/contract/weights.go
@@ -104,11 +104,11 @@
 
 // bytes returns the number of bytes to load from the weight store to resolve the difference.
 func (d loadDiff) bytes() int64 {
-	moved := int64(len(d.missingAdapters)) * AssumedAdapterBytes
+	size := int64(len(d.missingAdapters)) * AssumedAdapterBytes
 	if d.modelMismatch {
-		moved += AssumedModelBytes
+		size += AssumedModelBytes
 	}
-	return moved
+	return size
 }
 
 // isEngine reports whether the endpoint is an engine, on which models are loaded.
