--- a/direct/cancel_test.go
+++ b/direct/cancel_test.go
@@ -13,10 +13,10 @@
 )
 
 // TestCancelledRequestIsNotDelivered guards against requests that reach an endpoint after
-// their callers have left. Data sent to a host that is frozen or cut off stays in the local
-// socket buffer; a plain close would still deliver it once the host is back. In one simulated
-// day, eight requests to an engine next to a frozen host arrived four seconds late, two
-// seconds after their callers had left.
+// their callers have disconnected. Data sent to a host that is frozen or cut off stays in
+// the local socket buffer; a plain close would still deliver it once the host is reachable
+// again. In one simulated day, eight requests to an engine next to a frozen host arrived four
+// seconds late, two seconds after their callers had disconnected.
 func TestCancelledRequestIsNotDelivered(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/direct/client.go
+++ b/direct/client.go
@@ -42,7 +42,7 @@
 	DefaultIdleMargin = 500 * time.Millisecond
 	// DefaultMaxIdle suits endpoints with a few dozen slots.
 	DefaultMaxIdle = 16
-	// DefaultRequestIDHeader is the customary name.
+	// DefaultRequestIDHeader is the name that servers commonly use.
 	DefaultRequestIDHeader = "X-Request-Id"
 )
 
--- a/direct/conn.go
+++ b/direct/conn.go
@@ -82,8 +82,8 @@
 func (c *conn) close() { _ = c.raw.Close() }
 
 // reset closes the connection of a cancelled request and discards unacknowledged data. A plain
-// close would deliver that data once the endpoint's host is back, long after the caller has
-// left.
+// close would deliver that data once the endpoint's host is reachable again, long after the
+// caller has disconnected.
 func (c *conn) reset() {
 	if tcp, ok := c.raw.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/direct/direct_test.go
+++ b/direct/direct_test.go
@@ -281,7 +281,7 @@
 	}
 }
 
-// Guards against a request that is sent although its endpoint asked for a pause while the
+// Guards against a request that is sent although its endpoint became rate limited while the
 // connection was being established.
 func TestBeforeSendErrorPreventsSending(t *testing.T) {
 	is := is.New(t)
--- a/direct/doc.go
+++ b/direct/doc.go
@@ -1,6 +1,6 @@
 // Package direct sends requests to endpoints over HTTP/1.1 without an agent in between. It
-// adds nothing to the request: it never retries, adds only the headers that frame the body,
-// and never delivers bytes that belong to the response to another request.
+// changes nothing in a request except the headers that frame the body, never retries, and
+// never delivers bytes that belong to the response to another request.
 //
 // A Client keeps idle connections to each endpoint and uses each for one request at a time. A
 // connection is kept only after a complete response that was framed by a length or by chunked
--- a/direct/exchange.go
+++ b/direct/exchange.go
@@ -58,8 +58,8 @@
 }
 
 // Send sends a request and waits for the head of its response. ctx applies to the whole
-// exchange, including the body: when it is done, the connection is closed, which tells the
-// endpoint that the caller has left.
+// exchange, including the body: when it is done, the connection is reset, which tells the
+// endpoint that the caller has disconnected.
 func (c *Client) Send(ctx context.Context, addr string, r *Request) (*Response, error) {
 	used, err := c.get(ctx, addr)
 	if err != nil {
@@ -94,7 +94,7 @@
 	client  *Client
 	conn    *conn
 	request *Request
-	// stop cancels the callback on ctx.
+	// stop unregisters the callback that resets the connection when ctx is done.
 	stop func() bool
 	// requestWritten is true once the whole request has been written.
 	requestWritten atomic.Bool
@@ -167,7 +167,7 @@
 }
 
 // errForeignResponses is returned if a connection yields only interim responses and responses
-// to other requests.
+// to other requests, up to maxSkippedResponses or the end of the connection.
 var errForeignResponses = errors.New("received only interim responses and responses to other requests")
 
 // readHead waits for the head of the response. It skips interim responses and responses to
@@ -210,7 +210,7 @@
 	return nil
 }
 
-// abort closes the connection.
+// abort resets the connection.
 func (x *exchange) abort() {
 	x.once.Do(func() {
 		x.stop()
@@ -262,7 +262,8 @@
 	return n, err
 }
 
-// Close discards the rest of the response and closes the connection.
+// Close discards the rest of the response and resets the connection, unless the response has
+// been read to its end.
 func (b *responseBody) Close() error {
 	b.x.abort()
 	return nil
@@ -271,7 +272,7 @@
 // headError returns the fault of an exchange that ended before the response head was received.
 func headError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
-		return fault.New(fault.Unknown, "the request ended before the endpoint responded", "retry, or allow more time").WithCause(context.Cause(ctx))
+		return fault.New(fault.Unknown, "the request ended before the endpoint responded", "retry, or use a longer deadline").WithCause(context.Cause(ctx))
 	}
 	if isMalformed(err) {
 		return fault.New(fault.Unknown, "the endpoint sent an invalid HTTP response", "retry; if the error persists, check the endpoint").WithCause(err)
