--- a/answer/answer.go
+++ b/answer/answer.go
@@ -49,7 +49,8 @@
 	return err
 }
 
-// retryAfterValue returns the value of the header; empty if a retry does not help.
+// retryAfterValue returns the value of the header, or an empty string if the verdict's fault
+// sets none.
 func retryAfterValue(v *call.Verdict, format RetryAfterFormat) string {
 	if seconds := v.RetryAfterSeconds(); seconds <= 0 {
 		return ""
--- a/answer/answer_test.go
+++ b/answer/answer_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestRetryAfterFormat(t *testing.T) {
-	full := fault.New(fault.Overloaded, "full", "ask again")
+	full := fault.New(fault.Overloaded, "full", "retry later")
 	for _, c := range []struct {
 		after  time.Duration
 		format RetryAfterFormat
