--- a/eventstream/eventstream.go
+++ b/eventstream/eventstream.go
@@ -75,7 +75,8 @@
 	return out, nil
 }
 
-// admit reports whether an event is new to the caller.
+// admit reports whether an event is new to the caller, and records its id. An error means that
+// events are missing or repeated.
 func (s *Splitter) admit(event []byte) (fresh bool, err error) {
 	id, ok := eventID(event)
 	if !ok {
