--- a/group/mapswitch/restart_test.go
+++ b/group/mapswitch/restart_test.go
@@ -13,7 +13,7 @@
 // the restart it may have promised a lower step to the new coordinator, so it must
 // refuse the old request because of its fencing token.
 func TestRestartedRankRefusesOldToken(t *testing.T) {
-	proof.Cell{Promise: proof.OneMap, Faults: []proof.Fault{proof.Restart, proof.Late}, Step: "promise asked for by a replaced coordinator", Together: true,
+	proof.Cell{Promise: proof.OneMapPerStep, Faults: []proof.Fault{proof.Restart, proof.DelayedMessages}, Step: "promise asked for by a replaced coordinator", Combined: true,
 		Guard: "both uses of the fencing token at a rank, each alone"}.Log(t)
 	is := is.New(t)
 	c := newCluster(2)
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -16,7 +16,7 @@
 func newTrackerWithHistory(now time.Duration) *Tracker {
 	tracker := NewTracker()
 	for range 1000 {
-		tracker.RecordCompletion(now, now, fp("good"), "runs on")
+		tracker.RecordCompletion(now, now, fp("good"), "healthy run")
 	}
 	return tracker
 }
@@ -86,8 +86,8 @@
 	for i := range 300 {
 		run++
 		tracker.RecordCrash(time.Second, fp("r"+strconv.Itoa(i)), "e"+strconv.Itoa(run))
-		tracker.RecordCompletion(time.Second, time.Second, fp("s"+strconv.Itoa(i)), "runs on")
-		tracker.RecordCompletion(time.Second, time.Second, fp("t"+strconv.Itoa(i)), "runs on")
+		tracker.RecordCompletion(time.Second, time.Second, fp("s"+strconv.Itoa(i)), "healthy run")
+		tracker.RecordCompletion(time.Second, time.Second, fp("t"+strconv.Itoa(i)), "healthy run")
 	}
 	unlucky := fp("unlucky")
 	for i := range 3 {
@@ -108,14 +108,14 @@
 		tracker.RecordCrash(time.Duration(i), fp(strconv.Itoa(i)), "rack")
 		tracker.RecordCrash(time.Duration(i), bad, "x"+strconv.Itoa(i))
 	}
-	requests, _ := tracker.Len(time.Second)
+	requests, _ := tracker.Counts(time.Second)
 	is.Equal(requests, maxRequests)
 	is.True(tracker.HoldRemaining(time.Second, bad) > 0) // the request with the most crashes is not evicted
 	is.True(len(tracker.requests[bad].crashes) <= maxRuns)
 	is.True(len(tracker.suspects) <= maxRequests*maxRuns)
 	is.True(len(tracker.registry.stored) <= maxReports && len(tracker.registry.sequences) <= maxReports)
 	tracker.EvictStale(3 * maxHold)
-	requests, _ = tracker.Len(3 * maxHold)
+	requests, _ = tracker.Counts(3 * maxHold)
 	is.Equal(requests, 0)
 	is.Equal(len(tracker.suspects), 0)
 	is.Equal(len(tracker.registry.stored)+len(tracker.registry.sequences), 0)
