--- a/agent/ranks/driver.go
+++ b/agent/ranks/driver.go
@@ -76,7 +76,7 @@
 func (d *rankDriver) observeGranted(granted uint64) {
 	d.granted = max(d.granted, granted)
 	if d.granted > 0 {
-		d.rank.Observe(d.granted)
+		d.rank.ObserveStep(d.granted)
 	}
 }
 
--- a/agent/ranks/recordreader.go
+++ b/agent/ranks/recordreader.go
@@ -88,7 +88,7 @@
 	defer r.ranks.mu.Unlock()
 	for _, m := range batch {
 		driver := r.ranks.drivers[rankKey{m.Group, m.Rank}]
-		r.ranks.deliver(driver.step(r.ranks.now(), mapswitch.Answer(m, record, true)))
+		r.ranks.deliver(driver.step(r.ranks.now(), mapswitch.AnswerRead(m, record, true)))
 	}
 	return nil
 }
--- a/call/at_most_once_test.go
+++ b/call/at_most_once_test.go
@@ -12,8 +12,8 @@
 	"github.com/lilackeel/lilackeel/proof"
 )
 
-// scheduleFaults schedules crashes, freezes, partitions, restarts and losses of the
-// leader.
+// scheduleFaults schedules crashes, freezes and partitions of entries, restarts of the
+// agent, losses of the leader and times at which the endpoint is leaving.
 func (sim *simulation) scheduleFaults(until time.Duration) {
 	for at := time.Duration(0); at < until; at += 100 * time.Millisecond {
 		moment := at + time.Duration(sim.rng.Int64N(int64(100*time.Millisecond)))
@@ -158,10 +158,10 @@
 // answer must be the caller's own and complete.
 func TestAtMostOnce(t *testing.T) {
 	const simulations, keys = 400, 12
-	for _, promise := range []proof.Promise{proof.AtMostOnce, proof.NotRun, proof.OwnAnswer} {
+	for _, promise := range []proof.Promise{proof.AtMostOnce, proof.NotRun, proof.ResponseIntegrity} {
 		proof.Cell{
-			Promise: promise, Step: "every step of a claimed call", Together: true,
-			Faults: []proof.Fault{proof.Kill, proof.Restart, proof.CutOneWay, proof.CutBothWays, proof.Freeze, proof.Late, proof.Doubled, proof.Crossed, proof.Lost},
+			Promise: promise, Step: "every step of a claimed call", Combined: true,
+			Faults: []proof.Fault{proof.Kill, proof.Restart, proof.OneWayPartition, proof.FullPartition, proof.Freeze, proof.DelayedMessages, proof.DuplicatedMessages, proof.ReorderedMessages, proof.LostMessages},
 			Guard:  "each alone: grant before dispatch, match of request and incarnation, revocation after a cut, unknown when the agent cannot tell, end check",
 		}.Log(t)
 	}
--- a/control/expertmap/balancing.go
+++ b/control/expertmap/balancing.go
@@ -79,7 +79,7 @@
 		return
 	}
 	if g.decision.Map.Digest() == current.Digest() {
-		g.balancer.Switched(g.base, *g.decision)
+		g.balancer.RecordSwitch(g.base, *g.decision)
 	}
 	g.decision = nil
 }
--- a/control/expertmap/decisions.go
+++ b/control/expertmap/decisions.go
@@ -17,7 +17,7 @@
 			slog.Uint64("step", after.FromStep), slog.Duration("took", d.now()-g.pendingSince), slog.Any("stages", g.phases))
 		return
 	}
-	phase, ranks := g.coordinator.GaveUp()
+	phase, ranks := g.coordinator.LastAbort()
 	d.cfg.Logger.Warn("expert map switch aborted", slog.String("group", g.name), slog.Uint64("epoch", before.PendingEpoch),
 		slog.String("waited_for", phase.String()), slog.Any("ranks", ranks), slog.Duration("took", d.now()-g.pendingSince), slog.Any("stages", g.phases))
 }
--- a/measure/following/run.go
+++ b/measure/following/run.go
@@ -42,8 +42,8 @@
 // that one switch may copy to a rank.
 func newDeployment(name string, shape group.Shape, popularity, copySeconds, fixed float64, spare int, coordinationTime time.Duration) Deployment {
 	return Deployment{Name: name, Shape: shape, PopularityExponent: popularity, CoordinationTime: coordinationTime, Config: balance.FollowConfig{
-		Shape: shape, Reach: balance.Reach{Spare: spare, Copies: 10}, Fixed: fixed, CopySeconds: copySeconds, CopySlow: 0.15,
-		OrderSeconds: coordinationSeconds, StallSeconds: 0.005, MoveSeconds: 0.001, HoldSeconds: 2, Smoothing: 0.3, Jump: 0.12,
+		Shape: shape, Limits: balance.MoveLimits{PerLayer: spare, Total: 10}, FixedRatio: fixed, CopySeconds: copySeconds, CopySlowdown: 0.15,
+		CoordinationSeconds: coordinationSeconds, StallSeconds: 0.005, MoveSeconds: 0.001, LifetimeSeconds: 2, Smoothing: 0.3, JumpThreshold: 0.12,
 	}}
 }
 
@@ -137,7 +137,7 @@
 	shape    group.Shape
 	demand   *demand
 	follower *balance.Follower
-	spell    balance.Spell
+	spell    balance.DemandLifetime
 	current  group.Map
 	next     group.Map
 	// switchEnd is when the switch in progress ends; zero if there is none.
@@ -155,13 +155,13 @@
 	// passes so far, and pace the leader's estimate of the pass time.
 	timeUnit time.Duration
 	passes   float64
-	pace     balance.Pace
+	pace     balance.StepTimeEstimator
 	maxPause time.Duration
 }
 
 // Run simulates a policy for the given duration of virtual time.
 func Run(policy Policy, deployment Deployment, seed uint64, duration time.Duration) Result {
-	shape, fixed, copySlowdown := deployment.Shape, deployment.Config.Fixed, deployment.Config.CopySlow
+	shape, fixed, copySlowdown := deployment.Shape, deployment.Config.FixedRatio, deployment.Config.CopySlowdown
 	s := &simulation{
 		policy: policy, shape: shape, demand: newDemand(shape, deployment.PopularityExponent, rand.New(rand.NewPCG(seed, 1))), current: group.RoundRobin(shape),
 		observed: make([]float64, shape.Layers*shape.Experts), noise: rand.New(rand.NewPCG(seed, 2)), coordinationTime: deployment.CoordinationTime,
@@ -229,12 +229,12 @@
 		return
 	}
 	if s.follower.Jumped() {
-		s.spell.Jumped(now)
+		s.spell.RecordJump(now)
 	}
-	s.follower.SetHold(s.spell.Left(now).Seconds())
+	s.follower.SetLifetime(s.spell.Remaining(now).Seconds())
 	if s.policy.PauseAware {
-		s.pace.Counted(now, uint64(s.passes), s.follower.Relative(s.current))
-		s.follower.SetPace(s.pace.Unit(), s.maxPause)
+		s.pace.Observe(now, uint64(s.passes), s.follower.RelativeStepTime(s.current))
+		s.follower.SetStepTime(s.pace.UnitTime(), s.maxPause)
 	}
 	decision := s.follower.Decide(s.current)
 	if !decision.Switch {
--- a/proof/proof.go
+++ b/proof/proof.go
@@ -1,9 +1,9 @@
-// Package proof lets a test say which cell of the fault matrix it proves.
+// Package proof lets a test declare which cells of the fault matrix it covers.
 //
-// The matrix has the promises of the product as rows and the faults as
-// columns. A test logs its cells while it runs; cmd/lilackeel-proof turns the
-// log of a whole test run into docs/PROOF.md, so that the page can only list
-// what a test that passed has said.
+// The rows of the matrix are the guarantees of the product and the columns are faults. A test
+// logs its cells while it runs. cmd/lilackeel-proof generates docs/PROOF.md from the log of a
+// complete test run, so that the page lists only what tests have logged, together with whether
+// they passed.
 package proof
 
 import (
@@ -11,91 +11,92 @@
 	"testing"
 )
 
-// Promise is one row of the matrix.
+// Promise is a guarantee of the product, a row of the matrix.
 type Promise string
 
-// The promises that must always hold.
+// The guarantees that must hold under every fault.
 const (
-	OneMap        Promise = "one expert map per step"
-	OwnAnswer     Promise = "own whole answer"
-	NotRun        Promise = "not run is true"
-	AtMostOnce    Promise = "non-idempotent at most once"
-	Leaving       Promise = "leaving gets no new work"
-	PlannedStop   Promise = "planned stop cuts nothing"
-	Configuration Promise = "accepted configuration holds"
+	OneMapPerStep        Promise = "one expert map per step"
+	ResponseIntegrity    Promise = "own whole answer"
+	NotRun               Promise = "not run is true"
+	AtMostOnce           Promise = "non-idempotent at most once"
+	Leaving              Promise = "leaving gets no new work"
+	GracefulShutdown     Promise = "planned stop cuts nothing"
+	DurableConfiguration Promise = "accepted configuration holds"
 )
 
 // Promises lists the rows in the order of the page.
-var Promises = []Promise{OneMap, OwnAnswer, NotRun, AtMostOnce, Leaving, PlannedStop, Configuration}
+var Promises = []Promise{OneMapPerStep, ResponseIntegrity, NotRun, AtMostOnce, Leaving, GracefulShutdown, DurableConfiguration}
 
-// Fault is one column of the matrix.
+// Fault is a column of the matrix.
 type Fault string
 
-// The faults that a test may bring about.
+// The faults that a test may inject.
 const (
-	None          Fault = "none"
-	Kill          Fault = "kill"
-	Restart       Fault = "restart"
-	LostDisk      Fault = "lost disk"
-	OldDisk       Fault = "old disk put back"
-	FullDisk      Fault = "full disk"
-	CutOneWay     Fault = "cut one way"
-	CutBothWays   Fault = "cut both ways"
-	Freeze        Fault = "freeze, late wake-up"
-	StalledRank   Fault = "stalled rank"
-	Late          Fault = "late messages"
-	Doubled       Fault = "doubled messages"
-	Crossed       Fault = "crossed messages"
-	Lost          Fault = "lost messages"
-	ClockStep     Fault = "clock step"
-	RacingOps     Fault = "racing operators"
-	ResentIntents Fault = "resent intents"
-	SecondLoss    Fault = "second loss after repair"
-	ManyChanges   Fault = "restart after hundreds of changes"
+	None                    Fault = "none"
+	Kill                    Fault = "kill"
+	Restart                 Fault = "restart"
+	LostDisk                Fault = "lost disk"
+	StaleDisk               Fault = "old disk put back"
+	FullDisk                Fault = "full disk"
+	OneWayPartition         Fault = "cut one way"
+	FullPartition           Fault = "cut both ways"
+	Freeze                  Fault = "freeze, late wake-up"
+	StalledRank             Fault = "stalled rank"
+	DelayedMessages         Fault = "late messages"
+	DuplicatedMessages      Fault = "doubled messages"
+	ReorderedMessages       Fault = "crossed messages"
+	LostMessages            Fault = "lost messages"
+	ClockStep               Fault = "clock step"
+	ConcurrentOperators     Fault = "racing operators"
+	ResentIntents           Fault = "resent intents"
+	SecondLoss              Fault = "second loss after repair"
+	RestartAfterManyChanges Fault = "restart after hundreds of changes"
 )
 
 // Faults lists the columns in the order of the page.
 var Faults = []Fault{
-	Kill, Restart, LostDisk, OldDisk, FullDisk, CutOneWay, CutBothWays, Freeze,
-	StalledRank, Late, Doubled, Crossed, Lost, ClockStep, RacingOps,
-	ResentIntents, SecondLoss, ManyChanges,
+	Kill, Restart, LostDisk, StaleDisk, FullDisk, OneWayPartition, FullPartition, Freeze,
+	StalledRank, DelayedMessages, DuplicatedMessages, ReorderedMessages, LostMessages, ClockStep, ConcurrentOperators,
+	ResentIntents, SecondLoss, RestartAfterManyChanges,
 }
 
-// notApplicable gives the reason why a fault cannot touch a promise, for the few
-// cells where that is so. A fault that merely has not been tried is not here.
+// notApplicable gives the reason why a fault cannot affect a promise, for the few cells where
+// that is so. Faults that have merely not been tested are not listed.
 var notApplicable = map[Promise]map[Fault]string{
-	OneMap: {
-		RacingOps:     "operators state policies; maps begin and are decided by the coordinator's entries alone",
-		ResentIntents: "an intent carries no map; maps begin and are decided by the coordinator's entries alone",
+	OneMapPerStep: {
+		ConcurrentOperators: "operators set policies only; map switches begin and are decided solely by the coordinator's log entries",
+		ResentIntents:       "an intent carries no map; map switches begin and are decided solely by the coordinator's log entries",
 	},
 	AtMostOnce: {
-		StalledRank: "calls that may not be repeated go to plain services, which are no ranks of a group",
+		StalledRank: "non-idempotent calls go to plain services, which are not ranks of a group",
 	},
 }
 
-// NotApplicable returns why a fault cannot touch a promise, or nothing.
+// NotApplicable returns the reason why a fault cannot affect a promise, or an empty string if
+// it can.
 func NotApplicable(promise Promise, fault Fault) string {
 	return notApplicable[promise][fault]
 }
 
-// Marker starts the log line of a cell.
+// Marker is the prefix of a cell in the test log.
 const Marker = "proof-cell "
 
-// Cell is what one test proves: a promise under faults at a step.
+// Cell is what a test shows: that a promise holds under the given faults at a step of the
+// protocol.
 type Cell struct {
-	// Promise is the row.
 	Promise Promise `json:"promise"`
-	// Faults are brought about by the test, singly or together.
+	// Faults are injected by the test, one at a time or combined.
 	Faults []Fault `json:"faults"`
-	// Step of the protocol at which they come, or "every step".
+	// Step is the step of the protocol at which the faults occur, or "every step".
 	Step string `json:"step"`
-	// Guard is the piece of code whose removal made the test fail; empty if
-	// that was not tried, and then the cell does not count as proved.
+	// Guard is the code whose removal made the test fail. If it is empty, this was not tried
+	// and the cell does not count as proved.
 	Guard string `json:"guard"`
-	// Together is true when the faults come in combination.
-	Together bool `json:"together"`
-	// Real is true when the test drives separate processes.
-	Real bool `json:"real"`
+	// Combined is true if the faults occur in combination.
+	Combined bool `json:"together"`
+	// SeparateProcesses is true if the test runs the daemons as separate processes.
+	SeparateProcesses bool `json:"real"`
 }
 
 // Log writes the cell to the test's log.
--- a/rankhost/controller.go
+++ b/rankhost/controller.go
@@ -66,7 +66,7 @@
 // Observe processes a new status of the engine and returns the messages to send.
 func (c *Controller) Observe(now time.Duration, s Status) []mapswitch.Message {
 	c.status = s
-	c.rank.Observe(s.Step)
+	c.rank.ObserveStep(s.Step)
 	var out []mapswitch.Message
 	record := c.rank.Record()
 	for _, epoch := range []uint64{record.PreviousEpoch, record.Epoch, record.PendingEpoch} {
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -24,10 +24,10 @@
 	"github.com/lilackeel/lilackeel/setting"
 )
 
-func TestLinesCarryTheRequestAndNoSecrets(t *testing.T) {
+func TestLogLinesCarryContextAttributesButNoSecrets(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	logger := Logger(&out, "info", "lilackeel-entry", "host-1")
+	logger := NewLogger(&out, "info", "lilackeel-entry", "host-1")
 	ctx := WithAttributes(t.Context(), slog.String("request_id", "r-17"), slog.String("workspace", "nawras"))
 	address := &url.URL{Scheme: "http", User: url.UserPassword("u", "hush-1"), Host: "h", RawQuery: "key=hush-2"}
 	logger.With("workspace-key", "hush-3").WithGroup("caller").InfoContext(ctx, "refused",
@@ -40,16 +40,16 @@
 	line := out.String()
 	is.True(!strings.Contains(line, "hush"))
 	for _, part := range []string{`"request_id":"r-17"`, `"workspace":"nawras"`, `"host":"host-1"`, `"fencing_token":41`, "text/plain"} {
-		is.True(strings.Contains(line, part)) // kept on the line
+		is.True(strings.Contains(line, part)) // must not be redacted
 	}
 }
 
-func TestLibrariesLogJSONLinesToo(t *testing.T) {
+func TestLibrariesLogJSONLines(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	before := slog.Default()
-	defer slog.SetDefault(before)
-	Install(Logger(&out, "info", "lilackeel-entry", "host-1"))
+	previous := slog.Default()
+	defer slog.SetDefault(previous)
+	SetDefaultLogger(NewLogger(&out, "info", "lilackeel-entry", "host-1"))
 	log.Print("from package log")
 	grpclog.Warningf("from %s", "gRPC")
 	otel.Handle(errors.New("from OpenTelemetry"))
@@ -60,30 +60,30 @@
 	}
 }
 
-func TestSpansReachACollector(t *testing.T) {
+func TestSpansReachOTLPCollector(t *testing.T) {
 	is := is.New(t)
 	received := make(chan string, 1)
 	collector := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { received <- r.URL.Path }))
 	defer collector.Close()
-	shutdown, err := Tracing(t.Context(), Config{TraceExporter: ExporterOTLP, TraceEndpoint: collector.URL, TraceRatio: 1})
+	shutdown, err := StartTracing(t.Context(), Config{TraceExporter: ExporterOTLP, TraceEndpoint: collector.URL, TraceRatio: 1})
 	is.NoErr(err)
-	_, span := Span(t.Context(), "pick")
+	_, span := StartSpan(t.Context(), "pick")
 	span.End()
 	is.NoErr(shutdown(context.Background()))
 	is.Equal(<-received, "/v1/traces")
 }
 
-func TestSpansAreRecordedInTheTraceOfTheCaller(t *testing.T) {
+func TestSpansJoinIncomingTrace(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "spans.json")
-	shutdown, err := Tracing(t.Context(), Config{Daemon: "lilackeel-entry", TraceExporter: ExporterFile, TraceEndpoint: path, TraceRatio: 1})
+	shutdown, err := StartTracing(t.Context(), Config{Daemon: "lilackeel-entry", TraceExporter: ExporterFile, TraceEndpoint: path, TraceRatio: 1})
 	is.NoErr(err)
 	const traceID = "4bf92f3577b34da6a3ce929d0e0e4736"
 	incoming := http.Header{"Traceparent": {"00-" + traceID + "-00f067aa0ba902b7-01"}}
-	ctx, span := Span(Extract(t.Context(), incoming), "pick", attribute.Int("attempt", 1))
+	ctx, span := StartSpan(Extract(t.Context(), incoming), "pick", attribute.Int("attempt", 1))
 	outgoing := http.Header{}
 	Inject(ctx, outgoing)
-	End(span, fault.New(fault.Overloaded, "a caller's data", "wait"))
+	EndSpan(span, fault.New(fault.Overloaded, "a caller's data", "wait"))
 	is.NoErr(shutdown(context.Background()))
 	recorded, err := os.ReadFile(path)
 	is.NoErr(err)
@@ -91,23 +91,23 @@
 	is.True(strings.Contains(string(recorded), "overloaded"))
 	is.True(!strings.Contains(string(recorded), "a caller's data"))
 	is.True(strings.Contains(outgoing.Get("traceparent"), traceID))
-	is.True(outgoing.Get("traceparent") != incoming.Get("traceparent")) // the new span is the parent now
+	is.True(outgoing.Get("traceparent") != incoming.Get("traceparent")) // the new span is the parent
 
-	ctx, _ = Span(Extract(t.Context(), incoming), "pick") // off again
+	ctx, _ = StartSpan(Extract(t.Context(), incoming), "pick") // tracing is off again
 	Inject(ctx, outgoing)
-	is.Equal(outgoing.Get("traceparent"), incoming.Get("traceparent")) // passed on unchanged
+	is.Equal(outgoing.Get("traceparent"), incoming.Get("traceparent")) // propagated unchanged
 }
 
-func TestReadinessFallsWithItsReason(t *testing.T) {
+func TestReadyzReportsReason(t *testing.T) {
 	is := is.New(t)
 	ready := NewReady()
 	get := func(path string) (int, string) {
 		recorder := httptest.NewRecorder()
-		Admin(ready).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, path, nil))
+		AdminHandler(ready).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, path, nil))
 		return recorder.Code, recorder.Body.String()
 	}
 	code, _ := get("/readyz")
-	is.Equal(code, http.StatusServiceUnavailable) // not ready before it says so
+	is.Equal(code, http.StatusServiceUnavailable) // not ready initially
 	ready.Set(true, "")
 	code, _ = get("/readyz")
 	is.Equal(code, http.StatusOK)
@@ -122,7 +122,7 @@
 	is.True(strings.Contains(body, "go_goroutines"))
 }
 
-func TestTraceSettingsThatContradictEachOtherAreRefused(t *testing.T) {
+func TestContradictoryTraceSettingsAreRejected(t *testing.T) {
 	is := is.New(t)
 	for _, args := range [][]string{
 		{"-trace-exporter=otlp"},
@@ -130,17 +130,17 @@
 		{"-trace-endpoint=/tmp/spans"},
 	} {
 		s := setting.New("lilackeel-sample")
-		Settings(s, &Config{})
+		RegisterSettings(s, &Config{})
 		_, err := s.Parse(args, nil)
 		is.True(err != nil)
 	}
 }
 
-// BenchmarkSpan compares a span while tracing is off with a plain call.
+// BenchmarkSpan measures the cost of a span while tracing is off.
 func BenchmarkSpan(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		_, span := Span(b.Context(), "pick", attribute.Int("attempt", 1))
-		End(span, nil)
+		_, span := StartSpan(b.Context(), "pick", attribute.Int("attempt", 1))
+		EndSpan(span, nil)
 	}
 }
