--- a/e2e/log_test.go
+++ b/e2e/log_test.go
@@ -18,9 +18,9 @@
 var commonFields = []string{"time", "level", "msg", "daemon", "host", "request_id", "workspace", "endpoint", "attempt", "trace_id", "replica", "term", "library", "left_out"}
 
 // documentedEvents returns the events listed in docs/LOGS.md.
-var documentedEvents = sync.OnceValues(func() (map[string]logspage.Entry, error) {
+var documentedEvents = sync.OnceValues(func() (map[string]logspage.PageEntry, error) {
 	text, err := os.ReadFile("../docs/LOGS.md")
-	return logspage.Listed(string(text)), err
+	return logspage.ParsePage(string(text)), err
 })
 
 // checkLog fails the test if a daemon has logged a line that does not match docs/LOGS.md. The
@@ -49,7 +49,7 @@
 
 // logLineError returns how a line differs from the documentation, or an empty string if it
 // matches.
-func logLineError(line []byte, events map[string]logspage.Entry) string {
+func logLineError(line []byte, events map[string]logspage.PageEntry) string {
 	var fields map[string]any
 	if err := json.Unmarshal(line, &fields); err != nil {
 		return err.Error()
