--- a/control/expertmap/driver.go
+++ b/control/expertmap/driver.go
@@ -39,8 +39,8 @@
 	Propose(now time.Duration, group string, current group.Map) (next group.Map, ok bool)
 	// Observe records what the ranks of a group have counted.
 	Observe(now time.Duration, load *agentv1.ExpertLoad)
-	// Switched records how long a group may have waited at the step of a switch.
-	Switched(now time.Duration, group string, overrun time.Duration)
+	// RecordSwitch records how long a group may have waited at the step of a switch.
+	RecordSwitch(now time.Duration, group string, overrun time.Duration)
 }
 
 // Config configures a Driver for one term.
@@ -61,14 +61,14 @@
 	// BranchSize is the number of agents that one call reaches through a relay, for agents that
 	// forward requests and count on request; zero for agents that do not.
 	BranchSize int
-	// Token is the fencing token that the log issued for the term.
+	// Token is the fencing token that the log issued at the beginning of the term.
 	Token uint64
 	// LogTime returns the log time of a command proposed now, in nanoseconds.
 	LogTime func() int64
 	// Options returns the options of a group's coordinator; nil for the defaults.
 	Options func(group string) mapswitch.Options
 	// Rescue may be zero; the driver then waits for unresponsive hosts.
-	Rescue Rescue
+	Rescue RescueConfig
 	// Logger must be set.
 	Logger *slog.Logger
 }
@@ -276,7 +276,7 @@
 		return
 	}
 	if overrun, ok := g.coordinator.TakeOverrun(); ok {
-		d.cfg.Proposer.Switched(d.now(), g.name, overrun)
+		d.cfg.Proposer.RecordSwitch(d.now(), g.name, overrun)
 	}
 	current, err := d.currentMap(g)
 	if err != nil {
--- a/control/expertmap/rescue.go
+++ b/control/expertmap/rescue.go
@@ -23,9 +23,9 @@
 	rescueTimeout = time.Second
 )
 
-// Rescue lets a Driver act for unresponsive hosts of ranks whose engines hold a step, because
+// RescueConfig lets a Driver act for unresponsive hosts of ranks whose engines hold a step, because
 // the whole group waits for them.
-type Rescue struct {
+type RescueConfig struct {
 	// Engine returns a client for the engine of a rank, by the endpoint ID of the rank; nil if
 	// the engine cannot be reached without its host.
 	Engine func(id string) rankhost.Engine
@@ -90,7 +90,7 @@
 }
 
 // rescueRank gives the engine of one rank the order that its host would give. The record must
-// be read after the engine's status: see rankhost.Rescue. Failures are logged only on the first
+// be read after the engine's status: see rankhost.RescueOrder. Failures are logged only on the first
 // attempt since the host became unresponsive.
 func (d *Driver) rescueRank(ctx context.Context, name string, rank int, engine rankhost.Engine, firstAttempt bool) {
 	ctx, cancel := context.WithTimeout(ctx, rescueTimeout)
@@ -119,7 +119,7 @@
 		d.cfg.Logger.Error("the record of an expert map cannot be read", "group", name, "error", err)
 		return
 	}
-	order, ok := rankhost.Rescue(status, record)
+	order, ok := rankhost.RescueOrder(status, record)
 	if !ok {
 		return
 	}
